--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -12,9 +12,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// The sender owes the message its end from now on. Its number is no other live message's.
-    Taken(u32, Arc<Taken>),
+    #[serde(rename = "Taken")]
+    Accepted(u32, Arc<AcceptedMessage>),
     /// An attempt is about to begin.
-    Begun {
+    #[serde(rename = "Begun")]
+    AttemptStarted {
         /// The message.
         message: u32,
         /// The attempt's number, from 0.
@@ -25,7 +27,8 @@
         at: Micros,
     },
     /// An attempt ended, and the message goes on.
-    Ended {
+    #[serde(rename = "Ended")]
+    AttemptEnded {
         /// The message.
         message: u32,
         /// The attempt's number, from 0.
@@ -34,17 +37,20 @@
         never_ran: bool,
     },
     /// The module gave the message up; the platform is still to be told.
-    GivenUp(u32, GivenUp),
+    #[serde(rename = "GivenUp")]
+    Abandoned(u32, Abandonment),
     /// Nothing more is owed.
-    Over(u32),
+    #[serde(rename = "Over")]
+    Completed(u32),
     /// How a message ended that must never be sent again; kept for the ledger's time. It goes ahead of the message's
     /// [`Record::Over`] in the same append.
-    Remembered(Remembered),
+    #[serde(rename = "Remembered")]
+    LedgerEntry(LedgerEntry),
 }
 
 /// A message as it was handed in.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// Its `Req-Id`.
     pub id: String,
     /// Its `Idempotency-Key`.
@@ -61,7 +67,7 @@
 
 /// An end that is owed to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum GivenUp {
+pub enum Abandonment {
     /// Refused, with advice on when to return, in microseconds.
     Deferred(Micros),
     /// Failed.
@@ -70,7 +76,7 @@
 
 /// An entry of the ledger of orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Remembered {
+pub struct LedgerEntry {
     /// The message's `Req-Id`.
     pub id: String,
     /// Whether it was delivered; otherwise it failed, and may have taken effect.
@@ -94,21 +100,21 @@
 
 /// A message that is owed its end.
 #[derive(Debug, Clone)]
-pub struct Live {
+pub struct PendingMessage {
     /// As it was handed in.
-    pub taken: Arc<Taken>,
+    pub message: Arc<AcceptedMessage>,
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
     /// Its end, where only the notice is still owed.
-    pub given_up: Option<GivenUp>,
+    pub abandoned: Option<Abandonment>,
     /// The segment from which on all that is known of it stands.
     pub(crate) home: u64,
 }
 
-impl Live {
+impl PendingMessage {
     /// A message that was just taken on.
-    pub(crate) fn new(taken: Arc<Taken>, home: u64) -> Self {
-        Self { taken, attempts: Vec::new(), given_up: None, home }
+    pub(crate) fn new(taken: Arc<AcceptedMessage>, home: u64) -> Self {
+        Self { message: taken, attempts: Vec::new(), abandoned: None, home }
     }
 
     /// Whether one of its attempts may have taken effect.
@@ -118,8 +124,8 @@
 }
 
 /// Where it stands on the disk is no part of what it is.
-impl PartialEq for Live {
+impl PartialEq for PendingMessage {
     fn eq(&self, other: &Self) -> bool {
-        (&self.taken, &self.attempts, self.given_up) == (&other.taken, &other.attempts, other.given_up)
+        (&self.message, &self.attempts, self.abandoned) == (&other.message, &other.attempts, other.abandoned)
     }
 }
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -1,7 +1,7 @@
 //! Reads the bytes of segments back into a state. No I/O.
 
 use crate::format::{BadHead, Entry, FRAME, Frame, HEAD, Head, frame_at, turns};
-use crate::record::{Live, Record};
+use crate::record::{PendingMessage, Record};
 use crate::state::{ByNumber, State};
 
 /// A stretch of a segment that was written and can't be read.
@@ -144,7 +144,7 @@
             let over = |message| self.ends.get(&message).is_some_and(|end| *end > place);
             // A message's number may be used again once it is over: what was live before is over all the same.
             if let Some(message) = frame.brings().filter(|message| over(*message)) {
-                state.apply(Record::Over(message), segment);
+                state.apply(Record::Completed(message), segment);
                 continue;
             }
             if frame.concerns().is_some_and(|message| !state.live().contains_key(&message)) {
@@ -155,7 +155,7 @@
                 Entry::Record(record) => {
                     state.apply(record, segment);
                 }
-                Entry::Moved(message, live) => state.set(message, Live { home: segment, ..live }),
+                Entry::Moved(message, live) => state.set(message, PendingMessage { home: segment, ..live }),
                 // Told by the newest segment, before any is read.
                 Entry::Floor(_) => {}
             }
--- a/crates/journal/src/segment.rs
+++ b/crates/journal/src/segment.rs
@@ -6,7 +6,7 @@
 pub const ASIDE: &str = "damaged-";
 
 /// Begins the names of files in the folder that stand beside the journal. Who writes them counts them.
-pub const BESIDE: &str = "known-";
+pub const SNAPSHOT_PREFIX: &str = "known-";
 
 /// A file of the log.
 #[derive(Debug, Default)]
--- a/crates/journal/src/shared.rs
+++ b/crates/journal/src/shared.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use crate::error::AppendError;
-use crate::record::{Live, Micros, Record, Remembered, Taken};
+use crate::record::{AcceptedMessage, LedgerEntry, Micros, PendingMessage, Record};
 use crate::state::{ByNumber, State};
-use crate::store::{Journal, Room};
+use crate::store::{Capacity, Journal};
 
 /// Numbers that a core gets at a time.
 const BLOCK: u32 = 256;
@@ -30,7 +30,7 @@
     /// Turns that wait to be written.
     waiting: Mutex<Vec<Turn>>,
     /// As it was after the last append. Guards hand-ins against waiting for a sync.
-    room: Mutex<Room>,
+    room: Mutex<Capacity>,
     /// The next block of numbers.
     next: AtomicU64,
     writes: AtomicU64,
@@ -38,13 +38,13 @@
 }
 
 /// A core's part of the journal: its own messages, and the way to the log.
-pub struct Part {
+pub struct JournalPart {
     shared: Arc<Inner>,
     state: State,
     numbers: Range<u32>,
 }
 
-impl std::fmt::Debug for Part {
+impl std::fmt::Debug for JournalPart {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.debug_struct("Part").field("live", &self.state.live().len()).finish()
     }
@@ -57,7 +57,7 @@
 
 impl Journal {
     /// Parts for so many cores; each has the live messages whose destinations are its own.
-    pub fn share(self, cores: usize, owner: impl Fn(u16) -> usize) -> Vec<Part> {
+    pub fn share(self, cores: usize, owner: impl Fn(u16) -> usize) -> Vec<JournalPart> {
         let classes = self.retained_classes();
         let part = || {
             let mut state = State::default();
@@ -67,10 +67,10 @@
         let mut states: Vec<State> = (0..cores.max(1)).map(|_| part()).collect();
         let last = states.len() - 1;
         for (number, live) in self.live() {
-            states[owner(live.taken.destination).min(last)].set(*number, live.clone());
+            states[owner(live.message.destination).min(last)].set(*number, live.clone());
         }
         let next = self.live().keys().max().map_or(0, |last| u64::from(*last) + 1);
-        let room = Mutex::new(self.room());
+        let room = Mutex::new(self.capacity());
         let shared = Arc::new(Inner {
             journal: Mutex::new(Some(self)),
             waiting: Mutex::default(),
@@ -79,13 +79,13 @@
             writes: AtomicU64::new(0),
             turns: AtomicU64::new(0),
         });
-        states.into_iter().map(|state| Part { shared: shared.clone(), state, numbers: 0..0 }).collect()
+        states.into_iter().map(|state| JournalPart { shared: shared.clone(), state, numbers: 0..0 }).collect()
     }
 }
 
-impl Part {
+impl JournalPart {
     /// This core's messages that are owed their end, by number, in no order.
-    pub fn live(&self) -> &ByNumber<Live> {
+    pub fn live(&self) -> &ByNumber<PendingMessage> {
         self.state.live()
     }
 
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Fails while another process has the journal.
-    pub fn number(&mut self) -> io::Result<u32> {
+    pub fn next_message_number(&mut self) -> io::Result<u32> {
         loop {
             if let Some(number) = self.numbers.next() {
                 return Ok(number);
@@ -110,7 +110,7 @@
     }
 
     /// Numbers begin there, if they would begin before.
-    pub fn count_from(&mut self, first: u32) {
+    pub fn number_from(&mut self, first: u32) {
         self.shared.next.fetch_max(first.into(), Ordering::Relaxed);
     }
 
@@ -138,7 +138,7 @@
                 self.shared.writes.fetch_add(1, Ordering::Relaxed);
                 write(journal.as_mut(), turns);
                 if let Some(journal) = journal.as_ref() {
-                    *lock(&self.shared.room) = journal.room();
+                    *lock(&self.shared.room) = journal.capacity();
                 }
             }
         }
@@ -146,7 +146,7 @@
         came.unwrap_or_else(|| Err(AppendError::Io(gone())))?;
         for record in records.drain(..) {
             // The ledger is the whole journal's.
-            if !matches!(record, Record::Remembered(_)) {
+            if !matches!(record, Record::LedgerEntry(_)) {
                 self.state.apply(record, 0);
             }
         }
@@ -154,14 +154,14 @@
     }
 
     /// As [`Journal::room_for`].
-    pub fn room_for(&self, taken: &Taken) -> u64 {
+    pub fn space_needed(&self, taken: &AcceptedMessage) -> u64 {
         crate::state::need(taken) + self.state.owed(taken)
     }
 
     /// As [`Journal::has_room`], as it was after the last append of any core: what others promised since is not in it, so
     /// that an append may find no room after all.
-    pub fn has_room(&self, taken: &Taken, pending: u64) -> bool {
-        lock(&self.shared.room).admits(self.room_for(taken), self.state.owed(taken), pending)
+    pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
+        lock(&self.shared.room).admits(self.space_needed(taken), self.state.owed(taken), pending)
     }
 
     /// Whether the ledger keeps the ends of this class.
@@ -170,34 +170,34 @@
     }
 
     /// As [`Journal::remembered`]. It waits for a write that is going on.
-    pub fn remembered(&self, id: &str, now: Micros) -> Option<Remembered> {
-        lock(&self.shared.journal).as_ref()?.remembered(id, now).cloned()
+    pub fn ledger_entry(&self, id: &str, now: Micros) -> Option<LedgerEntry> {
+        lock(&self.shared.journal).as_ref()?.ledger_entry(id, now).cloned()
     }
 
     /// As [`Journal::tidy`], unless another core is at the log: the next turn of any does it then.
     ///
     /// # Errors
     /// As [`Journal::tidy`].
-    pub fn tidy(&mut self, now: Micros) -> io::Result<()> {
+    pub fn compact_step(&mut self, now: Micros) -> io::Result<()> {
         let Ok(mut journal) = self.shared.journal.try_lock() else { return Ok(()) };
         let Some(journal) = journal.as_mut() else { return Ok(()) };
-        let done = journal.tidy(now);
-        *lock(&self.shared.room) = journal.room();
+        let done = journal.compact_step(now);
+        *lock(&self.shared.room) = journal.capacity();
         done
     }
 
     /// These messages are another core's from now on.
-    pub fn part(&mut self, numbers: impl IntoIterator<Item = u32>) -> Vec<(u32, Live)> {
+    pub fn detach(&mut self, numbers: impl IntoIterator<Item = u32>) -> Vec<(u32, PendingMessage)> {
         let live = |number: u32| Some((number, self.state.live().get(&number)?.clone()));
         let parted: Vec<_> = numbers.into_iter().filter_map(live).collect();
         for (number, _) in &parted {
-            self.state.apply(Record::Over(*number), 0);
+            self.state.apply(Record::Completed(*number), 0);
         }
         parted
     }
 
     /// These messages were another core's.
-    pub fn join(&mut self, parted: Vec<(u32, Live)>) {
+    pub fn attach(&mut self, parted: Vec<(u32, PendingMessage)>) {
         parted.into_iter().for_each(|(number, live)| self.state.set(number, live));
     }
 
@@ -208,7 +208,7 @@
 
     /// The journal is this process's again, for all cores.
     pub fn reopen(&mut self, journal: Journal) {
-        *lock(&self.shared.room) = journal.room();
+        *lock(&self.shared.room) = journal.capacity();
         *lock(&self.shared.journal) = Some(journal);
     }
 
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -4,7 +4,7 @@
 use std::hash::{BuildHasherDefault, Hasher};
 
 use crate::format::{FRAME, moved_size};
-use crate::record::{Attempt, Live, Micros, Record, Remembered, Taken};
+use crate::record::{AcceptedMessage, Attempt, LedgerEntry, Micros, PendingMessage, Record};
 
 /// Spreads message numbers, which come one after the other.
 #[derive(Debug, Clone, Copy, Default)]
@@ -29,7 +29,7 @@
 pub const LATER_RECORDS: u64 = 768;
 
 /// What a message may come to need on the disk.
-pub fn need(taken: &Taken) -> u64 {
+pub fn need(taken: &AcceptedMessage) -> u64 {
     moved_size(taken) + LATER_RECORDS
 }
 
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Clone)]
 pub struct Entry {
-    pub remembered: Remembered,
+    pub remembered: LedgerEntry,
     /// The segment that it stands in.
     pub home: u64,
 }
@@ -48,7 +48,7 @@
 /// All that is known.
 #[derive(Debug, Clone, Default)]
 pub struct State {
-    live: ByNumber<Live>,
+    live: ByNumber<PendingMessage>,
     /// What live messages may come to need.
     needs: u64,
     /// The ledger in the order in which entries came.
@@ -65,7 +65,7 @@
 }
 
 impl State {
-    pub fn live(&self) -> &ByNumber<Live> {
+    pub fn live(&self) -> &ByNumber<PendingMessage> {
         &self.live
     }
 
@@ -85,7 +85,7 @@
     /// The ends of these classes come into the ledger.
     pub fn retain(&mut self, classes: Vec<String>) {
         self.retained = classes;
-        self.ledger_owed = self.live.values().map(|live| self.owed(&live.taken)).sum();
+        self.ledger_owed = self.live.values().map(|live| self.owed(&live.message)).sum();
     }
 
     pub fn retains(&self, class: &str) -> bool {
@@ -93,7 +93,7 @@
     }
 
     /// What the message's entry will take.
-    pub fn owed(&self, taken: &Taken) -> u64 {
+    pub fn owed(&self, taken: &AcceptedMessage) -> u64 {
         if self.retains(&taken.class) { remembered_size(&taken.id) } else { 0 }
     }
 
@@ -105,7 +105,7 @@
         self.ledger.get(&number)
     }
 
-    pub fn remembered(&self, id: &str) -> Option<&Remembered> {
+    pub fn remembered(&self, id: &str) -> Option<&LedgerEntry> {
         Some(&self.ledger.get(self.by_id.get(id)?)?.remembered)
     }
 
@@ -114,43 +114,43 @@
     /// entry, if it made one.
     pub fn apply(&mut self, record: Record, home: u64) -> Option<u64> {
         match record {
-            Record::Taken(message, taken) => self.set(message, Live::new(taken, home)),
-            Record::Begun { message, attempt, endpoint, at } => {
+            Record::Accepted(message, taken) => self.set(message, PendingMessage::new(taken, home)),
+            Record::AttemptStarted { message, attempt, endpoint, at } => {
                 self.latest = self.latest.max(at);
                 if let Some(live) = self.live.get_mut(&message) {
                     live.attempts.push(Attempt { number: attempt, endpoint, at, never_ran: false });
                 }
             }
-            Record::Ended { message, attempt, never_ran } => {
+            Record::AttemptEnded { message, attempt, never_ran } => {
                 let live = self.live.get_mut(&message);
                 let mut attempts = live.into_iter().flat_map(|live| &mut live.attempts);
                 if let Some(attempt) = attempts.find(|a| a.number == attempt) {
                     attempt.never_ran = never_ran;
                 }
             }
-            Record::GivenUp(message, how) => {
+            Record::Abandoned(message, how) => {
                 if let Some(live) = self.live.get_mut(&message) {
-                    live.given_up = Some(how);
+                    live.abandoned = Some(how);
                 }
             }
-            Record::Over(message) => {
+            Record::Completed(message) => {
                 if let Some(live) = self.live.remove(&message) {
-                    self.needs -= need(&live.taken);
-                    self.ledger_owed -= self.owed(&live.taken);
+                    self.needs -= need(&live.message);
+                    self.ledger_owed -= self.owed(&live.message);
                 }
             }
-            Record::Remembered(remembered) => return Some(self.remember(remembered, home)),
+            Record::LedgerEntry(remembered) => return Some(self.remember(remembered, home)),
         }
         None
     }
 
     /// All that is known of a message, in the place of what was.
-    pub fn set(&mut self, message: u32, live: Live) {
-        self.needs += need(&live.taken);
-        self.ledger_owed += self.owed(&live.taken);
+    pub fn set(&mut self, message: u32, live: PendingMessage) {
+        self.needs += need(&live.message);
+        self.ledger_owed += self.owed(&live.message);
         if let Some(before) = self.live.insert(message, live) {
-            self.needs -= need(&before.taken);
-            self.ledger_owed -= self.owed(&before.taken);
+            self.needs -= need(&before.message);
+            self.ledger_owed -= self.owed(&before.message);
         }
     }
 
@@ -168,7 +168,7 @@
         }
     }
 
-    fn remember(&mut self, remembered: Remembered, home: u64) -> u64 {
+    fn remember(&mut self, remembered: LedgerEntry, home: u64) -> u64 {
         self.next_entry += 1;
         self.ledger_bytes += remembered_size(&remembered.id);
         if let Some(before) = self.by_id.insert(remembered.id.clone(), self.next_entry) {
--- a/crates/journal/src/store.rs
+++ b/crates/journal/src/store.rs
@@ -6,7 +6,7 @@
 use crate::disk::Disk;
 use crate::error::AppendError;
 use crate::format::{HEAD, Head, Writer};
-use crate::record::{Live, Micros, Record, Remembered, Taken};
+use crate::record::{AcceptedMessage, LedgerEntry, Micros, PendingMessage, Record};
 use crate::segment::{ASIDE, BLOCK, Segment, blocks, name};
 use crate::state::{ByNumber, LATER_RECORDS, State, need};
 
@@ -35,7 +35,7 @@
 
 /// The ledger of orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Retain {
+pub struct LedgerOptions {
     /// For how long ends are kept.
     pub span: Micros,
     /// Bytes that they may take at most.
@@ -54,7 +54,7 @@
     /// What is done about damage.
     pub damage: Damage,
     /// The ledger, where there is one.
-    pub retain: Option<Retain>,
+    pub retain: Option<LedgerOptions>,
     /// From this length on a segment is followed by a further one; without it a sixteenth of the limit, within bounds.
     pub segment: Option<u64>,
 }
@@ -87,7 +87,7 @@
 
 /// The room that a journal has for further messages, as it was at some moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct Capacity {
     limit: u64,
     /// What live messages may come to need, and the ledger's share.
     needs: u64,
@@ -97,7 +97,7 @@
     ledger: u64,
 }
 
-impl Room {
+impl Capacity {
     /// Whether a message of that size has room, with an entry of the ledger of that size, beside what is promised to others.
     pub fn admits(&self, size: u64, owed: u64, pending: u64) -> bool {
         let needs = self.needs + pending + size;
@@ -170,12 +170,12 @@
     }
 
     /// The messages that are owed their end, by number, in no order.
-    pub fn live(&self) -> &ByNumber<Live> {
+    pub fn live(&self) -> &ByNumber<PendingMessage> {
         self.state.live()
     }
 
     /// How a message of a class that the ledger keeps ended, if that is remembered.
-    pub fn remembered(&self, id: &str, now: Micros) -> Option<&Remembered> {
+    pub fn ledger_entry(&self, id: &str, now: Micros) -> Option<&LedgerEntry> {
         let span = self.options.retain.as_ref()?.span;
         self.state.remembered(id).filter(|entry| entry.at.saturating_add(span) > now)
     }
@@ -204,20 +204,20 @@
     }
 
     /// What the message would add to the room that is taken; see [`Journal::has_room`].
-    pub fn room_for(&self, taken: &Taken) -> u64 {
+    pub fn space_needed(&self, taken: &AcceptedMessage) -> u64 {
         need(taken) + self.state.owed(taken)
     }
 
     /// Whether a further message can be kept to its end, with `pending` bytes promised to others that are not appended
     /// yet. Live messages and the ledger get half of the room, so that compaction always has some to work with; and
     /// what all of them may come to need is there without any compaction.
-    pub fn has_room(&self, taken: &Taken, pending: u64) -> bool {
-        self.room().admits(self.room_for(taken), self.state.owed(taken), pending)
+    pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
+        self.capacity().admits(self.space_needed(taken), self.state.owed(taken), pending)
     }
 
     /// What room there is for further messages.
-    pub fn room(&self) -> Room {
-        Room {
+    pub fn capacity(&self) -> Capacity {
+        Capacity {
             limit: self.options.limit,
             needs: self.state.needs() + self.ledger_share(),
             used: self.used + self.later() + self.slack(),
@@ -266,7 +266,7 @@
         for record in records.iter() {
             self.writer.record(segment, record)?;
         }
-        let ends = |r: &Record| !matches!(r, Record::Taken(..) | Record::Begun { .. });
+        let ends = |r: &Record| !matches!(r, Record::Accepted(..) | Record::AttemptStarted { .. });
         let kept = if records.iter().all(ends) { 0 } else { self.live().len() as u64 * END };
         if self.used_after(self.writer.bytes().len() as u64) + kept > self.limit_now() {
             return Err(AppendError::Full);
@@ -275,7 +275,7 @@
         self.since += self.writer.bytes().len() as u64;
         self.state.latest = self.state.latest.max(now);
         for record in records.drain(..) {
-            let brought = if let Record::Taken(message, _) = &record { Some(*message) } else { None };
+            let brought = if let Record::Accepted(message, _) = &record { Some(*message) } else { None };
             let entry = self.state.apply(record, segment);
             if let Some(active) = self.segments.back_mut() {
                 active.residents.extend(brought);
@@ -288,12 +288,12 @@
     /// So many bytes in whole blocks are taken up by files that stand beside the journal, under names that begin with
     /// [`BESIDE`]: an append that finds no room for that fails with [`AppendError::Full`], and is to be tried again once they
     /// are given back. What is let in ([`Journal::has_room`]) does not depend on them.
-    pub fn set_beside(&mut self, bytes: u64) {
+    pub fn set_reserved_bytes(&mut self, bytes: u64) {
         self.beside = bytes;
     }
 
     /// What files that stand beside may take up now, so that the journal does not need it back soon.
-    pub fn room_beside(&self) -> u64 {
+    pub fn free_reserved_bytes(&self) -> u64 {
         let own = self.used + self.later() + self.slack() + SLICE_BYTES.min(self.options.limit / 8);
         self.options.limit.saturating_sub(own)
     }
@@ -410,7 +410,7 @@
     ///
     /// # Errors
     /// Fails when the system does; what is promised is not touched, and it goes on with the next slice.
-    pub fn tidy(&mut self, now: Micros) -> io::Result<()> {
+    pub fn compact_step(&mut self, now: Micros) -> io::Result<()> {
         if let Some(retain) = &self.options.retain {
             self.state.forget(now, retain.span, SLICE_MESSAGES);
         }
@@ -472,7 +472,7 @@
             let number = oldest.entries[cursor.entry];
             cursor.entry += 1;
             if let Some(entry) = self.state.entry(number).filter(|entry| entry.home == oldest.sequence) {
-                let record = Record::Remembered(entry.remembered.clone());
+                let record = Record::LedgerEntry(entry.remembered.clone());
                 self.writer.record(to, &record).map_err(|_| io::Error::other("an entry that has no room"))?;
                 entries.push(number);
             }
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -4,12 +4,15 @@
 use std::sync::Arc;
 
 use journal::sim::SimDisk;
-use journal::{Damage, Journal, Micros, OpenError, Options, Record, Remembered, Report, Retain, Taken};
+use journal::{
+    AcceptedMessage, Damage, Journal, LedgerEntry, LedgerOptions, Micros, OpenError, OpenReport, Options,
+    Record,
+};
 
 pub const LIMIT: u64 = 200_000;
 
-pub fn taken(id: &str, size: usize) -> Arc<Taken> {
-    Arc::new(Taken {
+pub fn taken(id: &str, size: usize) -> Arc<AcceptedMessage> {
+    Arc::new(AcceptedMessage {
         id: id.into(),
         key: Some("key".into()),
         class: "order".into(),
@@ -20,15 +23,15 @@
 }
 
 pub fn begun(message: u32, attempt: u16) -> Record {
-    Record::Begun { message, attempt, endpoint: "e1".into(), at: 5 }
+    Record::AttemptStarted { message, attempt, endpoint: "e1".into(), at: 5 }
 }
 
 pub fn ended(message: u32, attempt: u16, never_ran: bool) -> Record {
-    Record::Ended { message, attempt, never_ran }
+    Record::AttemptEnded { message, attempt, never_ran }
 }
 
 pub fn remembered(id: &str, at: Micros) -> Record {
-    Record::Remembered(Remembered { id: id.into(), delivered: true, at })
+    Record::LedgerEntry(LedgerEntry { id: id.into(), delivered: true, at })
 }
 
 pub fn options(limit: u64) -> Options {
@@ -40,10 +43,10 @@
 }
 
 pub fn retaining(limit: u64, bytes: u64, span: Micros) -> Options {
-    Options { retain: Some(Retain { span, bytes, classes: vec!["order".into()] }), ..options(limit) }
+    Options { retain: Some(LedgerOptions { span, bytes, classes: vec!["order".into()] }), ..options(limit) }
 }
 
-pub fn try_open(disk: &SimDisk, options: &Options) -> Result<(Journal, Report), OpenError> {
+pub fn try_open(disk: &SimDisk, options: &Options) -> Result<(Journal, OpenReport), OpenError> {
     Journal::open_on(Box::new(disk.clone()), options.clone(), 1)
 }
 
@@ -78,9 +81,9 @@
     let until = journal.figures().compacted + compacted;
     let mut n = from;
     while journal.figures().compacted < until {
-        append(journal, [Record::Taken(n, taken(&format!("m{n}"), 300)), begun(n, 0)]);
-        append(journal, [Record::Over(n)]);
-        journal.tidy(1).unwrap();
+        append(journal, [Record::Accepted(n, taken(&format!("m{n}"), 300)), begun(n, 0)]);
+        append(journal, [Record::Completed(n)]);
+        journal.compact_step(1).unwrap();
         n += 1;
         assert!(n < from + 100_000, "compaction comes to an end");
     }
--- a/crates/journal/tests/model.rs
+++ b/crates/journal/tests/model.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use journal::sim::{Fault, SimDisk};
-use journal::{GivenUp, Journal, Live, Options, Record};
+use journal::{Abandonment, Journal, Options, PendingMessage, Record};
 use proptest::prelude::*;
 
 /// A message as the map has it.
@@ -98,11 +98,11 @@
             Step::Take(size) => {
                 let (n, id) = (self.next, format!("m{}", self.next));
                 let message = taken(&id, size);
-                if !self.journal.as_ref().is_some_and(|journal| journal.has_room(&message, 0)) {
+                if !self.journal.as_ref().is_some_and(|journal| journal.has_capacity(&message, 0)) {
                     return Ok(());
                 }
                 self.next += 1;
-                if let Some(promised) = self.append(Record::Taken(n, message)) {
+                if let Some(promised) = self.append(Record::Accepted(n, message)) {
                     self.known.insert(n, Known { id, size, promised, ..Known::default() });
                 }
             }
@@ -123,18 +123,18 @@
             }
             Step::GiveUp(n) => {
                 let Some(n) = self.pick(n) else { return Ok(()) };
-                if self.append(Record::GivenUp(n, GivenUp::Undeliverable)) == Some(true) {
+                if self.append(Record::Abandoned(n, Abandonment::Undeliverable)) == Some(true) {
                     self.known.get_mut(&n).unwrap().given_up = true;
                 }
             }
             Step::Over(n) => {
                 let Some(n) = self.pick(n) else { return Ok(()) };
-                let over = self.append(Record::Over(n));
+                let over = self.append(Record::Completed(n));
                 self.known.get_mut(&n).unwrap().over = over;
             }
             Step::Tidy(times) => {
                 for _ in 0..times {
-                    let _ = self.journal.as_mut().map(|journal| journal.tidy(1));
+                    let _ = self.journal.as_mut().map(|journal| journal.compact_step(1));
                 }
             }
             Step::Fault(later, fault) => self.disk.fail(self.disk.operations() + later, fault),
@@ -195,7 +195,7 @@
         for (n, known) in &mut self.known {
             let live = &journal.live()[n];
             (known.promised, known.over) = (true, None);
-            known.given_up = live.given_up.is_some();
+            known.given_up = live.abandoned.is_some();
             for (number, attempt) in known.attempts.iter_mut().enumerate() {
                 let stands = live.attempts.iter().find(|a| usize::from(a.number) == number);
                 *attempt = (stands.is_some(), stands.is_some_and(|a| a.never_ran));
@@ -206,10 +206,10 @@
     }
 }
 
-fn check(n: u32, known: &Known, live: &Live) -> Result<(), TestCaseError> {
+fn check(n: u32, known: &Known, live: &PendingMessage) -> Result<(), TestCaseError> {
     prop_assert_ne!(known.over, Some(true), "{} is over and comes back", n);
-    prop_assert_eq!(&live.taken, &taken(&known.id, known.size));
-    prop_assert!(!known.given_up || live.given_up.is_some(), "{} was given up", n);
+    prop_assert_eq!(&live.message, &taken(&known.id, known.size));
+    prop_assert!(!known.given_up || live.abandoned.is_some(), "{} was given up", n);
     for (number, (promised, never)) in known.attempts.iter().enumerate() {
         let stands = live.attempts.iter().find(|a| usize::from(a.number) == number);
         prop_assert!(!promised || stands.is_some(), "attempt {} of {} is forgotten", number, n);
@@ -282,10 +282,10 @@
     let mut rng = fastrand::Rng::with_seed(7);
     for n in 0..300u32 {
         let record = match rng.u8(..4) {
-            0 => Record::Taken(n, taken(&format!("m{n}"), rng.usize(..40))),
+            0 => Record::Accepted(n, taken(&format!("m{n}"), rng.usize(..40))),
             1 => begun(rng.u32(..=n), 0),
             2 => ended(rng.u32(..=n), 0, rng.bool()),
-            _ => Record::Over(rng.u32(..=n)),
+            _ => Record::Completed(rng.u32(..=n)),
         };
         append(&mut journal, [record]);
         lengths.push(disk.bytes(&file).unwrap().len());
--- a/crates/journal/tests/store.rs
+++ b/crates/journal/tests/store.rs
@@ -4,21 +4,24 @@
 
 use common::*;
 use journal::sim::{Fault, SimDisk};
-use journal::{AppendError, Damage, GivenUp, Journal, OpenError, Options, Record, inspect};
+use journal::{Abandonment, AppendError, Damage, Journal, OpenError, Options, Record, inspect};
 
 #[test]
 fn what_was_appended_is_read_back() {
     let disk = SimDisk::new();
     let mut journal = open(&disk, &options(LIMIT));
-    append(&mut journal, [Record::Taken(1, taken("a", 3)), begun(1, 0), Record::Taken(2, taken("b", 0))]);
+    append(
+        &mut journal,
+        [Record::Accepted(1, taken("a", 3)), begun(1, 0), Record::Accepted(2, taken("b", 0))],
+    );
     append(&mut journal, [ended(1, 0, true), begun(1, 2)]);
-    append(&mut journal, [Record::Over(2), Record::Taken(3, taken("c", 1))]);
-    append(&mut journal, [Record::GivenUp(3, GivenUp::Deferred(9))]);
+    append(&mut journal, [Record::Completed(2), Record::Accepted(3, taken("c", 1))]);
+    append(&mut journal, [Record::Abandoned(3, Abandonment::Deferred(9))]);
     let again = open(&disk, &options(LIMIT));
     assert_eq!(again.live(), journal.live());
     let attempts: Vec<_> = again.live()[&1].attempts.iter().map(|a| (a.number, a.never_ran)).collect();
     assert_eq!(attempts, [(0, true), (2, false)]);
-    assert_eq!(again.live()[&3].given_up, Some(GivenUp::Deferred(9)));
+    assert_eq!(again.live()[&3].abandoned, Some(Abandonment::Deferred(9)));
     assert_eq!(numbers(&again), [1, 3]);
 }
 
@@ -28,16 +31,16 @@
 fn a_torn_tail_is_cut_off_wherever_it_was_torn() {
     for options in [options(LIMIT), synced(LIMIT)] {
         let disk = SimDisk::new();
-        append(&mut open(&disk, &options), [Record::Taken(1, taken("a", 3))]);
+        append(&mut open(&disk, &options), [Record::Accepted(1, taken("a", 3))]);
         let file = segments(&disk).remove(0);
         let whole = disk.bytes(&file).unwrap();
-        append(&mut open(&disk, &options), [Record::Taken(2, taken("b", 3))]);
+        append(&mut open(&disk, &options), [Record::Accepted(2, taken("b", 3))]);
         let both = disk.bytes(&file).unwrap();
         for torn in whole.len()..both.len() {
             disk.spoil(&file, |bytes| *bytes = both[..torn].to_vec());
             let mut journal = open(&disk, &options);
             assert_eq!(journal.live().len(), 1, "{torn}");
-            append(&mut journal, [Record::Taken(3, taken("c", 3))]);
+            append(&mut journal, [Record::Accepted(3, taken("c", 3))]);
             assert_eq!(open(&disk, &options).live().len(), 2, "{torn}");
         }
     }
@@ -52,14 +55,14 @@
     let mut refused = 0;
     for n in 0..5_000 {
         let message = taken(&format!("m{n}"), n as usize % 900);
-        if journal.has_room(&message, 0) {
-            append(&mut journal, [Record::Taken(n, message), begun(n, 0)]);
+        if journal.has_capacity(&message, 0) {
+            append(&mut journal, [Record::Accepted(n, message), begun(n, 0)]);
             live.push(n);
         } else {
             refused += 1;
-            append(&mut journal, [ended(live[3], 0, true), Record::Over(live.remove(0))]);
+            append(&mut journal, [ended(live[3], 0, true), Record::Completed(live.remove(0))]);
         }
-        journal.tidy(1).unwrap();
+        journal.compact_step(1).unwrap();
         assert_eq!(journal.figures().used, disk.used(), "what it reckons is what there is");
         assert!(disk.used() <= options.limit, "{} at {n}", disk.used());
     }
@@ -76,15 +79,15 @@
     let (disk, options) = (SimDisk::new(), options(40_000_000));
     let mut journal = open(&disk, &options);
     let mut n = 0;
-    while journal.has_room(&taken("id", 60_000), 0) {
-        append(&mut journal, [Record::Taken(n, taken("id", 60_000))]);
+    while journal.has_capacity(&taken("id", 60_000), 0) {
+        append(&mut journal, [Record::Accepted(n, taken("id", 60_000))]);
         n += 1;
     }
     let mut most = 0;
     for round in 0..2_000 {
-        append(&mut journal, [Record::Over(round), Record::Taken(n + round, taken("id", 60_000))]);
+        append(&mut journal, [Record::Completed(round), Record::Accepted(n + round, taken("id", 60_000))]);
         let (before, operations) = (journal.figures(), disk.operations());
-        journal.tidy(1).unwrap();
+        journal.compact_step(1).unwrap();
         let after = journal.figures();
         most = most.max(after.written - before.written);
         assert!(before.used.saturating_sub(after.used) <= journal::SLICE_CUT + 512);
@@ -103,11 +106,11 @@
         let mut journal = open(&disk, &options);
         let (mut n, mut oldest) = (0, 0);
         // Never tidied: messages come and go until no further one is let in, for want of room that nothing lives in.
-        while journal.has_room(&taken("id", size), 0) {
-            append(&mut journal, [Record::Taken(n, taken("id", size)), begun(n, 0)]);
+        while journal.has_capacity(&taken("id", size), 0) {
+            append(&mut journal, [Record::Accepted(n, taken("id", size)), begun(n, 0)]);
             n += 1;
             if n > 5 {
-                append(&mut journal, [Record::Over(oldest)]);
+                append(&mut journal, [Record::Completed(oldest)]);
                 oldest += 1;
             }
         }
@@ -116,14 +119,14 @@
                 append(&mut journal, [ended(message, attempt - 1, true)]);
                 append(&mut journal, [begun(message, attempt)]);
             }
-            append(&mut journal, [Record::GivenUp(message, GivenUp::Undeliverable)]);
-            append(&mut journal, [Record::Over(message)]);
+            append(&mut journal, [Record::Abandoned(message, Abandonment::Undeliverable)]);
+            append(&mut journal, [Record::Completed(message)]);
         }
         assert!(disk.used() <= options.limit, "{}", disk.used());
         for _ in 0..1_000 {
-            journal.tidy(1).unwrap();
+            journal.compact_step(1).unwrap();
         }
-        assert!(journal.has_room(&taken("id", size), 0), "room comes back");
+        assert!(journal.has_capacity(&taken("id", size), 0), "room comes back");
     }
 }
 
@@ -133,7 +136,7 @@
     let (disk, options) = (SimDisk::new(), options(40_000));
     let mut journal = open(&disk, &options);
     for n in 0..4 {
-        append(&mut journal, [Record::Taken(n, taken("id", 100))]);
+        append(&mut journal, [Record::Accepted(n, taken("id", 100))]);
     }
     let mut attempt = 0;
     let full = loop {
@@ -145,7 +148,7 @@
     };
     assert!(matches!(full, (AppendError::Full, 2)), "{full:?}");
     for n in 0..4 {
-        append(&mut journal, [Record::GivenUp(n, GivenUp::Undeliverable)]);
+        append(&mut journal, [Record::Abandoned(n, Abandonment::Undeliverable)]);
     }
     assert!(disk.used() <= options.limit);
     assert!(open(&disk, &options).live() == journal.live());
@@ -162,18 +165,18 @@
             let mut promised = 0;
             let mut over = 0;
             for n in 0..60 {
-                let records = [Record::Taken(n, taken(&format!("m{n}"), 700)), begun(n, 0)];
+                let records = [Record::Accepted(n, taken(&format!("m{n}"), 700)), begun(n, 0)];
                 if journal.append(1, &mut records.into()).is_err() {
                     break;
                 }
                 promised = n + 1;
                 if n >= 5 {
-                    if journal.append(1, &mut vec![Record::Over(n - 5)]).is_err() {
+                    if journal.append(1, &mut vec![Record::Completed(n - 5)]).is_err() {
                         break;
                     }
                     over = n - 4;
                 }
-                if journal.tidy(1).is_err() && disk.is_killed() {
+                if journal.compact_step(1).is_err() && disk.is_killed() {
                     break;
                 }
             }
@@ -224,16 +227,16 @@
             let disk = SimDisk::new();
             let mut journal = open(&disk, &options);
             for n in 0..6 {
-                append(&mut journal, [Record::Taken(n, taken(&format!("kept{n}"), 600)), begun(n, 0)]);
+                append(&mut journal, [Record::Accepted(n, taken(&format!("kept{n}"), 600)), begun(n, 0)]);
             }
             let next = churn(&mut journal, 10, 1);
             disk.fail(disk.operations() + kill, Fault::Kill(9_999));
             for n in next..next + 200 {
-                let taken = journal.append(1, &mut vec![Record::Taken(n, taken("more", 600))]);
-                if taken.and_then(|()| journal.append(1, &mut vec![Record::Over(n)])).is_err() {
+                let taken = journal.append(1, &mut vec![Record::Accepted(n, taken("more", 600))]);
+                if taken.and_then(|()| journal.append(1, &mut vec![Record::Completed(n)])).is_err() {
                     break;
                 }
-                let _ = journal.tidy(1);
+                let _ = journal.compact_step(1);
             }
             disk.lose_power(&mut fastrand::Rng::with_seed(seed));
             disk.mend();
@@ -253,14 +256,14 @@
         for at in 0..200 {
             let disk = SimDisk::new();
             let mut journal = open(&disk, &options);
-            append(&mut journal, [Record::Taken(0, taken("kept", 500)), begun(0, 0)]);
+            append(&mut journal, [Record::Accepted(0, taken("kept", 500)), begun(0, 0)]);
             let n = churn(&mut journal, 1, 3);
             for operation in 0..3 {
                 disk.fail(disk.operations() + at + operation, fault);
             }
             let mut live = vec![0];
             for n in n..n + 60 {
-                let mut records = vec![Record::Taken(n, taken("more", 700))];
+                let mut records = vec![Record::Accepted(n, taken("more", 700))];
                 match journal.append(1, &mut records) {
                     Ok(()) => live.push(n),
                     Err(_) => {
@@ -268,8 +271,8 @@
                         assert_eq!(records.len(), 1, "it is handed back");
                     }
                 }
-                failed += u32::from(journal.tidy(1).is_err());
-                if live.len() > 5 && journal.append(1, &mut vec![Record::Over(live[1])]).is_ok() {
+                failed += u32::from(journal.compact_step(1).is_err());
+                if live.len() > 5 && journal.append(1, &mut vec![Record::Completed(live[1])]).is_ok() {
                     live.remove(1);
                 }
                 assert!(disk.used() <= options.limit);
@@ -277,7 +280,7 @@
             assert_eq!(numbers(&journal), live, "{fault:?} at {at}");
             disk.mend();
             // What could not be cut off is cut before anything else.
-            journal.tidy(1).unwrap();
+            journal.compact_step(1).unwrap();
             assert!(open(&disk, &options).live() == journal.live(), "{fault:?} at {at}");
         }
         assert!(failed > 100, "{failed}");
@@ -289,14 +292,14 @@
 fn nothing_is_written_behind_what_could_not_be_cut_off() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
     let mut journal = open(&disk, &options);
-    append(&mut journal, [Record::Taken(1, taken("a", 3))]);
+    append(&mut journal, [Record::Accepted(1, taken("a", 3))]);
     for operation in 0..3 {
         // The write fails half-way, the cut fails, and so does the cut before the next write.
         disk.fail(disk.operations() + operation, Fault::Device(20));
     }
-    assert!(journal.append(1, &mut vec![Record::Taken(2, taken("b", 3))]).is_err());
-    assert!(journal.append(1, &mut vec![Record::Taken(2, taken("b", 3))]).is_err());
-    append(&mut journal, [Record::Taken(3, taken("c", 3))]);
+    assert!(journal.append(1, &mut vec![Record::Accepted(2, taken("b", 3))]).is_err());
+    assert!(journal.append(1, &mut vec![Record::Accepted(2, taken("b", 3))]).is_err());
+    append(&mut journal, [Record::Accepted(3, taken("c", 3))]);
     let again = open(&disk, &options);
     assert_eq!(again.live(), journal.live());
     assert_eq!(numbers(&again), [1, 3]);
@@ -307,22 +310,28 @@
 fn what_was_moved_is_known_with_all_that_came_before_and_after() {
     let (disk, options) = (SimDisk::new(), options(60_000));
     let mut journal = open(&disk, &options);
-    append(&mut journal, [Record::Taken(0, taken("first", 10)), begun(0, 0), ended(0, 0, true), begun(0, 1)]);
-    append(&mut journal, [Record::Taken(1, taken("second", 10)), Record::GivenUp(1, GivenUp::Deferred(7))]);
+    append(
+        &mut journal,
+        [Record::Accepted(0, taken("first", 10)), begun(0, 0), ended(0, 0, true), begun(0, 1)],
+    );
+    append(
+        &mut journal,
+        [Record::Accepted(1, taken("second", 10)), Record::Abandoned(1, Abandonment::Deferred(7))],
+    );
     let mut n = churn(&mut journal, 10, 6);
     assert!(open(&disk, &options).live() == journal.live());
     append(&mut journal, [ended(0, 1, true), begun(0, 2)]);
     assert!(open(&disk, &options).live() == journal.live());
     // Over while its copy is on its way, then taken anew under the same number: both stand in the files.
-    append(&mut journal, [Record::Over(0)]);
-    append(&mut journal, [Record::Taken(0, taken("anew", 10))]);
+    append(&mut journal, [Record::Completed(0)]);
+    append(&mut journal, [Record::Accepted(0, taken("anew", 10))]);
     for _ in 0..8 {
         assert!(open(&disk, &options).live() == journal.live());
         assert!(journal.live()[&0].attempts.is_empty());
-        assert_eq!(journal.live()[&0].taken.id, "anew");
+        assert_eq!(journal.live()[&0].message.id, "anew");
         n = churn(&mut journal, n, 1);
     }
-    append(&mut journal, [Record::Over(0), Record::Over(1)]);
+    append(&mut journal, [Record::Completed(0), Record::Completed(1)]);
     churn(&mut journal, n, 8);
     assert!(open(&disk, &options).live().is_empty());
 }
@@ -331,11 +340,11 @@
 fn damaged(options: &Options) -> (SimDisk, String) {
     let disk = SimDisk::new();
     let mut journal = open(&disk, options);
-    append(&mut journal, [Record::Taken(1, taken("early", 20)), Record::Taken(2, taken("ended", 20))]);
+    append(&mut journal, [Record::Accepted(1, taken("early", 20)), Record::Accepted(2, taken("ended", 20))]);
     let file = segments(&disk).remove(0);
     let from = disk.bytes(&file).unwrap().len();
-    append(&mut journal, [begun(1, 0), Record::Over(2), Record::Taken(3, taken("lost", 20))]);
-    append(&mut journal, [Record::Taken(4, taken("late", 20))]);
+    append(&mut journal, [begun(1, 0), Record::Completed(2), Record::Accepted(3, taken("lost", 20))]);
+    append(&mut journal, [Record::Accepted(4, taken("late", 20))]);
     disk.spoil(&file, |bytes| bytes[from + 40] ^= 1);
     (disk, file)
 }
@@ -365,7 +374,7 @@
         assert_eq!(may_have_run, [(1, true), (2, true), (4, false)], "what came later is not affected");
         assert_eq!(journal.live()[&1].attempts[0].at, 0, "when is not known");
         // It is kept until its records are written anew, and then aside.
-        append(&mut journal, [Record::Over(2)]);
+        append(&mut journal, [Record::Completed(2)]);
         churn(&mut journal, 10, 8);
         assert!(disk.bytes(&format!("damaged-{file}")).is_some());
         assert!(disk.bytes(&file).is_none());
@@ -382,16 +391,16 @@
     let (disk, options) = (SimDisk::new(), options(60_000));
     let mut journal = open(&disk, &options);
     for n in 0..12 {
-        append(&mut journal, [Record::Taken(n, taken("id", 700))]);
+        append(&mut journal, [Record::Accepted(n, taken("id", 700))]);
     }
     let file = segments(&disk).remove(0);
     disk.spoil(&file, |bytes| bytes[900] ^= 1);
     let (mut journal, report) = try_open(&disk, &options).unwrap();
     assert_eq!(report.damaged.len(), 1);
     for n in 20..40 {
-        append(&mut journal, [Record::Taken(n, taken("id", 0))]);
-        append(&mut journal, [Record::Over(n)]);
-        journal.tidy(1).unwrap();
+        append(&mut journal, [Record::Accepted(n, taken("id", 0))]);
+        append(&mut journal, [Record::Completed(n)]);
+        journal.compact_step(1).unwrap();
     }
     assert!(disk.bytes(&format!("damaged-{file}")).is_some());
     assert!(open(&disk, &options).live() == journal.live(), "and the damage is past");
@@ -417,9 +426,9 @@
     let whole = || {
         let disk = SimDisk::new();
         let mut journal = open(&disk, &options);
-        append(&mut journal, [Record::Taken(0, taken("kept", 10))]);
+        append(&mut journal, [Record::Accepted(0, taken("kept", 10))]);
         for n in 1..=30 {
-            append(&mut journal, [Record::Taken(n, taken("id", 700))]);
+            append(&mut journal, [Record::Accepted(n, taken("id", 700))]);
         }
         assert!(segments(&disk).len() > 3);
         disk
@@ -441,7 +450,7 @@
         assert!(!report.damaged.is_empty() && report.suspected > 0, "{what}: {report:?}");
         assert!(journal.live()[&0].may_have_run(), "{what}");
         // It goes on, and opens again.
-        append(&mut journal, [Record::Taken(99, taken("new", 3))]);
+        append(&mut journal, [Record::Accepted(99, taken("new", 3))]);
         let (again, _) = try_open(&disk, &options).unwrap();
         assert!(again.live().contains_key(&99), "{what}");
         assert!(!again.live()[&99].may_have_run(), "{what}");
@@ -455,7 +464,7 @@
 #[test]
 fn what_a_newer_version_wrote_is_left_alone() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
-    append(&mut open(&disk, &options), [Record::Taken(1, taken("a", 3))]);
+    append(&mut open(&disk, &options), [Record::Accepted(1, taken("a", 3))]);
     let file = segments(&disk).remove(0);
     disk.spoil(&file, |bytes| {
         bytes[8] = 3;
@@ -475,32 +484,32 @@
     let (disk, options) = (SimDisk::new(), retaining(60_000, 1_000, 1_000));
     let mut journal = open(&disk, &options);
     let mut n = 0;
-    while journal.has_room(&taken(&format!("m{n:03}"), 0), 0) {
-        append(&mut journal, [Record::Taken(n, taken(&format!("m{n:03}"), 0))]);
+    while journal.has_capacity(&taken(&format!("m{n:03}"), 0), 0) {
+        append(&mut journal, [Record::Accepted(n, taken(&format!("m{n:03}"), 0))]);
         let end = remembered(&format!("m{n:03}"), u64::from(n));
-        journal.append(u64::from(n), &mut vec![end, Record::Over(n)]).unwrap();
+        journal.append(u64::from(n), &mut vec![end, Record::Completed(n)]).unwrap();
         n += 1;
         assert!(n < 1_000);
     }
     assert!(n > 20, "{n}");
     let mut other = taken("other", 0);
     std::sync::Arc::make_mut(&mut other).class = "note".into();
-    assert!(journal.has_room(&other, 0), "what the ledger does not keep has room");
+    assert!(journal.has_capacity(&other, 0), "what the ledger does not keep has room");
     for m in 5_000..5_400 {
-        append(&mut journal, [Record::Taken(m, other.clone()), begun(m, 0)]);
-        append(&mut journal, [Record::Over(m)]);
-        journal.tidy(999).unwrap();
+        append(&mut journal, [Record::Accepted(m, other.clone()), begun(m, 0)]);
+        append(&mut journal, [Record::Completed(m)]);
+        journal.compact_step(999).unwrap();
     }
     assert!(journal.figures().compacted > 2, "{:?}", journal.figures());
     let mut journal = open(&disk, &options);
     for m in 0..n {
-        assert!(journal.remembered(&format!("m{m:03}"), 999).is_some_and(|end| end.delivered), "{m}");
+        assert!(journal.ledger_entry(&format!("m{m:03}"), 999).is_some_and(|end| end.delivered), "{m}");
     }
-    assert!(journal.remembered("m000", 1_000).is_none(), "its time is over");
-    assert!(!journal.has_room(&taken("next", 0), 0));
-    journal.tidy(1_000).unwrap();
-    assert!(journal.has_room(&taken("next", 0), 0), "room comes back with time");
-    assert!(journal.remembered("m001", 1_000).is_some());
+    assert!(journal.ledger_entry("m000", 1_000).is_none(), "its time is over");
+    assert!(!journal.has_capacity(&taken("next", 0), 0));
+    journal.compact_step(1_000).unwrap();
+    assert!(journal.has_capacity(&taken("next", 0), 0), "room comes back with time");
+    assert!(journal.ledger_entry("m001", 1_000).is_some());
     let disk = SimDisk::new();
     assert!(matches!(try_open(&disk, &retaining(1_000, 251, 1)), Err(OpenError::LedgerTooLarge)));
 }
@@ -511,8 +520,8 @@
     let (disk, options) = (SimDisk::new(), retaining(100_000, 300, 1_000));
     let mut journal = open(&disk, &options);
     let mut n = 0;
-    while journal.has_room(&taken(&format!("m{n}"), 0), 0) {
-        append(&mut journal, [Record::Taken(n, taken(&format!("m{n}"), 0))]);
+    while journal.has_capacity(&taken(&format!("m{n}"), 0), 0) {
+        append(&mut journal, [Record::Accepted(n, taken(&format!("m{n}"), 0))]);
         n += 1;
     }
     assert!((5..20).contains(&n), "{n}");
@@ -523,8 +532,8 @@
 fn the_newest_time_outlasts_the_process() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
     let mut journal = open(&disk, &options);
-    journal.append(77, &mut vec![Record::Taken(1, taken("a", 3))]).unwrap();
-    journal.append(60, &mut vec![Record::Over(1)]).unwrap();
+    journal.append(77, &mut vec![Record::Accepted(1, taken("a", 3))]).unwrap();
+    journal.append(60, &mut vec![Record::Completed(1)]).unwrap();
     assert_eq!(journal.latest(), 77);
     assert_eq!(open(&disk, &options).latest(), 77);
 }
@@ -534,7 +543,7 @@
 fn a_look_from_outside_changes_nothing() {
     let (disk, options) = (SimDisk::new(), options(60_000));
     let mut journal = open(&disk, &options);
-    append(&mut journal, [Record::Taken(0, taken("kept", 10)), begun(0, 0)]);
+    append(&mut journal, [Record::Accepted(0, taken("kept", 10)), begun(0, 0)]);
     churn(&mut journal, 1, 3);
     let operations = disk.operations();
     let seen = inspect(&mut disk.clone()).unwrap();
@@ -555,7 +564,7 @@
     let folder = tempfile::tempdir().unwrap();
     let options = options(1_000_000);
     let (mut journal, _) = Journal::open(folder.path(), options.clone(), 1).unwrap();
-    append(&mut journal, [Record::Taken(0, taken("kept", 10)), begun(0, 0)]);
+    append(&mut journal, [Record::Accepted(0, taken("kept", 10)), begun(0, 0)]);
     churn(&mut journal, 1, 20);
     let second = Journal::open(folder.path(), options.clone(), 1);
     assert!(matches!(second, Err(OpenError::Locked)));
@@ -567,5 +576,5 @@
     let live = journal.live().clone();
     drop(journal);
     let (again, report) = Journal::open(folder.path(), options, 1).unwrap();
-    assert_eq!((again.live(), report), (&live, journal::Report::default()));
+    assert_eq!((again.live(), report), (&live, journal::OpenReport::default()));
 }
--- a/crates/known/src/belief.rs
+++ b/crates/known/src/belief.rs
@@ -19,7 +19,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use decision::interface::{Learnt, Worst};
+use decision::interface::{Condition, RouteSnapshot};
 
 use crate::replay::{Snapshot, Trouble};
 use crate::stamp::{Passed, Stamp, Wall, passed};
@@ -99,7 +99,7 @@
     /// The endpoint, where routes are apart.
     pub endpoint: Option<String>,
     /// What the module is told, on the clock of the process that starts.
-    pub learnt: Learnt,
+    pub learnt: RouteSnapshot,
     /// How old it is, at most; none where that is not known.
     pub age: Option<Micros>,
     /// Why.
@@ -198,7 +198,7 @@
     for (destination, kept) in &snapshot.destinations {
         for (endpoint, learnt) in &kept.routes {
             let until = waits.remove(&(*destination, endpoint.clone())).unwrap_or(0);
-            let learnt = Learnt { wait_until: until, ..*learnt };
+            let learnt = RouteSnapshot { wait_until: until, ..*learnt };
             let (learnt, reasons) = route(&learnt, kept, &moved, careful, law);
             let (destination, endpoint, age) = (*destination, endpoint.clone(), moved.age(kept.at));
             belief.routes.push(Believed { destination, endpoint, learnt, age, reasons });
@@ -208,7 +208,7 @@
     for ((destination, endpoint), until) in waits {
         let wait_until = moved.binds(until);
         if wait_until > moved.now {
-            let learnt = Learnt { wait_until, ..Learnt::default() };
+            let learnt = RouteSnapshot { wait_until, ..RouteSnapshot::default() };
             let reasons = vec![Reason::WaitRuns(wait_until - moved.now)];
             belief.routes.push(Believed { destination, endpoint, learnt, age: None, reasons });
         }
@@ -237,24 +237,30 @@
 }
 
 /// What is believed of one route, and why.
-fn route(kept: &Learnt, of: &Kept, moved: &Moved, careful: bool, law: &Law) -> (Learnt, Vec<Reason>) {
+fn route(
+    kept: &RouteSnapshot,
+    of: &Kept,
+    moved: &Moved,
+    careful: bool,
+    law: &Law,
+) -> (RouteSnapshot, Vec<Reason>) {
     let now = moved.now;
     let old = moved.age(of.at).is_none_or(|age| age > law.span);
     let mut reasons = Vec::new();
-    let mut learnt = Learnt::default();
+    let mut learnt = RouteSnapshot::default();
     let wait = if kept.wait_until > 0 { moved.binds(kept.wait_until) } else { 0 };
     if wait > now {
         learnt.wait_until = wait;
         reasons.push(Reason::WaitRuns(wait - now));
     }
-    let ill = kept.worst == Worst::Failed || kept.trial.is_some();
-    learnt.worst = match kept.worst {
-        _ if ill || careful => Worst::Failed,
-        Worst::Full if !old => Worst::Full,
-        _ => Worst::Well,
+    let ill = kept.condition == Condition::Failing || kept.trial.is_some();
+    learnt.condition = match kept.condition {
+        _ if ill || careful => Condition::Failing,
+        Condition::Rejecting if !old => Condition::Rejecting,
+        _ => Condition::Healthy,
     };
     if ill {
-        learnt.ill_since = kept.ill_since.map(|at| moved.past(at));
+        learnt.unhealthy_since = kept.unhealthy_since.map(|at| moved.past(at));
         // No later than a breaker's first trial, and from there on as if it were the first: how it is by now is not known, and
         // an outage that was over while no process ran would be found out last by those who knew of it. Guards against a time
         // that can't be meant, too.
@@ -264,7 +270,7 @@
         reasons.push(Reason::Ill(learnt.trial.map_or(0, |trial| trial.0 - now)));
     } else if careful {
         reasons.push(Reason::Lost);
-    } else if learnt.worst == Worst::Full {
+    } else if learnt.condition == Condition::Rejecting {
         reasons.push(Reason::Refused);
     }
     learnt.failures = kept.failures;
@@ -274,31 +280,31 @@
         learnt.limit = kept.limit;
         reasons.push(Reason::Limit(kept.limit));
     }
-    learnt.short_at = kept.short_at.map(|at| moved.past(at));
-    reasons.extend(learnt.short_at.map(|at| Reason::Short(now - at)));
-    if kept.pace > 0.0 {
+    learnt.shortage_at = kept.shortage_at.map(|at| moved.past(at));
+    reasons.extend(learnt.shortage_at.map(|at| Reason::Short(now - at)));
+    if kept.send_rate > 0.0 {
         let since = moved.passed.least.saturating_add(moved.written.saturating_sub(of.at));
         let faded = if careful { 1.0 } else { 1.0 / halved(FADE, since) };
         if faded < FORGET {
-            learnt.pace = kept.pace * faded;
-            reasons.push(Reason::Found(learnt.pace));
+            learnt.send_rate = kept.send_rate * faded;
+            reasons.push(Reason::Found(learnt.send_rate));
         } else {
             reasons.push(Reason::FoundFaded);
         }
     }
-    if kept.spent.0 > 0.0 {
-        learnt.spent = (kept.spent.0, moved.past(kept.spent.1));
+    if kept.recent_calls.0 > 0.0 {
+        learnt.recent_calls = (kept.recent_calls.0, moved.past(kept.recent_calls.1));
         if learnt.cold_since.is_some() || ill {
-            reasons.push(Reason::Spent(learnt.spent.0, now - learnt.spent.1));
+            reasons.push(Reason::Spent(learnt.recent_calls.0, now - learnt.recent_calls.1));
         }
     }
     if !careful {
-        learnt.well_at = moved.good_news(kept.well_at);
-        learnt.rate = moved.age(of.at).map_or(0.0, |age| kept.rate * halved(DOUBT, age));
+        learnt.last_success_at = moved.good_news(kept.last_success_at);
+        learnt.success_rate = moved.age(of.at).map_or(0.0, |age| kept.success_rate * halved(DOUBT, age));
         // Guards calls against being taken for lost sooner than an unknown partner's would be.
         let slow = |answers: &(f64, f64)| answers.0 + 5.0 * answers.1 > law.aim as f64 / 2.0;
-        learnt.answers = kept.answers.filter(|answers| !old && slow(answers));
-        reasons.extend(learnt.answers.map(|answers| Reason::Slow(answers.0 as Micros)));
+        learnt.latency = kept.latency.filter(|answers| !old && slow(answers));
+        reasons.extend(learnt.latency.map(|answers| Reason::Slow(answers.0 as Micros)));
     }
     (learnt, reasons)
 }
--- a/crates/known/src/format.rs
+++ b/crates/known/src/format.rs
@@ -19,7 +19,7 @@
 //! `shift` is what the times of earlier generations are to be moved by, so that all are on this one's clock: its writer found
 //! so much of a jump between the two. Every append begins with a stamp.
 
-use decision::interface::{Learnt, Worst};
+use decision::interface::{Condition, RouteSnapshot};
 use serde::{Deserialize, Serialize};
 
 use crate::stamp::{Boot, Stamp};
@@ -117,7 +117,7 @@
         /// Whether it is the first.
         first: bool,
         /// Some of its routes.
-        routes: Vec<(Option<String>, Learnt)>,
+        routes: Vec<(Option<String>, RouteSnapshot)>,
     },
     /// What the list said of a destination; the first of such frames takes the place of what stood before.
     Listed {
@@ -154,7 +154,7 @@
     short: Option<i64>,
     pace: f32,
     rate: f32,
-    worst: Worst,
+    worst: Condition,
     failures: u32,
     ill: Option<i64>,
     cold: Option<i64>,
@@ -179,42 +179,43 @@
 }
 
 impl Route {
-    fn of(endpoint: &Option<String>, learnt: &Learnt, base: Micros) -> Self {
+    fn of(endpoint: &Option<String>, learnt: &RouteSnapshot, base: Micros) -> Self {
         let known = |at: Micros| (at > 0).then(|| distance(at, base));
         Self {
             endpoint: endpoint.clone(),
             limit: learnt.limit as f32,
-            short: learnt.short_at.map(|at| distance(at, base)),
-            pace: learnt.pace as f32,
-            rate: learnt.rate as f32,
-            worst: learnt.worst,
+            short: learnt.shortage_at.map(|at| distance(at, base)),
+            pace: learnt.send_rate as f32,
+            rate: learnt.success_rate as f32,
+            worst: learnt.condition,
             failures: learnt.failures,
-            ill: learnt.ill_since.map(|at| distance(at, base)),
+            ill: learnt.unhealthy_since.map(|at| distance(at, base)),
             cold: learnt.cold_since.map(|at| distance(at, base)),
-            well: known(learnt.well_at),
+            well: known(learnt.last_success_at),
             trial: learnt.trial.map(|(due, reset)| (distance(due, base), reset)),
-            spent: (learnt.spent.0 > 0.0).then(|| (learnt.spent.0 as f32, distance(learnt.spent.1, base))),
-            answers: learnt.answers.map(|(mean, deviation)| (mean as f32, deviation as f32)),
+            spent: (learnt.recent_calls.0 > 0.0)
+                .then(|| (learnt.recent_calls.0 as f32, distance(learnt.recent_calls.1, base))),
+            answers: learnt.latency.map(|(mean, deviation)| (mean as f32, deviation as f32)),
         }
     }
 
-    fn learnt(self, base: Micros) -> (Option<String>, Learnt) {
+    fn learnt(self, base: Micros) -> (Option<String>, RouteSnapshot) {
         let at = |distance: Option<i64>| distance.map(|distance| time(distance, base));
         let answers = self.answers.map(|(mean, deviation)| (figure(mean), figure(deviation)));
-        let learnt = Learnt {
+        let learnt = RouteSnapshot {
             wait_until: 0,
             limit: figure(self.limit),
-            short_at: at(self.short),
-            pace: figure(self.pace),
-            rate: figure(self.rate),
-            worst: self.worst,
+            shortage_at: at(self.short),
+            send_rate: figure(self.pace),
+            success_rate: figure(self.rate),
+            condition: self.worst,
             failures: self.failures,
-            ill_since: at(self.ill),
+            unhealthy_since: at(self.ill),
             cold_since: at(self.cold),
-            well_at: at(self.well).unwrap_or(0),
+            last_success_at: at(self.well).unwrap_or(0),
             trial: self.trial.map(|(due, reset)| (time(due, base), reset)),
-            spent: self.spent.map_or((0.0, 0), |(weight, last)| (figure(weight), time(last, base))),
-            answers: answers.filter(|answers| answers.0 > 0.0),
+            recent_calls: self.spent.map_or((0.0, 0), |(weight, last)| (figure(weight), time(last, base))),
+            latency: answers.filter(|answers| answers.0 > 0.0),
         };
         (self.endpoint, learnt)
     }
@@ -275,7 +276,12 @@
     }
 
     /// All that is kept of a destination. Waits that run stand apart, in a form that every version reads.
-    pub fn destination(&mut self, destination: u16, listed: &[Listed], routes: &[(Option<String>, Learnt)]) {
+    pub fn destination(
+        &mut self,
+        destination: u16,
+        listed: &[Listed],
+        routes: &[(Option<String>, RouteSnapshot)],
+    ) {
         let fits = |text: &str| text.len() <= TEXT_LIMIT;
         let base = self.base;
         for (endpoint, learnt) in routes.iter().filter(|route| route.1.wait_until > base) {
--- a/crates/known/src/keep.rs
+++ b/crates/known/src/keep.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use decision::interface::{Learnt, Worst};
+use decision::interface::{Condition, RouteSnapshot};
 
 use crate::{Kept, Micros};
 
@@ -67,17 +67,18 @@
             // Routes apart are few; their order is the same each time, so that sums with weights tell most changes.
             let weight = (place + 1) as f32;
             digest.wait_until = digest.wait_until.max(learnt.wait_until);
-            digest.ill += u32::from(learnt.worst == Worst::Failed || learnt.trial.is_some()) << (place % 32);
+            digest.ill +=
+                u32::from(learnt.condition == Condition::Failing || learnt.trial.is_some()) << (place % 32);
             digest.failures += learnt.failures.min(1) << (place % 32);
-            digest.refused += u32::from(learnt.worst == Worst::Full) << (place % 32);
+            digest.refused += u32::from(learnt.condition == Condition::Rejecting) << (place % 32);
             digest.cold = digest.cold.wrapping_add(learnt.cold_since.unwrap_or(0));
-            digest.short = digest.short.max(learnt.short_at.unwrap_or(0));
-            digest.spent += weight * learnt.spent.0 as f32;
+            digest.short = digest.short.max(learnt.shortage_at.unwrap_or(0));
+            digest.spent += weight * learnt.recent_calls.0 as f32;
             digest.limit += weight * learnt.limit as f32;
-            digest.pace += weight * learnt.pace as f32;
-            digest.rate += weight * learnt.rate as f32;
-            digest.answers += weight * learnt.answers.map_or(0.0, |answers| answers.0) as f32;
-            digest.well_at = digest.well_at.max(learnt.well_at);
+            digest.pace += weight * learnt.send_rate as f32;
+            digest.rate += weight * learnt.success_rate as f32;
+            digest.answers += weight * learnt.latency.map_or(0.0, |answers| answers.0) as f32;
+            digest.well_at = digest.well_at.max(learnt.last_success_at);
         }
         digest
     }
@@ -328,6 +329,6 @@
 }
 
 /// Whether anything is known of a route.
-pub fn is_known(learnt: &Learnt) -> bool {
-    Learnt { well_at: 0, ..*learnt } != Learnt::default()
+pub fn is_known(learnt: &RouteSnapshot) -> bool {
+    RouteSnapshot { last_success_at: 0, ..*learnt } != RouteSnapshot::default()
 }
--- a/crates/known/src/lib.rs
+++ b/crates/known/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod stamp;
 pub mod store;
 
-use decision::interface::Learnt;
+use decision::interface::RouteSnapshot;
 use serde::{Deserialize, Serialize};
 
 pub use decision::interface::Micros;
@@ -57,5 +57,5 @@
     /// Its endpoints.
     pub listed: Vec<Listed>,
     /// What was learnt of its routes: the common one, or each endpoint's by name where they are apart.
-    pub routes: Vec<(Option<String>, Learnt)>,
+    pub routes: Vec<(Option<String>, RouteSnapshot)>,
 }
--- a/crates/known/src/replay.rs
+++ b/crates/known/src/replay.rs
@@ -116,10 +116,10 @@
         for kept in self.destinations.values_mut() {
             moved(&mut kept.at);
             for (_, learnt) in &mut kept.routes {
-                let times = [&mut learnt.short_at, &mut learnt.ill_since, &mut learnt.cold_since];
+                let times = [&mut learnt.shortage_at, &mut learnt.unhealthy_since, &mut learnt.cold_since];
                 times.into_iter().flatten().for_each(moved);
                 learnt.trial.iter_mut().for_each(|trial| moved(&mut trial.0));
-                [&mut learnt.well_at, &mut learnt.spent.1].into_iter().for_each(moved);
+                [&mut learnt.last_success_at, &mut learnt.recent_calls.1].into_iter().for_each(moved);
             }
         }
     }
--- a/crates/known/src/store.rs
+++ b/crates/known/src/store.rs
@@ -6,7 +6,7 @@
 
 use std::io;
 
-use journal::BESIDE as PREFIX;
+use journal::SNAPSHOT_PREFIX as PREFIX;
 use journal::disk::Disk;
 
 use crate::format::{Head, VERSION, Writer};
--- a/crates/known/tests/belief.rs
+++ b/crates/known/tests/belief.rs
@@ -1,6 +1,6 @@
 //! The one rule: what is kept may make a sender more careful, never bolder. Whatever the clocks show.
 
-use decision::interface::{Learnt, Worst};
+use decision::interface::{Condition, RouteSnapshot};
 use known::belief::{Belief, DOUBT, FADE, LIST_GOOD_FOR, Law, Reason, Start, believe};
 use known::replay::{Snapshot, Trouble};
 use known::stamp::{Boot, Stamp};
@@ -12,7 +12,7 @@
 const START: Micros = 400_000 * HOUR;
 const LAW: Law = Law { span: HOUR, aim: 4 * SECOND };
 
-fn snapshot(learnt: Learnt) -> Snapshot {
+fn snapshot(learnt: RouteSnapshot) -> Snapshot {
     let listed = |name: &str, status| Listed {
         name: name.to_owned(),
         address: "10.0.0.1:1".to_owned(),
@@ -43,63 +43,68 @@
     Start { now: wall.max(START), stamp }
 }
 
-fn after(learnt: Learnt, span: Micros) -> (Learnt, Vec<Reason>) {
+fn after(learnt: RouteSnapshot, span: Micros) -> (RouteSnapshot, Vec<Reason>) {
     let belief = believe(&snapshot(learnt), &start(span, 0), 0, &LAW);
     (belief.routes[0].learnt, belief.routes[0].reasons.clone())
 }
 
 #[test]
 fn a_limit_that_was_found_fades_and_is_forgotten() {
-    let found = Learnt { pace: 3.0, ..Learnt::default() };
-    assert!((after(found, FADE).0.pace - 6.0).abs() < 1e-6);
-    assert!((after(found, 3 * FADE).0.pace - 24.0).abs() < 1e-6);
+    let found = RouteSnapshot { send_rate: 3.0, ..RouteSnapshot::default() };
+    assert!((after(found, FADE).0.send_rate - 6.0).abs() < 1e-6);
+    assert!((after(found, 3 * FADE).0.send_rate - 24.0).abs() < 1e-6);
     let (faded, reasons) = after(found, 6 * FADE);
-    assert_eq!((faded.pace, reasons), (0.0, vec![Reason::FoundFaded]));
+    assert_eq!((faded.send_rate, reasons), (0.0, vec![Reason::FoundFaded]));
 }
 
 #[test]
 fn what_went_well_counts_for_less_and_an_outage_for_as_much_as_ever() {
-    let ill = Learnt {
-        rate: 8.0,
-        worst: Worst::Failed,
-        ill_since: Some(START - SECOND),
+    let ill = RouteSnapshot {
+        success_rate: 8.0,
+        condition: Condition::Failing,
+        unhealthy_since: Some(START - SECOND),
         trial: Some((START + SECOND, 5 * SECOND)),
-        ..Learnt::default()
+        ..RouteSnapshot::default()
     };
-    assert!((after(ill, DOUBT).0.rate - 4.0).abs() < 1e-6);
+    assert!((after(ill, DOUBT).0.success_rate - 4.0).abs() < 1e-6);
     let (old, reasons) = after(ill, 1_000 * HOUR);
-    assert_eq!((old.worst, old.trial, &reasons[..]), (Worst::Failed, None, &[Reason::Ill(0)][..]));
+    assert_eq!((old.condition, old.trial, &reasons[..]), (Condition::Failing, None, &[Reason::Ill(0)][..]));
     let (soon, _) = after(ill, SECOND / 2);
     assert_eq!(soon.trial, Some((START + SECOND, 2 * SECOND)), "no later than a breaker's first trial");
 }
 
 #[test]
 fn answers_count_where_they_are_slow_and_not_for_ever() {
-    let slow = Learnt { answers: Some((3e6, 1e5)), ..Learnt::default() };
-    assert_eq!(after(slow, SECOND).0.answers, slow.answers);
-    assert_eq!(after(slow, 2 * HOUR).0.answers, None);
-    let fast = Learnt { answers: Some((2e4, 1e3)), ..Learnt::default() };
-    assert_eq!(after(fast, SECOND).0.answers, None, "its calls are lost no sooner than an unknown partner's");
+    let slow = RouteSnapshot { latency: Some((3e6, 1e5)), ..RouteSnapshot::default() };
+    assert_eq!(after(slow, SECOND).0.latency, slow.latency);
+    assert_eq!(after(slow, 2 * HOUR).0.latency, None);
+    let fast = RouteSnapshot { latency: Some((2e4, 1e3)), ..RouteSnapshot::default() };
+    assert_eq!(after(fast, SECOND).0.latency, None, "its calls are lost no sooner than an unknown partner's");
 }
 
 #[test]
 fn with_something_lost_each_begins_with_one_call_and_waits_count() {
-    let well =
-        Learnt { wait_until: START + 60 * SECOND, rate: 8.0, pace: 3.0, well_at: START, ..Learnt::default() };
+    let well = RouteSnapshot {
+        wait_until: START + 60 * SECOND,
+        success_rate: 8.0,
+        send_rate: 3.0,
+        last_success_at: START,
+        ..RouteSnapshot::default()
+    };
     let mut snapshot = snapshot(well);
     snapshot.troubles.push(Trouble::Damaged { file: "known-000000000001".to_owned(), at: 99 });
     let belief = believe(&snapshot, &start(SECOND, 0), 0, &LAW);
     let learnt = belief.routes[0].learnt;
     assert!(belief.lost);
-    assert_eq!((learnt.wait_until, learnt.worst), (START + 60 * SECOND, Worst::Failed));
-    assert_eq!((learnt.rate, learnt.well_at, learnt.pace), (0.0, 0, 3.0));
+    assert_eq!((learnt.wait_until, learnt.condition), (START + 60 * SECOND, Condition::Failing));
+    assert_eq!((learnt.success_rate, learnt.last_success_at, learnt.send_rate), (0.0, 0, 3.0));
     assert_eq!((&belief.list.newer, &belief.list.drains[..]), (&None, &["b".to_owned()][..]));
     assert_eq!(belief.told.len(), 1, "{:?}", belief.told);
 }
 
 #[test]
 fn the_list_counts_where_it_is_newer_and_whole() {
-    let all = snapshot(Learnt::default());
+    let all = snapshot(RouteSnapshot::default());
     let list =
         |snapshot: &Snapshot, after: Micros, index| believe(snapshot, &start(after, 0), index, &LAW).list;
     let newer = list(&all, SECOND, 40);
@@ -118,37 +123,42 @@
     assert_eq!(list(&unsure, SECOND, 40).drains, ["b"]);
 }
 
-fn any_learnt() -> impl Strategy<Value = Learnt> {
+fn any_learnt() -> impl Strategy<Value = RouteSnapshot> {
     let past = || prop::option::of((0u64..2 * HOUR).prop_map(|ago| START - ago));
     let figure = || prop_oneof![Just(0.0), 0.01f64..500.0];
-    let worst = prop_oneof![Just(Worst::Well), Just(Worst::Full), Just(Worst::Failed)];
+    let worst = prop_oneof![Just(Condition::Healthy), Just(Condition::Rejecting), Just(Condition::Failing)];
     let trial = prop::option::of((START - HOUR..START + HOUR, 0u64..10 * SECOND));
     ((0u64..2 * HOUR, figure(), past(), figure(), figure()), (worst, past(), past(), past(), trial, figure()))
-        .prop_map(|(a, b)| Learnt {
+        .prop_map(|(a, b)| RouteSnapshot {
             wait_until: START + a.0,
             limit: a.1,
-            short_at: a.2,
-            pace: a.3,
-            rate: a.4,
-            worst: b.0,
+            shortage_at: a.2,
+            send_rate: a.3,
+            success_rate: a.4,
+            condition: b.0,
             failures: u32::from(b.1.is_some()),
-            ill_since: b.1,
+            unhealthy_since: b.1,
             cold_since: b.2,
-            well_at: b.3.unwrap_or(0),
+            last_success_at: b.3.unwrap_or(0),
             trial: b.4,
-            spent: (b.5, START - SECOND),
-            answers: None,
+            recent_calls: (b.5, START - SECOND),
+            latency: None,
         })
 }
 
 /// Holds what is believed so long after, in truth, against what was so.
-fn never_bolder(kept: &Learnt, belief: &Belief, now: Micros, truly: Micros) -> Result<(), TestCaseError> {
+fn never_bolder(
+    kept: &RouteSnapshot,
+    belief: &Belief,
+    now: Micros,
+    truly: Micros,
+) -> Result<(), TestCaseError> {
     let learnt = &belief.routes[0].learnt;
     // How long something goes on from now, or is over for, in truth.
     let left = |until: Micros| (until - START).saturating_sub(truly);
     let ago = |at: Micros| START - at + truly;
     prop_assert!(learnt.wait_until.saturating_sub(now) >= left(kept.wait_until), "a wait is cut short");
-    let times = [(kept.cold_since, learnt.cold_since), (kept.short_at, learnt.short_at)];
+    let times = [(kept.cold_since, learnt.cold_since), (kept.shortage_at, learnt.shortage_at)];
     for (kept, learnt) in times {
         if let (Some(kept), Some(learnt)) = (kept, learnt) {
             prop_assert!(learnt <= now && now - learnt <= ago(kept), "{kept} is further back than it is");
@@ -156,13 +166,13 @@
         prop_assert_eq!(kept.is_some(), learnt.is_some());
     }
     prop_assert!(
-        learnt.well_at == 0 || now - learnt.well_at >= ago(kept.well_at),
+        learnt.last_success_at == 0 || now - learnt.last_success_at >= ago(kept.last_success_at),
         "good news is fresher than it is"
     );
-    prop_assert!(learnt.rate <= kept.rate + 1e-9);
-    prop_assert!(learnt.pace == 0.0 || learnt.pace >= kept.pace);
-    prop_assert!(learnt.spent.0 == kept.spent.0 || kept.spent.0 == 0.0);
-    prop_assert!(kept.worst != Worst::Failed || learnt.worst == Worst::Failed);
+    prop_assert!(learnt.success_rate <= kept.success_rate + 1e-9);
+    prop_assert!(learnt.send_rate == 0.0 || learnt.send_rate >= kept.send_rate);
+    prop_assert!(learnt.recent_calls.0 == kept.recent_calls.0 || kept.recent_calls.0 == 0.0);
+    prop_assert!(kept.condition != Condition::Failing || learnt.condition == Condition::Failing);
     prop_assert!(learnt.trial.is_none_or(|trial| trial.0 > now && trial.0 <= now + LAW.aim / 2));
     Ok(())
 }
@@ -202,9 +212,9 @@
         snapshot.stamp.boot = None;
         let belief = believe(&snapshot, &start, 0, &LAW);
         // What is good news is taken for as old as the clock says.
-        let learnt = Learnt { well_at: 0, ..kept };
+        let learnt = RouteSnapshot { last_success_at: 0, ..kept };
         let mut belief = belief;
-        belief.routes[0].learnt.well_at = 0;
+        belief.routes[0].learnt.last_success_at = 0;
         never_bolder(&learnt, &belief, start.now, truly)?;
     }
 }
--- a/crates/known/tests/store.rs
+++ b/crates/known/tests/store.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-use decision::interface::{Learnt, Worst};
+use decision::interface::{Condition, RouteSnapshot};
 use journal::disk::Disk;
 use journal::sim::{Fault, SimDisk};
 use known::replay::{Snapshot, Trouble};
@@ -57,7 +57,11 @@
     let world = World::default();
     *world.now.borrow_mut() = START;
     for destination in 0..count {
-        let learnt = Learnt { limit: 5.0 + f64::from(destination), well_at: START, ..Learnt::default() };
+        let learnt = RouteSnapshot {
+            limit: 5.0 + f64::from(destination),
+            last_success_at: START,
+            ..RouteSnapshot::default()
+        };
         let kept = Kept { at: 0, listed: vec![listed(destination, 1.0)], routes: vec![(None, learnt)] };
         world.all.borrow_mut().insert(destination, kept);
     }
@@ -112,15 +116,15 @@
                     self.told.insert(destination, learnt.wait_until);
                     self.store.pressing(destination, false, now);
                 }
-                1 => (learnt.worst, learnt.ill_since) = (Worst::Failed, Some(now)),
-                2 => (learnt.worst, learnt.cold_since) = (Worst::Well, Some(now)),
+                1 => (learnt.condition, learnt.unhealthy_since) = (Condition::Failing, Some(now)),
+                2 => (learnt.condition, learnt.cold_since) = (Condition::Healthy, Some(now)),
                 3 => {
                     kept.listed[0].weight += 1.0;
                     *self.world.index.borrow_mut() += 1;
                     self.store.pressing(destination, true, now);
                 }
                 4 => learnt.limit = self.rng.f64() * 100.0,
-                _ => learnt.well_at = now,
+                _ => learnt.last_success_at = now,
             }
         }
         self.store.touched(destination, now);
@@ -142,7 +146,8 @@
     }
     for (destination, kept) in &snapshot.destinations {
         for (_, learnt) in &kept.routes {
-            let meant = learnt.limit > 0.0 && learnt.well_at >= START && learnt.well_at <= run.now();
+            let meant =
+                learnt.limit > 0.0 && learnt.last_success_at >= START && learnt.last_success_at <= run.now();
             assert!(meant, "{what}: {destination} is {learnt:?}");
         }
         assert!(
--- a/crates/rig/src/journal_bench.rs
+++ b/crates/rig/src/journal_bench.rs
@@ -62,7 +62,7 @@
         let size = (journal.figures().written - before) as usize;
         if tidy {
             let begun = Instant::now();
-            journal.tidy(1).map_err(ended("tidy"))?;
+            journal.compact_step(1).map_err(ended("tidy"))?;
             took += begun.elapsed();
         }
         times.push(took);
--- a/crates/rig/src/known_cost.rs
+++ b/crates/rig/src/known_cost.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-use decision::interface::Learnt;
+use decision::interface::RouteSnapshot;
 use journal::Journal;
 use journal::disk::Folder;
 use known::stamp::Stamp;
@@ -43,12 +43,12 @@
 
     fn kept(&self, destination: u16) -> Option<Kept> {
         let now = *self.now.borrow();
-        let learnt = Learnt {
+        let learnt = RouteSnapshot {
             limit: 5.0 + f64::from(destination),
-            rate: (now % 1_000) as f64,
+            success_rate: (now % 1_000) as f64,
             cold_since: destination.is_multiple_of(10).then_some(START + now % 7),
-            well_at: now,
-            ..Learnt::default()
+            last_success_at: now,
+            ..RouteSnapshot::default()
         };
         let listed = Listed {
             name: format!("s-{destination:08x}"),
@@ -106,13 +106,13 @@
         journal.append(now, &mut records).map_err(|e| e.to_string())?;
         append.push(began.elapsed());
         let began = Instant::now();
-        journal.tidy(now).map_err(|e| e.to_string())?;
+        journal.compact_step(now).map_err(|e| e.to_string())?;
         pause.push(began.elapsed());
         if known {
             (0..10).for_each(|n| store.touched(((turn * 37 + n * 11) % 60) as u16, now));
-            let room = journal.room_beside();
+            let room = journal.free_reserved_bytes();
             store.slice(&Stamp { wall: now, boot: None }, room, &world).map_err(|e| e.to_string())?;
-            journal.set_beside(store.used());
+            journal.set_reserved_bytes(store.used());
         }
     }
     Ok((Times::new(append), Times::new(pause)))
--- a/crates/rig/src/limited.rs
+++ b/crates/rig/src/limited.rs
@@ -162,7 +162,7 @@
                     ids.iter().map(|id| serde_json::json!({"id": id, "state": "ok"})).collect();
                 answer(200, if batch { Value::from(ends).to_string() } else { String::new() })
             }
-            Outcome::Full(_) => answer(503, String::new()),
+            Outcome::Rejected(_) => answer(503, String::new()),
             // It went down with the connection open.
             _ => Err("down".to_owned()),
         }
--- a/crates/rig/src/stores.rs
+++ b/crates/rig/src/stores.rs
@@ -24,7 +24,7 @@
     }
     fn turn(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
         self.0.append(1, records).map_err(|e| e.to_string())?;
-        self.0.tidy(1).map_err(|e| e.to_string())
+        self.0.compact_step(1).map_err(|e| e.to_string())
     }
 }
 
--- a/crates/rig/src/stream.rs
+++ b/crates/rig/src/stream.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use journal::{Record, Taken};
+use journal::{AcceptedMessage, Record};
 
 /// Bytes of a message's body.
 pub const BODY: usize = 330;
@@ -39,7 +39,7 @@
         records.clear();
         let message = self.next;
         self.next += 1;
-        let taken = Arc::new(Taken {
+        let taken = Arc::new(AcceptedMessage {
             id: format!("{:016x}", self.rng.u64(..)),
             key: Some(format!("{:032x}", self.rng.u128(..))),
             class: self.class.clone(),
@@ -47,14 +47,14 @@
             deadline: u64::MAX,
             body: vec![self.rng.u8(..); BODY].into(),
         });
-        records.push(Record::Taken(message, taken));
+        records.push(Record::Accepted(message, taken));
         let endpoint = self.endpoint.clone();
-        records.push(Record::Begun { message, attempt: 0, endpoint, at: 1_700_000_000_000_000 });
+        records.push(Record::AttemptStarted { message, attempt: 0, endpoint, at: 1_700_000_000_000_000 });
         self.live.push_back(message);
         if self.live.len() > self.most {
             // Not always the oldest: some stay long.
             let at = if self.rng.u8(..) < 16 { self.rng.usize(..self.live.len()) } else { 0 };
-            records.extend(self.live.swap_remove_front(at).map(Record::Over));
+            records.extend(self.live.swap_remove_front(at).map(Record::Completed));
         }
     }
 }
--- a/crates/sender/src/cores/elsewhere.rs
+++ b/crates/sender/src/cores/elsewhere.rs
@@ -58,7 +58,7 @@
                 over.endpoint = known.map(|known| known.1).or_else(|| id(&name)).unwrap_or(over.endpoint);
                 Inbound::CallOver(vec![over])
             }
-            Say::Wait { name, wait, .. } => Inbound::Event(Event::Wait { endpoint: id(&name)?, wait }),
+            Say::Wait { name, wait, .. } => Inbound::Event(Event::RetryAfter { endpoint: id(&name)?, wait }),
             _ => return None,
         })
     }
--- a/crates/sender/src/cores/post.rs
+++ b/crates/sender/src/cores/post.rs
@@ -9,7 +9,7 @@
 use crossbeam_queue::ArrayQueue;
 use decision::interface::{EndpointId, MessageId, Micros};
 use decision::policy::moving::Parcel;
-use journal::Live;
+use journal::PendingMessage;
 use ops::held_out::HeldOut;
 use tokio::sync::{Notify, oneshot};
 
@@ -25,7 +25,7 @@
     /// The endpoints that it names, by the names that all cores know.
     pub names: BTreeMap<EndpointId, Arc<str>>,
     /// Its messages as the journal has them.
-    pub lives: Vec<(u32, Live)>,
+    pub lives: Vec<(u32, PendingMessage)>,
     /// Their ids, and the requests by which they came.
     pub held: Vec<(String, u32, u64)>,
     /// Attempts begun for each.
--- a/crates/sender/src/directory.rs
+++ b/crates/sender/src/directory.rs
@@ -39,7 +39,7 @@
 /// The list as it is known here.
 pub struct Directory {
     names: Names,
-    kinds: Vec<Kind>,
+    kinds: Vec<DestinationKind>,
     carriers: Vec<Rc<dyn Carrier>>,
     endpoints: HashMap<EndpointId, Known>,
     /// The id of each name, and how many ids were given out.
@@ -87,7 +87,12 @@
 
 impl Directory {
     /// Nothing is known yet. The first carrier that can read an endpoint's address makes the calls to it.
-    pub fn new(names: Names, kinds: Vec<Kind>, carriers: Vec<Rc<dyn Carrier>>, held_out: HeldOut) -> Self {
+    pub fn new(
+        names: Names,
+        kinds: Vec<DestinationKind>,
+        carriers: Vec<Rc<dyn Carrier>>,
+        held_out: HeldOut,
+    ) -> Self {
         Self {
             held_out,
             past: Past::default(),
@@ -111,17 +116,27 @@
     /// What another process knew.
     pub fn restore(
         &mut self,
-        endpoints: Vec<handover::Endpoint>,
+        endpoints: Vec<handover::HandoverEndpoint>,
         ids: Vec<(String, EndpointId)>,
         given: u64,
     ) {
         self.given = given;
         for known in endpoints {
-            let handover::Endpoint { id, name, address, zone, kind, group, listing, weight, gone } = known;
+            let handover::HandoverEndpoint {
+                id,
+                name,
+                address,
+                zone,
+                kind,
+                group,
+                listing,
+                weight,
+                unlisted: gone,
+            } = known;
             let place = |carrier: &&Rc<dyn Carrier>| address.as_ref().is_some_and(|a| carrier.place(id, a));
             let carrier = self.carriers.iter().find(place).cloned();
             let kind = kind.map_or(usize::MAX, usize::from);
-            let bundle = self.kinds.get(kind).map_or(1, |kind| kind.bundle);
+            let bundle = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
             if gone {
                 self.gone.insert(id);
             }
@@ -140,8 +155,8 @@
     }
 
     /// What is known, for another process: endpoints, ids by name, and how many ids were given out.
-    pub fn save(&self) -> (Vec<handover::Endpoint>, Vec<(String, EndpointId)>, u64) {
-        let saved = |(id, known): (&EndpointId, &Known)| handover::Endpoint {
+    pub fn save(&self) -> (Vec<handover::HandoverEndpoint>, Vec<(String, EndpointId)>, u64) {
+        let saved = |(id, known): (&EndpointId, &Known)| handover::HandoverEndpoint {
             id: *id,
             name: known.name.to_string(),
             address: known.carrier.as_ref().and_then(|carrier| carrier.address(*id)),
@@ -150,7 +165,7 @@
             group: known.group,
             listing: known.listing,
             weight: known.weight,
-            gone: known.gone,
+            unlisted: known.gone,
         };
         let ids = self.ids.iter().map(|(name, id)| (name.clone(), *id));
         (self.endpoints.iter().map(saved).collect(), ids.collect(), self.given)
@@ -234,7 +249,7 @@
     /// The route that leads to an endpoint: its destination's, or its own where its kind has routes apart.
     pub fn route(&self, endpoint: EndpointId) -> Option<RouteId> {
         let known = self.endpoints.get(&endpoint)?;
-        let apart = self.kinds.get(known.kind).is_some_and(|kind| kind.routes_apart);
+        let apart = self.kinds.get(known.kind).is_some_and(|kind| kind.separate_routes);
         Some((DestinationId(known.group), apart.then_some(endpoint)))
     }
 
@@ -281,9 +296,9 @@
             }
             let destination = DestinationId(known.group);
             let (zone, kind, weight) = (known.zone, known.kind, known.weight);
-            Entry { endpoint: *id, destination, zone, kind, weight, listing }
+            EndpointEntry { endpoint: *id, destination, zone, kind, weight, listing }
         });
-        Event::Changes(changes.collect())
+        Event::EndpointChanges(changes.collect())
     }
 
     /// The id of the endpoint that an attempt went to, which no list need have named.
@@ -322,7 +337,7 @@
             }
         }
         self.prune(attempts);
-        if list.snapshot { Event::List(entries) } else { Event::Changes(entries) }
+        if list.snapshot { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) }
     }
 
     /// Whether a list is to be taken in bit by bit: it is long, takes much away, or comes behind one that is.
@@ -383,7 +398,7 @@
             }
         }
         self.prune(attempts);
-        Event::Changes(entries)
+        Event::EndpointChanges(entries)
     }
 
     /// What the last whole list did not name, nor a change since.
@@ -393,7 +408,7 @@
     }
 
     /// No list names it any more.
-    fn goes(&mut self, endpoint: EndpointId) -> Option<Entry> {
+    fn goes(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
         let known = self.endpoints.get_mut(&endpoint).filter(|known| known.named != self.lists)?;
         known.gone = true;
         known.carrier.iter().for_each(|carrier| carrier.set_open(endpoint, false));
@@ -401,7 +416,7 @@
         self.gone.insert(endpoint);
         self.changed.insert(known.group);
         let destination = DestinationId(known.group);
-        Some(Entry {
+        Some(EndpointEntry {
             endpoint,
             destination,
             zone: u16::MAX,
@@ -411,7 +426,7 @@
         })
     }
 
-    fn take_in(&mut self, listing: &Listed, entries: &mut Vec<Entry>) {
+    fn take_in(&mut self, listing: &Listed, entries: &mut Vec<EndpointEntry>) {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let zone = position(&self.names.zones, &listing.zone).map_or(u16::MAX, |zone| zone as u16);
         let kind = position(&self.names.kinds, &listing.kind).unwrap_or(usize::MAX);
@@ -419,7 +434,7 @@
         let before = self.endpoints.get(&endpoint).filter(|known| known.group != listing.group);
         let mut entry = |endpoint, group, listing| {
             let destination = DestinationId(group);
-            entries.push(Entry { endpoint, destination, zone, kind, weight: 0.0, listing });
+            entries.push(EndpointEntry { endpoint, destination, zone, kind, weight: 0.0, listing });
         };
         if let Some(group) = before.map(|known| known.group) {
             // Guards against a name that moves to another destination: it is another endpoint there.
@@ -447,7 +462,7 @@
         if let Some(entry) = entries.last_mut() {
             entry.weight = weight;
         }
-        let bundle = self.kinds.get(kind).map_or(1, |kind| kind.bundle);
+        let bundle = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
         let gone = state == Listing::Gone;
         let place = crc32fast::hash(listing.address.as_bytes());
         if gone {
@@ -568,11 +583,11 @@
 
         fn hear(&mut self, event: Event) {
             let entries = match event {
-                Event::List(entries) => {
+                Event::EndpointList(entries) => {
                     self.told.clear();
                     entries
                 }
-                Event::Changes(entries) => entries,
+                Event::EndpointChanges(entries) => entries,
                 other => panic!("{other:?}"),
             };
             for entry in entries {
@@ -637,7 +652,7 @@
                     let size = rng.usize(1..10);
                     let said = bits.directory.slice(size, referred);
                     // A name that moves to another destination brings two entries.
-                    assert!(matches!(&said, Event::Changes(entries) if entries.len() <= 2 * size));
+                    assert!(matches!(&said, Event::EndpointChanges(entries) if entries.len() <= 2 * size));
                     bits.hear(said);
                 }
                 if !bits.directory.is_behind() {
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -10,8 +10,8 @@
 
 use decision::interface::*;
 use decision::policy::Policy;
-use handover::State;
-use journal::{GivenUp, Record, Taken};
+use handover::HandoverState;
+use journal::{Abandonment, AcceptedMessage, Record};
 use known::belief::Belief;
 use ops::door::Door;
 use ops::figures::{End, Ends};
@@ -58,7 +58,7 @@
 
 /// A message handed in within this turn.
 struct Fresh {
-    taken: Arc<Taken>,
+    taken: Arc<AcceptedMessage>,
     /// Those who wait for the answer, by their requests' numbers: more than one where it was said once more.
     answers: Vec<(u64, oneshot::Sender<Answer>)>,
 }
@@ -127,7 +127,7 @@
     /// When the journal may be complained of again.
     complain_at: Micros,
     /// Notices whose records are not written yet.
-    unsaid: Vec<(u32, GivenUp, String)>,
+    unsaid: Vec<(u32, Abandonment, String)>,
     /// One of several cores; none where there is one.
     member: Option<Member>,
     /// A destination came in this turn.
@@ -161,7 +161,7 @@
     /// The fronts have begun.
     pub begun: bool,
     /// What another process knew, which this one goes on with.
-    pub taken_over: Option<(State, Policy)>,
+    pub taken_over: Option<(HandoverState, Policy)>,
     /// What is left of the process before.
     pub before: Option<Rc<Before>>,
     /// Endpoints of destinations that told another process a wait, and until when.
@@ -183,7 +183,7 @@
     /// As it was.
     pub member: Member,
     /// Its part of the journal, which is closed.
-    pub part: journal::Part,
+    pub part: journal::JournalPart,
     /// The other cores' clients and calls.
     pub elsewhere: Rc<Elsewhere>,
 }
@@ -197,7 +197,7 @@
         /// Who asks.
         successor: Link,
         /// What it is told.
-        state: Box<State>,
+        state: Box<HandoverState>,
         /// Ends so far.
         ends: Ends,
         /// Notes to other senders, which the other process is to have.
@@ -296,7 +296,7 @@
         eprintln!("{} answers on-call staff on {place}", config.name);
     }
     tokio::task::spawn_local(platform::notices(found.clone(), owed, inbound.clone()));
-    let grace = Duration::from_micros(config.settings.rules.drain_grace);
+    let grace = Duration::from_micros(config.settings.rules.drain_timeout);
     let again = Again::new(config.settings.senders, grace, config.seed);
     let good_for = Duration::from_micros(belief.list.good_for);
     // One core watches the list for all.
@@ -344,7 +344,7 @@
                 driver.timers.insert(timer);
                 break;
             }
-            said.push(Event::Reminder(timer.1));
+            said.push(Event::TimerFired(timer.1));
         }
         driver.lease(&mut said);
         if !said.is_empty() || !driver.unwritten.is_empty() || std::mem::take(&mut driver.joined) {
@@ -366,7 +366,7 @@
                     let left = match (driver.member, driver.journal) {
                         (Some(member), Store::Part(mut part)) => {
                             part.close();
-                            let elsewhere = Rc::new(member.elsewhere(&state.out, &state.ids));
+                            let elsewhere = Rc::new(member.elsewhere(&state.attempts_in_flight, &state.ids));
                             Some(Box::new(Left { member, part, elsewhere }))
                         }
                         _ => None,
@@ -405,7 +405,7 @@
             Inbound::Listed(Listed(list)) => said.push(self.listed(&list)),
             Inbound::NoticesKept(messages) => {
                 for MessageId(number) in messages {
-                    if let Some(id) = self.journal.live().get(&number).map(|l| l.taken.id.clone()) {
+                    if let Some(id) = self.journal.live().get(&number).map(|l| l.message.id.clone()) {
                         self.over(number, false);
                         self.forget(number, &id);
                     }
@@ -429,7 +429,7 @@
                 let at = self.clock.now() + STOP_WITHIN;
                 self.stop_at = Some(at);
                 self.door.send_replace(Door::Closing);
-                said.push(Event::Stopping(at));
+                said.push(Event::ShuttingDown(at));
             }
         }
     }
@@ -438,7 +438,7 @@
         self.directory.listed(list, || endpoints_of_attempts(&self.journal))
     }
 
-    fn notify(&self, number: u32, how: GivenUp, id: String) {
+    fn notify(&self, number: u32, how: Abandonment, id: String) {
         let _ = self.notices.send(Notice { message: MessageId(number), id, how });
     }
 
@@ -456,7 +456,14 @@
         let mut sends: Vec<Send> = Vec::new();
         for action in actions {
             match action {
-                Action::Attempt { message, endpoint, timeout, leave_within, hold, fresh: new } => {
+                Action::Attempt {
+                    message,
+                    endpoint,
+                    timeout,
+                    send_within: leave_within,
+                    last_byte_delay: hold,
+                    new_connection: new,
+                } => {
                     if let Some(attempt) = self.attempts_of(message, &fresh) {
                         self.note_call(endpoint);
                         self.untried.called(message.0);
@@ -465,33 +472,33 @@
                         sends.push(Send { message, attempt, endpoint, timeout, leave_within, pace });
                     }
                 }
-                Action::Refuse { message, retry_after } => {
-                    given_up.push((message.0, GivenUp::Deferred(retry_after)));
+                Action::Reject { message, retry_after } => {
+                    given_up.push((message.0, Abandonment::Deferred(retry_after)));
                 }
-                Action::Fail(message) => given_up.push((message.0, GivenUp::Undeliverable)),
+                Action::Fail(message) => given_up.push((message.0, Abandonment::Undeliverable)),
                 Action::Cancel { message, attempt } => self.call_off(message, attempt),
-                Action::Probe(endpoint) => match self.directory.carrier(endpoint) {
+                Action::HealthCheck(endpoint) => match self.directory.carrier(endpoint) {
                     Some(carrier) => carrier.probe(endpoint),
                     None => {
                         let outcome = Outcome::ConnectFailed;
-                        let event = Event::Probed { endpoint, outcome, report: vec![] };
+                        let event = Event::HealthChecked { endpoint, outcome, report: vec![] };
                         let _ = self.inbound.send(Inbound::Event(event));
                     }
                 },
-                Action::CloseIdle(endpoint) => {
+                Action::CloseIdleConnections(endpoint) => {
                     if let Some(carrier) = self.directory.carrier(endpoint) {
                         carrier.close_idle(endpoint);
                     }
                 }
                 // The watch goes on all the time.
-                Action::Watch => {}
-                Action::FetchList => self.whole_list.notify_one(),
-                Action::Tell { to, content } => {
+                Action::WatchEndpoints => {}
+                Action::FetchEndpoints => self.whole_list.notify_one(),
+                Action::SendGossip { to, content } => {
                     if let Some(peers) = &self.peers {
                         peers.tell(to, &content);
                     }
                 }
-                Action::Remind { at, token } => {
+                Action::SetTimer { at, token } => {
                     self.timers.insert((at, token));
                 }
                 Action::Log(line) => eprintln!("{line}"),
@@ -499,26 +506,26 @@
         }
         for (number, how) in given_up {
             let end = match how {
-                GivenUp::Deferred(_) => End::Throttled,
-                GivenUp::Undeliverable => End::Faulted,
+                Abandonment::Deferred(_) => End::Throttled,
+                Abandonment::Undeliverable => End::Faulted,
             };
             if let Some(fresh) = fresh.remove(&number) {
                 self.ends.count(&fresh.taken.class, end);
                 self.forget(number, &fresh.taken.id);
                 fresh.answer(match how {
-                    GivenUp::Deferred(again) => Answer::Refused(again),
-                    GivenUp::Undeliverable => Answer::Failed,
+                    Abandonment::Deferred(again) => Answer::Rejected(again),
+                    Abandonment::Undeliverable => Answer::Failed,
                 });
-            } else if let Some(taken) = self.journal.live().get(&number).map(|live| live.taken.clone()) {
+            } else if let Some(taken) = self.journal.live().get(&number).map(|live| live.message.clone()) {
                 self.untried.given_up(number, taken.deadline.saturating_sub(now));
                 self.ends.count(&taken.class, end);
-                records.push(Record::GivenUp(number, how));
+                records.push(Record::Abandoned(number, how));
                 self.unsaid.push((number, how, taken.id.clone()));
             }
         }
         let kept = records.len();
-        records.extend(fresh.iter().map(|(number, fresh)| Record::Taken(*number, fresh.taken.clone())));
-        records.extend(sends.iter().map(|send| Record::Begun {
+        records.extend(fresh.iter().map(|(number, fresh)| Record::Accepted(*number, fresh.taken.clone())));
+        records.extend(sends.iter().map(|send| Record::AttemptStarted {
             message: send.message.0,
             attempt: send.attempt,
             endpoint: self.directory.name(send.endpoint),
@@ -537,7 +544,7 @@
             self.withhold(records, fresh, &sends);
         } else {
             for fresh in fresh.into_values() {
-                fresh.answer(Answer::Taken);
+                fresh.answer(Answer::Accepted);
             }
             self.say_ends(now, true);
             self.begin(now, sends);
@@ -557,7 +564,7 @@
     /// this process end here and the next one deliver.
     fn say_ends(&mut self, now: Micros, written: bool) {
         for (number, how, id) in std::mem::take(&mut self.unsaid) {
-            let late = self.journal.live().get(&number).is_none_or(|live| live.taken.deadline <= now);
+            let late = self.journal.live().get(&number).is_none_or(|live| live.message.deadline <= now);
             if written || late {
                 self.notify(number, how, id);
             } else {
@@ -568,12 +575,12 @@
 
     /// Whether the module is told of the time that is left to a message as of this turn.
     fn is_as_of_now(&self, event: &Event) -> bool {
-        let (Event::Accepted(message) | Event::Resumed { message, .. }) = event else { return true };
+        let (Event::Accepted(message) | Event::Recovered { message, .. }) = event else { return true };
         let MessageId(number) = message.id;
         let fresh = self.fresh.get(&number).map(|fresh| &fresh.taken);
         let taken =
-            fresh.cloned().or_else(|| self.journal.live().get(&number).map(|live| live.taken.clone()));
-        taken.is_none_or(|taken| message.time_left == taken.deadline.saturating_sub(self.at))
+            fresh.cloned().or_else(|| self.journal.live().get(&number).map(|live| live.message.clone()));
+        taken.is_none_or(|taken| message.remaining_time == taken.deadline.saturating_sub(self.at))
     }
 
     fn say_ready(&self, name: &str, places: &[String]) {
@@ -596,15 +603,15 @@
     fn withhold(&mut self, records: Vec<Record>, fresh: BTreeMap<u32, Fresh>, sends: &[Send]) {
         self.unwritten = records;
         for &Send { message, attempt, endpoint, .. } in sends {
-            let outcome = Outcome::Moot { no_slot: false };
+            let outcome = Outcome::NotSent { no_slot: false };
             let end = AttemptOver::unsent(message, attempt, endpoint, outcome);
             let _ = self.inbound.send(Inbound::CallOver(vec![end]));
         }
         for (number, fresh) in fresh {
             self.forget(number, &fresh.taken.id);
             self.ends.count(&fresh.taken.class, End::Throttled);
-            let _ = self.inbound.send(Inbound::Event(Event::Left(MessageId(number))));
-            fresh.answer(Answer::Refused(NO_ROOM_AGAIN));
+            let _ = self.inbound.send(Inbound::Event(Event::Withdrawn(MessageId(number))));
+            fresh.answer(Answer::Rejected(NO_ROOM_AGAIN));
         }
     }
 
@@ -624,7 +631,7 @@
         let mut last: HashMap<EndpointId, usize> = HashMap::new();
         for Send { message, attempt, endpoint, timeout, leave_within, pace } in sends {
             let Some(live) = self.journal.live().get(&message.0) else { continue };
-            let Taken { id, key, body, .. } = (*live.taken).clone();
+            let AcceptedMessage { id, key, body, .. } = (*live.message).clone();
             // From when it was decided: the module answers for it at its end, which comes no sooner.
             let until = self.clock.instant(now.saturating_add(timeout));
             let leave = self.clock.instant(now.saturating_add(leave_within.min(timeout)));
@@ -677,13 +684,13 @@
     attempts.filter(|attempt| !attempt.never_ran).map(|attempt| &*attempt.endpoint)
 }
 
-fn message(number: u32, class: usize, taken: &Taken, now: Micros) -> Message {
+fn message(number: u32, class: usize, taken: &AcceptedMessage, now: Micros) -> Message {
     Message {
         id: MessageId(number),
         class,
         tenant: 0,
         key: None,
-        time_left: taken.deadline.saturating_sub(now),
+        remaining_time: taken.deadline.saturating_sub(now),
         hint: None,
         destination: DestinationId(taken.destination),
     }
--- a/crates/sender/src/driver/begin.rs
+++ b/crates/sender/src/driver/begin.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 use decision::interface::*;
-use handover::State;
-use journal::{GivenUp, Live, Record};
+use handover::HandoverState;
+use journal::{Abandonment, PendingMessage, Record};
 use known::belief::{Belief, LIST_GOOD_FOR};
 use ops::door::Door;
 
@@ -16,12 +16,22 @@
 
 impl Driver {
     /// What another process knew, with what is in the journal that it gave up.
-    pub(super) fn go_on(&mut self, state: State) -> Vec<Event> {
-        let State { endpoints, ids, given, index, held, next_message, attempts, out, .. } = state;
+    pub(super) fn go_on(&mut self, state: HandoverState) -> Vec<Event> {
+        let HandoverState {
+            endpoints,
+            ids,
+            ids_assigned: given,
+            index,
+            messages: held,
+            next_message,
+            attempts,
+            attempts_in_flight: out,
+            ..
+        } = state;
         self.directory.restore(endpoints, ids, given);
         (self.index, self.next_message) = (index, next_message);
         if let Store::Part(part) = &mut self.journal {
-            part.count_from(next_message);
+            part.number_from(next_message);
         }
         for (message, attempt, endpoint) in out {
             if let (Some(member), Some(destination)) =
@@ -36,16 +46,16 @@
         let mut kept = BTreeSet::new();
         for (number, live) in self.journal.live().iter() {
             let request = requests.get(number).copied().unwrap_or(0);
-            self.held.insert(live.taken.id.clone(), (*number, request));
-            match live.given_up {
-                Some(how) => self.unsaid.push((*number, how, live.taken.id.clone())),
+            self.held.insert(live.message.id.clone(), (*number, request));
+            match live.abandoned {
+                Some(how) => self.unsaid.push((*number, how, live.message.id.clone())),
                 None => drop(kept.insert(*number)),
             }
         }
         // Guards against a module and a journal that don't agree: the journal is what binds.
         let of_module = self.policy.messages();
         let mut said: Vec<_> =
-            of_module.iter().filter(|id| !kept.contains(&id.0)).map(|id| Event::Left(*id)).collect();
+            of_module.iter().filter(|id| !kept.contains(&id.0)).map(|id| Event::Withdrawn(*id)).collect();
         for number in kept {
             if self.policy.holds(MessageId(number)) {
                 continue;
@@ -64,7 +74,7 @@
     }
 
     /// All that the journal does not hold.
-    pub(super) fn state(&self, requests: u64) -> Result<State, String> {
+    pub(super) fn state(&self, requests: u64) -> Result<HandoverState, String> {
         let (endpoints, ids, given) = self.directory.save();
         let held = self.held.iter().map(|(id, (number, request))| (id.clone(), *number, *request));
         let waits = self.policy.waits().into_iter();
@@ -80,19 +90,19 @@
             Door::Standby(since) => Some(since),
             _ => None,
         };
-        Ok(State {
-            at: self.clock.now(),
+        Ok(HandoverState {
+            stopped_at: self.clock.now(),
             names: self.directory.names(),
             policy: self.policy.state().map_err(|e| e.to_string())?.into(),
             endpoints,
             ids,
-            given,
+            ids_assigned: given,
             index: self.index,
-            held: held.collect(),
+            messages: held.collect(),
             attempts: self.attempts.iter().map(|(number, count)| (*number, *count)).collect(),
             next_message,
             requests,
-            out,
+            attempts_in_flight: out,
             waits: waits.map(|(id, until)| (self.directory.name(id).to_string(), until)).collect(),
             standby,
         })
@@ -116,40 +126,41 @@
         // A wait that the process before was told binds this one too.
         for (name, until) in waits {
             let endpoint = self.directory.listed_id(&name).filter(|_| until > now);
-            said.extend(endpoint.map(|endpoint| Event::Wait { endpoint, wait: until - now }));
+            said.extend(endpoint.map(|endpoint| Event::RetryAfter { endpoint, wait: until - now }));
         }
-        let mut live: Vec<(u32, Live)> = self.journal.live().iter().map(|(n, l)| (*n, l.clone())).collect();
+        let mut live: Vec<(u32, PendingMessage)> =
+            self.journal.live().iter().map(|(n, l)| (*n, l.clone())).collect();
         live.sort_unstable_by_key(|live| live.0);
         for (number, live) in live {
-            self.held.insert(live.taken.id.clone(), (number, NO_REQUEST));
-            let untried = live.given_up.is_none() && live.attempts.is_empty();
+            self.held.insert(live.message.id.clone(), (number, NO_REQUEST));
+            let untried = live.abandoned.is_none() && live.attempts.is_empty();
             if untried {
                 self.untried.resumed(number);
             }
-            if live.given_up.is_none()
+            if live.abandoned.is_none()
                 && let Some(event) = self.resumed(number, &live, set_back)
             {
                 said.push(event);
                 continue;
             }
-            let given_up = match live.given_up {
+            let given_up = match live.abandoned {
                 Some(how) => how,
                 // Its class is not one of the settings' any more, so that the module can't judge it.
-                None if !live.may_have_run() => GivenUp::Deferred(0),
-                None => GivenUp::Undeliverable,
+                None if !live.may_have_run() => Abandonment::Deferred(0),
+                None => Abandonment::Undeliverable,
             };
             self.untried.ended(number, Without::Unknown);
-            self.unwritten.push(Record::GivenUp(number, given_up));
-            self.unsaid.push((number, given_up, live.taken.id.clone()));
+            self.unwritten.push(Record::Abandoned(number, given_up));
+            self.unsaid.push((number, given_up, live.message.id.clone()));
         }
         (said, from)
     }
 
     /// A message that an earlier process took on, as the journal has it; none where its class is not one of the
     /// settings' any more.
-    fn resumed(&mut self, number: u32, live: &Live, set_back: bool) -> Option<Event> {
+    fn resumed(&mut self, number: u32, live: &PendingMessage, set_back: bool) -> Option<Event> {
         let now = self.at;
-        let class = self.directory.class(&live.taken.class)?;
+        let class = self.directory.class(&live.message.class)?;
         // Guards against a repeat outside the time for which it would be dropped: an age that is not known is beyond
         // any such time.
         let ago = |at: Micros| if set_back { now } else { now.saturating_sub(at) };
@@ -158,8 +169,8 @@
             ran.map(|attempt| (ago(attempt.at), self.directory.id_of_attempt(&attempt.endpoint))).collect();
         let attempts = live.attempts.last().map_or(0, |last| last.number + 1);
         self.attempts.insert(number, attempts);
-        let message = message(number, class, &live.taken, now);
-        let effect = self.meanings.get(&*live.taken.class).copied();
-        Some(Event::Resumed { message, attempts: attempts.into(), may_have_run, effect })
+        let message = message(number, class, &live.message, now);
+        let effect = self.meanings.get(&*live.message.class).copied();
+        Some(Event::Recovered { message, attempts: attempts.into(), may_have_run, idempotency: effect })
     }
 }
--- a/crates/sender/src/driver/learnt.rs
+++ b/crates/sender/src/driver/learnt.rs
@@ -19,10 +19,10 @@
                 let unlisted = EndpointId([u8::MAX; 6]);
                 let id = |name: &String| self.directory.listed_id(name).unwrap_or(unlisted);
                 let route = (destination, believed.endpoint.as_ref().map(id));
-                Event::Learnt { route, learnt: believed.learnt }
+                Event::SnapshotRestored { route, snapshot: believed.learnt }
             })
             .collect();
-        said.extend(belief.lost.then_some(Event::LearntLost));
+        said.extend(belief.lost.then_some(Event::SnapshotLost));
         said
     }
 
@@ -34,12 +34,12 @@
         let now = self.clock.now();
         for event in said {
             let (endpoint, pressing) = match event {
-                Event::Ended { endpoint, outcome, .. } => {
-                    (endpoint, matches!(outcome, Outcome::Full(Some(_))))
+                Event::AttemptCompleted { endpoint, outcome, .. } => {
+                    (endpoint, matches!(outcome, Outcome::Rejected(Some(_))))
                 }
-                Event::Wait { endpoint, .. } => (endpoint, true),
-                Event::Probed { endpoint, .. } => (endpoint, false),
-                Event::ListFailed => {
+                Event::RetryAfter { endpoint, .. } => (endpoint, true),
+                Event::HealthChecked { endpoint, .. } => (endpoint, false),
+                Event::DiscoveryFailed => {
                     self.list_is_good = false;
                     continue;
                 }
--- a/crates/sender/src/driver/taking.rs
+++ b/crates/sender/src/driver/taking.rs
@@ -1,7 +1,7 @@
 //! What becomes of a message between its client and its end: handed in, withdrawn, an attempt's outcome, over.
 
 use decision::interface::*;
-use journal::{GivenUp, Record, Remembered};
+use journal::{Abandonment, LedgerEntry, Record};
 use ops::figures::End;
 
 use super::{Driver, Fresh, NO_REQUEST, NO_ROOM_AGAIN, UNLISTED_AGAIN, message};
@@ -17,14 +17,14 @@
             *by = NO_REQUEST;
             match self.fresh.get_mut(number) {
                 Some(fresh) => fresh.answers.push((request, answer)),
-                None => drop(answer.send(Answer::Taken)),
+                None => drop(answer.send(Answer::Accepted)),
             }
             return;
         }
         // Guards the room against messages that nobody takes: a new destination's first list may be on its way.
         if !self.directory.names_destination(taken.destination) {
             self.ends.count(&taken.class, End::Throttled);
-            let _ = answer.send(Answer::Refused(UNLISTED_AGAIN));
+            let _ = answer.send(Answer::Rejected(UNLISTED_AGAIN));
             return;
         }
         // Guards an effect against a second copy by the same id: how it ended is told, and it is not sent again.
@@ -37,12 +37,12 @@
         let pending: u64 = self.fresh.values().map(|fresh| self.journal.room_for(&fresh.taken)).sum();
         if !self.journal.has_room(&taken, pending) {
             self.ends.count(&taken.class, End::Throttled);
-            let _ = answer.send(Answer::Refused(NO_ROOM_AGAIN));
+            let _ = answer.send(Answer::Rejected(NO_ROOM_AGAIN));
             return;
         }
         let Some(number) = self.number() else {
             self.ends.count(&taken.class, End::Throttled);
-            let _ = answer.send(Answer::Refused(NO_ROOM_AGAIN));
+            let _ = answer.send(Answer::Rejected(NO_ROOM_AGAIN));
             return;
         };
         said.push(Event::Accepted(self::message(number, class, &taken, self.at)));
@@ -53,7 +53,7 @@
     /// A number that no message has; none while the cores' journal is another process's.
     fn number(&mut self) -> Option<u32> {
         if let Store::Part(part) = &mut self.journal {
-            return part.number().ok();
+            return part.next_message_number().ok();
         }
         let mut number = self.next_message;
         // Guards a message that has lived through all numbers against another under its own.
@@ -78,20 +78,20 @@
         } else {
             return;
         }
-        said.push(Event::Left(MessageId(number)));
+        said.push(Event::Withdrawn(MessageId(number)));
         self.forget(number, id);
     }
 
     pub(super) fn ended(&mut self, end: AttemptOver) -> Event {
         let number = end.message.0;
         let live = self.journal.live().get(&number);
-        let owed = live.filter(|live| live.given_up.is_none()).map(|live| live.taken.clone());
+        let owed = live.filter(|live| live.abandoned.is_none()).map(|live| live.message.clone());
         // Over already, or given up: what comes now changes nothing.
         let mut terminal = true;
         if let Some(taken) =
             owed.filter(|taken| self.held.get(&taken.id).is_some_and(|held| held.0 == number))
         {
-            terminal = end.gone || end.outcome == Outcome::Delivered;
+            terminal = end.message_completed || end.outcome == Outcome::Delivered;
             if terminal {
                 if end.outcome == Outcome::Delivered {
                     self.ends.count(&taken.class, End::Fulfilled);
@@ -100,10 +100,14 @@
                 self.forget(number, &taken.id);
             } else {
                 let never_ran = end.outcome.never_ran();
-                self.unwritten.push(Record::Ended { message: number, attempt: end.attempt, never_ran });
+                self.unwritten.push(Record::AttemptEnded {
+                    message: number,
+                    attempt: end.attempt,
+                    never_ran,
+                });
             }
         }
-        Event::Ended {
+        Event::AttemptCompleted {
             message: end.message,
             attempt: end.attempt,
             endpoint: end.endpoint,
@@ -118,13 +122,13 @@
     /// installation keeps a ledger; what was handed back unseen may come again.
     pub(super) fn over(&mut self, number: u32, delivered: bool) {
         if let Some(live) = self.journal.live().get(&number)
-            && self.journal.retains(&live.taken.class)
-            && (delivered || live.may_have_run() || live.given_up == Some(GivenUp::Undeliverable))
+            && self.journal.retains(&live.message.class)
+            && (delivered || live.may_have_run() || live.abandoned == Some(Abandonment::Undeliverable))
         {
-            let (id, at) = (live.taken.id.clone(), self.clock.now());
-            self.unwritten.push(Record::Remembered(Remembered { id, delivered, at }));
+            let (id, at) = (live.message.id.clone(), self.clock.now());
+            self.unwritten.push(Record::LedgerEntry(LedgerEntry { id, delivered, at }));
         }
-        self.unwritten.push(Record::Over(number));
+        self.unwritten.push(Record::Completed(number));
     }
 
     pub(super) fn forget(&mut self, number: u32, id: &str) {
--- a/crates/sender/src/driver/team.rs
+++ b/crates/sender/src/driver/team.rs
@@ -215,7 +215,7 @@
                 self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
             Say::Listed(list) => self.fold(Inbound::Listed(list), said),
-            Say::ListFailed => said.push(Event::ListFailed),
+            Say::ListFailed => said.push(Event::DiscoveryFailed),
             Say::HeldOut(held_out, done) => {
                 said.push(self.directory.hold_out(held_out));
                 self.when_turned.push(done);
@@ -241,10 +241,14 @@
     /// A wait that an endpoint told, which no list need name any more: then it is its destination's.
     fn wait(&self, destination: u16, name: &str, wait: Micros) -> Event {
         match self.directory.listed_id(name) {
-            Some(endpoint) => Event::Wait { endpoint, wait },
+            Some(endpoint) => Event::RetryAfter { endpoint, wait },
             None => {
-                let learnt = Learnt { wait_until: self.clock.now() + wait, ..Learnt::default() };
-                Event::Learnt { route: (DestinationId(destination), Some(UNLISTED)), learnt }
+                let learnt =
+                    RouteSnapshot { wait_until: self.clock.now() + wait, ..RouteSnapshot::default() };
+                Event::SnapshotRestored {
+                    route: (DestinationId(destination), Some(UNLISTED)),
+                    snapshot: learnt,
+                }
             }
         }
     }
@@ -258,7 +262,7 @@
                 if let Err(Say::HandedIn(message)) =
                     member.post.try_say(member.owners.of(destination), Say::HandedIn(message))
                 {
-                    let _ = message.answer.send(Answer::Refused(BUSY_AGAIN));
+                    let _ = message.answer.send(Answer::Rejected(BUSY_AGAIN));
                 }
                 None
             }
@@ -292,7 +296,7 @@
                 Some(Inbound::CallOver(ours))
                     .filter(|ours| !matches!(ours, Inbound::CallOver(ours) if ours.is_empty()))
             }
-            Inbound::Event(Event::Wait { endpoint, wait }) => {
+            Inbound::Event(Event::RetryAfter { endpoint, wait }) => {
                 let listed = self.directory.destination(endpoint);
                 let destination = listed.or_else(|| member.router.destination(endpoint));
                 match destination.filter(|destination| !member.is_mine(*destination)) {
@@ -301,7 +305,7 @@
                         member.to_owner(destination, Say::Wait { destination, name, wait });
                         None
                     }
-                    None => Some(Inbound::Event(Event::Wait { endpoint, wait })),
+                    None => Some(Inbound::Event(Event::RetryAfter { endpoint, wait })),
                 }
             }
             // What one core hears for all.
@@ -309,9 +313,9 @@
                 member.others().for_each(|core| member.post.say(core, Say::Listed(list.clone())));
                 Some(Inbound::Listed(list))
             }
-            Inbound::Event(Event::ListFailed) if member.me() == Core(0) => {
+            Inbound::Event(Event::DiscoveryFailed) if member.me() == Core(0) => {
                 member.others().for_each(|core| member.post.say(core, Say::ListFailed));
-                Some(Inbound::Event(Event::ListFailed))
+                Some(Inbound::Event(Event::DiscoveryFailed))
             }
             Inbound::Terminate if member.me() == Core(0) => {
                 member.others().for_each(|core| member.post.say(core, Say::Terminate));
@@ -365,7 +369,7 @@
     pub(super) fn lease(&mut self, said: &mut Vec<Event>) {
         let Some(member) = &mut self.member else { return };
         let come =
-            said.iter().filter(|event| matches!(event, Event::Accepted(_) | Event::Resumed { .. })).count();
+            said.iter().filter(|event| matches!(event, Event::Accepted(_) | Event::Recovered { .. })).count();
         let (held, out, waiting) = (self.policy.held(), self.policy.calls_out(), self.policy.waiting());
         // The module begins to shed a sixteenth ahead of its room.
         let room_for = (held + come) * 16 / 15 + 2;
@@ -385,7 +389,7 @@
         }
         if member.told != (slots.lease, messages.lease) {
             member.told = (slots.lease, messages.lease);
-            said.push(Event::Room { slots: slots.lease, held: messages.lease });
+            said.push(Event::CapacityChanged { max_calls: slots.lease, max_messages: messages.lease });
         }
     }
 
@@ -518,7 +522,7 @@
         let Some(member) = self.member.as_ref().filter(|member| member.gathers) else { return };
         let owners = member.team().owners();
         let of_module = self.policy.known_destinations().into_iter().map(|destination| destination.0);
-        let held = self.journal.live().values().map(|live| live.taken.destination);
+        let held = self.journal.live().values().map(|live| live.message.destination);
         let all: BTreeSet<u16> = of_module.chain(held).filter(|d| owners.of(*d) == member.me()).collect();
         if all.into_iter().all(|destination| self.goes(destination, Core(0)))
             && let Some(member) = &mut self.member
@@ -543,8 +547,9 @@
     /// Parts with a destination, if that can be now.
     fn goes(&mut self, destination: u16, to: Core) -> bool {
         // Guards what is written or said half: a message that was given up stays until its notice is kept.
-        let given_up =
-            |live: &journal::Live| live.taken.destination == destination && live.given_up.is_some();
+        let given_up = |live: &journal::PendingMessage| {
+            live.message.destination == destination && live.abandoned.is_some()
+        };
         let written = self.unwritten.is_empty() && self.fresh.is_empty() && self.unsaid.is_empty();
         if !written || self.directory.is_behind() || self.journal.live().values().any(given_up) {
             return false;
@@ -561,12 +566,12 @@
         let numbers: Vec<u32> = parcel.messages().map(|message| message.0).collect();
         let mut lives = Vec::new();
         if let Store::Part(part) = &mut self.journal {
-            lives = part.part(numbers.iter().copied());
+            lives = part.detach(numbers.iter().copied());
         }
         let mut held = Vec::new();
         for (number, live) in &lives {
-            if let Some((_, request)) = self.held.remove(&live.taken.id) {
-                held.push((live.taken.id.clone(), *number, request));
+            if let Some((_, request)) = self.held.remove(&live.message.id) {
+                held.push((live.message.id.clone(), *number, request));
             }
         }
         let attempts = numbers.iter().filter_map(|n| Some((*n, self.attempts.remove(n)?))).collect();
@@ -620,7 +625,7 @@
             ids.insert(id, ours);
         }
         if let Store::Part(part) = &mut self.journal {
-            part.join(lives);
+            part.attach(lives);
         }
         self.held.extend(held.into_iter().map(|(id, number, request)| (id, (number, request))));
         self.attempts.extend(attempts);
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
-use handover::{Answer, Outs, State, ToNew, ToOld, step};
+use handover::{Answer, HandoverState, OutstandingAttempts, ToPredecessor, ToSuccessor, step};
 use ops::call::Call;
 use ops::door::Door;
 use tokio::net::{UnixListener, UnixStream};
@@ -54,7 +54,9 @@
             };
             let mut link = Link::of(stream);
             let asked = timeout(ASK_WITHIN, link.receive()).await;
-            if matches!(asked, Ok(Ok(ToOld::Ask))) && inbound.send(Inbound::Successor(link)).is_err() {
+            if matches!(asked, Ok(Ok(ToPredecessor::RequestTakeover)))
+                && inbound.send(Inbound::Successor(link)).is_err()
+            {
                 return;
             }
         }
@@ -72,10 +74,10 @@
 ///
 /// # Errors
 /// Fails when the other process breaks off, or says something else.
-pub async fn ask(mut link: Link) -> Result<(Link, State), String> {
-    link.send(&ToOld::Ask).await?;
+pub async fn ask(mut link: Link) -> Result<(Link, HandoverState), String> {
+    link.send(&ToPredecessor::RequestTakeover).await?;
     match link.receive().await? {
-        ToNew::State(state) => Ok((link, *state)),
+        ToSuccessor::State(state) => Ok((link, *state)),
         other => Err(format!("the process before says {other:?}")),
     }
 }
@@ -86,12 +88,12 @@
 /// # Errors
 /// Fails when the other process breaks off.
 pub async fn took(link: &mut Link, understood: bool) -> Result<(), String> {
-    link.send(&ToOld::Took { understood }).await?;
+    link.send(&ToPredecessor::TookOver { understood }).await?;
     if understood {
         return Ok(());
     }
     match link.receive().await? {
-        ToNew::Silent => Ok(()),
+        ToSuccessor::Drained => Ok(()),
         other => Err(format!("the process before says {other:?}")),
     }
 }
@@ -100,10 +102,10 @@
 ///
 /// # Errors
 /// Fails when it did not take over, as far as is known.
-pub async fn offer(mut link: Link, state: &State) -> Result<(Link, bool), String> {
-    link.send(&ToNew::State(Box::new(state.clone()))).await?;
+pub async fn offer(mut link: Link, state: &HandoverState) -> Result<(Link, bool), String> {
+    link.send(&ToSuccessor::State(Box::new(state.clone()))).await?;
     match timeout(Duration::from_micros(step::TAKE_WITHIN), link.receive()).await {
-        Ok(Ok(ToOld::Took { understood })) => Ok((link, understood)),
+        Ok(Ok(ToPredecessor::TookOver { understood })) => Ok((link, understood)),
         Ok(Ok(other)) => Err(format!("it says {other:?}")),
         Ok(Err(e)) => Err(e),
         Err(_) => Err("it says nothing".to_owned()),
@@ -151,7 +153,7 @@
     let clock = carried.clock;
     let ready = carried.door.borrow().ready();
     carried.door.send_replace(Door::HandedOver { since: clock.now(), ready });
-    let (say, mut heard, writing) = link.split::<ToNew, ToOld>();
+    let (say, mut heard, writing) = link.split::<ToSuccessor, ToPredecessor>();
     if !understood {
         let out = carried.carriers.iter().flat_map(|carrier| carrier.outs());
         out.collect::<Vec<_>>()
@@ -160,7 +162,7 @@
         while carried.out() > 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let _ = say.send(ToNew::Silent);
+        let _ = say.send(ToSuccessor::Drained);
     }
     let mut waiting: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
     let mut callers: HashMap<u64, oneshot::Sender<Told>> = HashMap::new();
@@ -174,16 +176,16 @@
                 let message = match inbound {
                     Some(Inbound::HandedIn(HandedIn { taken, request, answer, .. })) => {
                         waiting.insert(number, answer);
-                        ToNew::HandedIn { number, taken: Arc::unwrap_or_clone(taken), request }
+                        ToSuccessor::Submitted { number, message: Arc::unwrap_or_clone(taken), request }
                     }
                     Some(Inbound::Withdrawn { id, request, destination }) => {
-                        ToNew::Withdrawn { id, request, destination }
+                        ToSuccessor::Withdrawn { id, request, destination }
                     }
                     // Calls that were called off for a process that does not know of them.
                     Some(Inbound::CallOver(_)) if !understood => continue,
-                    Some(Inbound::CallOver(over)) => ToNew::CallOver(over),
-                    Some(Inbound::Event(Event::Wait { endpoint, wait })) => ToNew::Wait(endpoint, wait),
-                    Some(Inbound::Event(Event::Kept { lost })) => ToNew::Kept { lost },
+                    Some(Inbound::CallOver(over)) => ToSuccessor::CallCompleted(over),
+                    Some(Inbound::Event(Event::RetryAfter { endpoint, wait })) => ToSuccessor::RetryAfter(endpoint, wait),
+                    Some(Inbound::Event(Event::ConnectionReused { lost })) => ToSuccessor::ConnectionReused { lost },
                     Some(Inbound::Ops(Call::Status, answer)) => {
                         let _ = answer.send(Told { status: 200, text: "handed over\n".into() });
                         continue;
@@ -202,7 +204,7 @@
                             _ => door,
                         });
                         callers.insert(number, answer);
-                        ToNew::Ops { number, call }
+                        ToSuccessor::AdminRequest { number, call }
                     }
                     Some(Inbound::Terminate) => {
                         stopping = stopping.or(Some(clock.now()));
@@ -215,18 +217,18 @@
                 let _ = say.send(message);
             }
             message = heard.recv() => match message {
-                Some(ToOld::Answer(number, answer)) => {
+                Some(ToPredecessor::Answer(number, answer)) => {
                     if let Some(waits) = waiting.remove(&number) {
                         let _ = waits.send(answer);
                     }
                 }
-                Some(ToOld::Told(number, status, text)) => {
+                Some(ToPredecessor::AdminResponse(number, status, text)) => {
                     if let Some(waits) = callers.remove(&number) {
                         let _ = waits.send(Told { status, text });
                     }
                 }
-                Some(ToOld::Cancel(message, attempt)) => carried.cancel(message, attempt),
-                Some(ToOld::Ask | ToOld::Took { .. }) => {}
+                Some(ToPredecessor::Cancel(message, attempt)) => carried.cancel(message, attempt),
+                Some(ToPredecessor::RequestTakeover | ToPredecessor::TookOver { .. }) => {}
                 None => return Err("the process that took over is gone".to_owned()),
             },
             _ = look.tick() => {
@@ -242,8 +244,8 @@
 
 /// The old process, as what has calls out for the new one.
 pub struct Before {
-    outs: RefCell<Outs>,
-    say: UnboundedSender<ToOld>,
+    outs: RefCell<OutstandingAttempts>,
+    say: UnboundedSender<ToPredecessor>,
     /// It is still there.
     there: Cell<bool>,
 }
@@ -263,9 +265,12 @@
         inbound: UnboundedSender<Inbound>,
         gone: impl FnOnce() + 'static,
     ) -> Rc<Self> {
-        let (say, mut heard, _) = link.split::<ToOld, ToNew>();
-        let before =
-            Rc::new(Self { outs: RefCell::new(Outs::new(out)), say: say.clone(), there: Cell::new(true) });
+        let (say, mut heard, _) = link.split::<ToPredecessor, ToSuccessor>();
+        let before = Rc::new(Self {
+            outs: RefCell::new(OutstandingAttempts::new(out)),
+            say: say.clone(),
+            there: Cell::new(true),
+        });
         let (followed, began) = (before.clone(), clock.now());
         tokio::task::spawn_local(async move {
             while let Some(message) = heard.recv().await {
@@ -283,16 +288,16 @@
 
     fn heard(
         &self,
-        message: ToNew,
+        message: ToSuccessor,
         class: &impl Fn(&str) -> Option<usize>,
         inbound: &UnboundedSender<Inbound>,
     ) {
         let event = match message {
-            ToNew::HandedIn { number, taken, request } => {
+            ToSuccessor::Submitted { number, message: taken, request } => {
                 let (answer, answered) = oneshot::channel();
                 let say = self.say.clone();
                 tokio::task::spawn_local(async move {
-                    let _ = say.send(ToOld::Answer(number, answered.await.unwrap_or(Answer::Failed)));
+                    let _ = say.send(ToPredecessor::Answer(number, answered.await.unwrap_or(Answer::Failed)));
                 });
                 let Some(class) = class(&taken.class) else {
                     let _ = answer.send(Answer::Failed);
@@ -300,24 +305,26 @@
                 };
                 Inbound::HandedIn(HandedIn { taken: Arc::new(taken), class, request, answer })
             }
-            ToNew::Ops { number, call } => {
+            ToSuccessor::AdminRequest { number, call } => {
                 let (answer, answered) = oneshot::channel();
                 let say = self.say.clone();
                 tokio::task::spawn_local(async move {
                     let ending = Told { status: 503, text: "ending\n".into() };
                     let Told { status, text } = answered.await.unwrap_or(ending);
-                    let _ = say.send(ToOld::Told(number, status, text));
+                    let _ = say.send(ToPredecessor::AdminResponse(number, status, text));
                 });
                 Inbound::Ops(call, answer)
             }
-            ToNew::Withdrawn { id, request, destination } => Inbound::Withdrawn { id, request, destination },
-            ToNew::CallOver(over) => match self.outs.borrow_mut().ended(over) {
+            ToSuccessor::Withdrawn { id, request, destination } => {
+                Inbound::Withdrawn { id, request, destination }
+            }
+            ToSuccessor::CallCompleted(over) => match self.outs.borrow_mut().ended(over) {
                 over if over.is_empty() => return,
                 over => Inbound::CallOver(over),
             },
-            ToNew::Wait(endpoint, wait) => Inbound::Event(Event::Wait { endpoint, wait }),
-            ToNew::Kept { lost } => Inbound::Event(Event::Kept { lost }),
-            ToNew::State(_) | ToNew::Silent => return,
+            ToSuccessor::RetryAfter(endpoint, wait) => Inbound::Event(Event::RetryAfter { endpoint, wait }),
+            ToSuccessor::ConnectionReused { lost } => Inbound::Event(Event::ConnectionReused { lost }),
+            ToSuccessor::State(_) | ToSuccessor::Drained => return,
         };
         let _ = inbound.send(event);
     }
@@ -339,7 +346,7 @@
 
     fn cancel(&self, message: MessageId, attempt: u16) {
         if self.outs.borrow().contains(message, attempt) {
-            let _ = self.say.send(ToOld::Cancel(message, attempt));
+            let _ = self.say.send(ToPredecessor::Cancel(message, attempt));
         }
     }
 
--- a/crates/sender/src/http/calls.rs
+++ b/crates/sender/src/http/calls.rs
@@ -101,7 +101,7 @@
     fn outcome_of(&self, at: usize, outcome: Outcome) -> Outcome {
         let sent = self.sent.borrow();
         match sent.get(at) {
-            Some(false) => Outcome::Moot { no_slot: false },
+            Some(false) => Outcome::NotSent { no_slot: false },
             Some(true) if sent.iter().filter(|sent| **sent).count() == 1 && self.said_ok() => {
                 Outcome::Delivered
             }
@@ -291,7 +291,7 @@
         let shared = self.0.clone();
         let Some(line) = shared.line(endpoint) else {
             let (outcome, report) = (Outcome::ConnectFailed, vec![]);
-            let _ = shared.inbound.send(Inbound::Event(Event::Probed { endpoint, outcome, report }));
+            let _ = shared.inbound.send(Inbound::Event(Event::HealthChecked { endpoint, outcome, report }));
             return;
         };
         tokio::task::spawn_local(async move {
@@ -306,7 +306,7 @@
                 let (mut conn, answer, new) =
                     shared.exchange((None, line), &request, until, Pace::default(), &progress).await?;
                 let (head, body) = answer.into_parts();
-                let body = conn.0.body(body).await.map_err(|()| Outcome::Spoilt)?;
+                let body = conn.0.body(body).await.map_err(|()| Outcome::InvalidResponse)?;
                 shared.keep(line, conn).await;
                 let mut report = shared.report(&head.headers);
                 if report.is_empty() {
@@ -320,7 +320,7 @@
                 Err(_) if progress.may_run.get() => (Outcome::TimedOut, vec![]),
                 Err(_) => (Outcome::ConnectFailed, vec![]),
             };
-            let _ = shared.inbound.send(Inbound::Event(Event::Probed { endpoint, outcome, report }));
+            let _ = shared.inbound.send(Inbound::Event(Event::HealthChecked { endpoint, outcome, report }));
         });
     }
 
@@ -401,7 +401,7 @@
             }
         }
         if !self.make_room() {
-            return Err(Outcome::Moot { no_slot: true });
+            return Err(Outcome::NotSent { no_slot: true });
         }
         let until = until.min(Instant::now() + Duration::from_micros(self.limits.connect));
         match timeout_at(until, Conn::open(line.address)).await {
@@ -464,7 +464,7 @@
             };
             let Some((request, last)) = request else {
                 self.keep(line, conn).await;
-                return Err(Outcome::Moot { no_slot: false });
+                return Err(Outcome::NotSent { no_slot: false });
             };
             let length = request.body().len() as u64;
             let before = conn.0.passed.written.get();
@@ -477,18 +477,18 @@
             let written = conn.0.passed.written.get() - before;
             let never_left = !progress.may_run.get() || written <= length;
             if reused {
-                let _ = self.inbound.send(Inbound::Event(Event::Kept { lost: answer.is_err() }));
+                let _ = self.inbound.send(Inbound::Event(Event::ConnectionReused { lost: answer.is_err() }));
             }
             match answer {
                 Ok(answer) => return Ok((conn, answer, !reused)),
-                Err(Unanswered::Stayed) => return Err(Outcome::Moot { no_slot: false }),
+                Err(Unanswered::Stayed) => return Err(Outcome::NotSent { no_slot: false }),
                 // The last byte never left: on a new connection it is no second copy.
                 Err(_) if never_left && reused => {
                     may_reuse = false;
                     progress.may_run.set(false);
                 }
                 Err(_) if never_left => return Err(Outcome::ConnectFailed),
-                Err(Unanswered::Spoilt) => return Err(Outcome::Spoilt),
+                Err(Unanswered::Spoilt) => return Err(Outcome::InvalidResponse),
                 Err(Unanswered::Broken) => return Err(Outcome::Reset),
             }
         }
@@ -521,7 +521,7 @@
         // Those that were left behind never ran.
         let all = |ends: Vec<(Outcome, bool)>| {
             let mut ends = ends.into_iter();
-            let left = (Outcome::Moot { no_slot: false }, false);
+            let left = (Outcome::NotSent { no_slot: false }, false);
             (0..whole).map(|at| if sent[at] { ends.next().unwrap_or(left) } else { left }).collect::<Vec<_>>()
         };
         let (head, body) = answer.into_parts();
@@ -531,20 +531,20 @@
             return Ok(Answered { ends, report, wait: None, rest: Some((conn, Some(body))) });
         }
         // Guards against believing a head whose rest is spoilt: only a whole answer proves anything.
-        let body = conn.0.body(body).await.map_err(|()| Outcome::Spoilt)?;
+        let body = conn.0.body(body).await.map_err(|()| Outcome::InvalidResponse)?;
         let wait = told_wait(&head.headers);
         if parts.len() > 1 && head.status == StatusCode::OK {
-            let told: Vec<BatchEnd> = serde_json::from_slice(&body).map_err(|_| Outcome::Spoilt)?;
+            let told: Vec<BatchEnd> = serde_json::from_slice(&body).map_err(|_| Outcome::InvalidResponse)?;
             let states: HashMap<&str, &str> =
                 told.iter().map(|end| (end.id.as_str(), end.state.as_str())).collect();
             let end = |p: &&Part| match states.get(p.id.as_str()).copied() {
                 Some("ok") => (Outcome::Delivered, false),
-                Some("later") => (Outcome::Full(wait), false),
-                Some("gone") => (Outcome::Moot { no_slot: false }, true),
-                Some("exhausted") => (Outcome::Moot { no_slot: false }, false),
+                Some("later") => (Outcome::Rejected(wait), false),
+                Some("gone") => (Outcome::NotSent { no_slot: false }, true),
+                Some("exhausted") => (Outcome::NotSent { no_slot: false }, false),
                 Some("error") => (Outcome::Error, false),
                 // What is not told, or can't be read, may have run.
-                _ => (Outcome::Spoilt, false),
+                _ => (Outcome::InvalidResponse, false),
             };
             let ends = all(parts.iter().map(end).collect());
             return Ok(Answered { ends, report, wait, rest: Some((conn, None)) });
@@ -553,7 +553,7 @@
         let end = (outcome(head.status, &head.headers, unseen), head.status == StatusCode::GONE);
         // What comes behind it may belong to it, so that its length was spoilt.
         if end.0.never_ran() && !conn.0.quiet().await {
-            return Err(Outcome::Spoilt);
+            return Err(Outcome::InvalidResponse);
         }
         Ok(Answered { ends: all(vec![end; parts.len()]), report, wait, rest: Some((conn, None)) })
     }
@@ -569,10 +569,18 @@
                 self.written.set(self.written.get() + 1);
             }
             let (outcome, gone, report) = (*outcome, *gone, answered.report.clone());
-            over.push(AttemptOver { message, attempt, endpoint, outcome, gone, took, report });
+            over.push(AttemptOver {
+                message,
+                attempt,
+                endpoint,
+                outcome,
+                message_completed: gone,
+                took,
+                report,
+            });
         }
         if let Some(wait) = answered.wait {
-            let _ = self.inbound.send(Inbound::Event(Event::Wait { endpoint, wait }));
+            let _ = self.inbound.send(Inbound::Event(Event::RetryAfter { endpoint, wait }));
         }
         let _ = self.inbound.send(Inbound::CallOver(over));
     }
@@ -676,14 +684,14 @@
 fn outcome(status: StatusCode, headers: &HeaderMap, unseen: bool) -> Outcome {
     match status.as_u16() {
         200 => Outcome::Delivered,
-        429 => Outcome::Full(told_wait(headers)),
+        429 => Outcome::Rejected(told_wait(headers)),
         503 if headers.get("x-line-busy").is_some_and(|v| v.as_bytes() == b"1") => {
-            Outcome::Moot { no_slot: true }
+            Outcome::NotSent { no_slot: true }
         }
-        503 if unseen && told_wait(headers).is_none() && closes(headers) => Outcome::Crowded,
-        503 => Outcome::Full(told_wait(headers)),
+        503 if unseen && told_wait(headers).is_none() && closes(headers) => Outcome::ConnectionRejected,
+        503 => Outcome::Rejected(told_wait(headers)),
         // Not sent, not for this endpoint, or not to be read there: it never ran.
-        400 | 404 | 410 | 413 | 504 => Outcome::Moot { no_slot: false },
+        400 | 404 | 410 | 413 | 504 => Outcome::NotSent { no_slot: false },
         _ => Outcome::Error,
     }
 }
@@ -696,7 +704,8 @@
     #[test]
     fn a_delivery_that_is_read_after_the_end_of_the_wait_is_none() {
         let until = Instant::now();
-        let all = [(Outcome::Delivered, false), (Outcome::Full(None), false), (Outcome::Delivered, false)];
+        let all =
+            [(Outcome::Delivered, false), (Outcome::Rejected(None), false), (Outcome::Delivered, false)];
         let read = |now| {
             let mut ends = all;
             in_time(&mut ends, now, until);
--- a/crates/sender/src/http/intake.rs
+++ b/crates/sender/src/http/intake.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{Notify, mpsc::UnboundedSender, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
-use journal::Taken;
+use journal::AcceptedMessage;
 use ops::door::Door;
 
 use crate::cores::{Post, Say};
@@ -358,7 +358,7 @@
         match other.filter(|(post, owner)| *owner != post.me()) {
             Some((post, owner)) => {
                 if let Err(Say::HandedIn(message)) = post.try_say(owner, Say::HandedIn(message)) {
-                    let _ = message.answer.send(Answer::Refused(crate::cores::BUSY_AGAIN));
+                    let _ = message.answer.send(Answer::Rejected(crate::cores::BUSY_AGAIN));
                 }
                 Some(owner)
             }
@@ -495,7 +495,8 @@
         let deadline = came + left;
         let class_name = self.classes[class].0.clone();
         let body = body.to_bytes();
-        let taken = Arc::new(Taken { id: id.clone(), key, class: class_name, destination, deadline, body });
+        let taken =
+            Arc::new(AcceptedMessage { id: id.clone(), key, class: class_name, destination, deadline, body });
         let request = next(&self.requests);
         let (answer, answered) = oneshot::channel();
         let to = self.hand_on(HandedIn { taken, class, request, answer });
@@ -503,9 +504,9 @@
         let answered = answered.await;
         withdrawal.id = None;
         match answered {
-            Ok(Answer::Taken) => plain(StatusCode::ACCEPTED, ""),
+            Ok(Answer::Accepted) => plain(StatusCode::ACCEPTED, ""),
             Ok(Answer::Delivered) => plain(StatusCode::OK, ""),
-            Ok(Answer::Refused(again)) => {
+            Ok(Answer::Rejected(again)) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
                 if again > 0 {
                     let seconds = format!("{:.3}", again as f64 / 1e6);
--- a/crates/sender/src/look.rs
+++ b/crates/sender/src/look.rs
@@ -6,7 +6,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use journal::disk::Folder;
-use journal::{Attempt, DamagedFile, GivenUp, Inspection, Live, Micros, inspect};
+use journal::{Abandonment, Attempt, DamagedFile, Inspection, Micros, PendingMessage, inspect};
 use serde_json::{Value, json};
 
 use crate::ports::Clock;
@@ -94,15 +94,15 @@
     let seen = look(folder)?;
     let now = Clock::new().now();
     print(seen.live.iter().map(|(number, live)| {
-        let taken = &live.taken;
+        let taken = &live.message;
         let left = match taken.deadline.checked_sub(now) {
             Some(left) => format!("{} s left", seconds(left)),
             None => format!("overdue for {} s", seconds(now - taken.deadline)),
         };
-        let owed = match live.given_up {
+        let owed = match live.abandoned {
             None => "to be delivered".to_owned(),
-            Some(GivenUp::Undeliverable) => "to be told undeliverable".to_owned(),
-            Some(GivenUp::Deferred(again)) => format!("to be told deferred by {} s", seconds(again)),
+            Some(Abandonment::Undeliverable) => "to be told undeliverable".to_owned(),
+            Some(Abandonment::Deferred(again)) => format!("to be told deferred by {} s", seconds(again)),
         };
         let attempts: Vec<_> = live.attempts.iter().map(|a| attempt(now, a)).collect();
         let attempts = if attempts.is_empty() { "no attempt".to_owned() } else { attempts.join(", ") };
@@ -112,14 +112,14 @@
     }))
 }
 
-fn exported(number: u32, live: &Live) -> Value {
-    let taken = &live.taken;
+fn exported(number: u32, live: &PendingMessage) -> Value {
+    let taken = &live.message;
     let attempts = live.attempts.iter().map(|a| {
         json!({"number": a.number, "endpoint": &*a.endpoint, "at_us": a.at, "may_have_run": !a.never_ran})
     });
-    let given_up = live.given_up.map(|how| match how {
-        GivenUp::Undeliverable => json!({"status": "undeliverable"}),
-        GivenUp::Deferred(again) => json!({"status": "deferred", "again_us": again}),
+    let given_up = live.abandoned.map(|how| match how {
+        Abandonment::Undeliverable => json!({"status": "undeliverable"}),
+        Abandonment::Deferred(again) => json!({"status": "deferred", "again_us": again}),
     });
     json!({
         "number": number, "id": taken.id, "key": taken.key, "class": &*taken.class,
--- a/crates/sender/src/meanings.rs
+++ b/crates/sender/src/meanings.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::Path;
 
-use decision::interface::{Effect, Group, Micros};
+use decision::interface::{Idempotency, IdempotencyScope, Micros};
 
 const FILE: &str = "classes";
 const NEW: &str = "classes.new";
@@ -16,12 +16,12 @@
 const BLOCK: u64 = 512;
 
 /// Effects of classes, by their names.
-pub type Meanings = BTreeMap<String, Effect>;
+pub type Meanings = BTreeMap<String, Idempotency>;
 
 /// What binds messages that are held, of these classes: the stricter of what they were taken on under and what the settings
 /// say now. One whose class was never written down is bound by the settings alone, as in the versions before.
 pub fn joined(before: &Meanings, now: &Meanings, held: &BTreeSet<String>) -> Meanings {
-    let joined = |(name, effect): (&String, &Effect)| {
+    let joined = |(name, effect): (&String, &Idempotency)| {
         let before = before.get(name).filter(|_| held.contains(name));
         (name.clone(), before.map_or(*effect, |before| before.stricter(*effect)))
     };
@@ -30,7 +30,7 @@
 
 /// What is kept free on the disk for classes of these names, in whole blocks. While the file is written anew there are two.
 pub fn reserved<'a>(names: impl Iterator<Item = &'a str>) -> u64 {
-    let widest = Effect::Keyed { group: Group::Endpoint, window: Micros::MAX };
+    let widest = Idempotency::Keyed { scope: IdempotencyScope::Endpoint, window: Micros::MAX };
     let all: Meanings = names.map(|name| (name.to_owned(), widest)).collect();
     let length = serde_json::to_vec(&all).map_or(ROOM, |text| text.len().min(ROOM));
     2 * (length as u64).next_multiple_of(BLOCK)
@@ -73,15 +73,29 @@
 
     #[test]
     fn what_is_held_is_bound_by_both_and_what_is_not_by_the_settings_alone() {
-        let keyed = |window| Effect::Keyed { group: Group::All, window };
-        let map = |of: &[(&str, Effect)]| of.iter().map(|(n, e)| ((*n).to_owned(), *e)).collect::<Meanings>();
-        let before =
-            map(&[("a", Effect::Once), ("b", keyed(5)), ("c", Effect::Once), ("gone", Effect::Once)]);
-        let now =
-            map(&[("a", Effect::Repeatable), ("b", keyed(9)), ("c", keyed(3)), ("new", Effect::Repeatable)]);
+        let keyed = |window| Idempotency::Keyed { scope: IdempotencyScope::All, window };
+        let map =
+            |of: &[(&str, Idempotency)]| of.iter().map(|(n, e)| ((*n).to_owned(), *e)).collect::<Meanings>();
+        let before = map(&[
+            ("a", Idempotency::NonIdempotent),
+            ("b", keyed(5)),
+            ("c", Idempotency::NonIdempotent),
+            ("gone", Idempotency::NonIdempotent),
+        ]);
+        let now = map(&[
+            ("a", Idempotency::Idempotent),
+            ("b", keyed(9)),
+            ("c", keyed(3)),
+            ("new", Idempotency::Idempotent),
+        ]);
         let held = ["a", "b", "gone", "new"].map(str::to_owned).into();
         let joined = joined(&before, &now, &held);
-        let expected = [("a", Effect::Once), ("b", keyed(5)), ("c", keyed(3)), ("new", Effect::Repeatable)];
+        let expected = [
+            ("a", Idempotency::NonIdempotent),
+            ("b", keyed(5)),
+            ("c", keyed(3)),
+            ("new", Idempotency::Idempotent),
+        ];
         assert_eq!(joined, map(&expected));
     }
 
@@ -89,15 +103,16 @@
     fn it_is_read_as_it_was_written_and_says_what_is_wrong_with_it() {
         let folder = tempfile::tempdir().unwrap();
         assert_eq!(read(folder.path()), Ok(Meanings::new()));
-        let keyed = Effect::Keyed { group: Group::Zone, window: 7 };
-        let meanings: Meanings = [("a".to_owned(), keyed), ("b".to_owned(), Effect::Once)].into();
+        let keyed = Idempotency::Keyed { scope: IdempotencyScope::Zone, window: 7 };
+        let meanings: Meanings =
+            [("a".to_owned(), keyed), ("b".to_owned(), Idempotency::NonIdempotent)].into();
         write(folder.path(), &meanings).unwrap();
         let length = fs::metadata(folder.path().join(FILE)).unwrap().len();
         assert!(reserved(["a", "b"].into_iter()) >= 2 * length.next_multiple_of(BLOCK));
         assert_eq!(read(folder.path()), Ok(meanings));
         fs::write(folder.path().join(FILE), "{").unwrap();
         assert!(read(folder.path()).unwrap_err().contains("classes: "));
-        let long: Meanings = [("x".repeat(ROOM), Effect::Once)].into();
+        let long: Meanings = [("x".repeat(ROOM), Idempotency::NonIdempotent)].into();
         assert!(write(folder.path(), &long).unwrap_err().contains("over 8192 bytes"));
     }
 }
--- a/crates/sender/src/peers.rs
+++ b/crates/sender/src/peers.rs
@@ -45,7 +45,7 @@
                 else {
                     continue;
                 };
-                let event = Event::Note { from: rank, content: note[..size].to_vec() };
+                let event = Event::GossipReceived { from: rank, content: note[..size].to_vec() };
                 if inbound.send(Inbound::Event(event)).is_err() {
                     return;
                 }
--- a/crates/sender/src/platform.rs
+++ b/crates/sender/src/platform.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, watch::Receiver};
 use tokio::time::timeout;
 
-use journal::GivenUp;
+use journal::Abandonment;
 
 use crate::again::{Again, Unanswered};
 use crate::http::conn::Conn;
@@ -150,7 +150,7 @@
                 if let Ok(Ok(())) = timeout(again.rest(how), discovery.changed()).await {
                     from = None;
                 }
-                Inbound::Event(Event::ListFailed)
+                Inbound::Event(Event::DiscoveryFailed)
             }
         };
         if inbound.send(said).is_err() {
@@ -167,7 +167,7 @@
     /// Its `Req-Id`.
     pub id: String,
     /// How it ended.
-    pub how: GivenUp,
+    pub how: Abandonment,
 }
 
 #[derive(Serialize)]
@@ -180,8 +180,8 @@
 
 fn line(notice: &Notice) -> Vec<u8> {
     let (status, again) = match notice.how {
-        GivenUp::Deferred(again) => ("deferred", Some(again.div_ceil(1000)).filter(|ms| *ms > 0)),
-        GivenUp::Undeliverable => ("undeliverable", None),
+        Abandonment::Deferred(again) => ("deferred", Some(again.div_ceil(1000)).filter(|ms| *ms > 0)),
+        Abandonment::Undeliverable => ("undeliverable", None),
     };
     let mut line =
         serde_json::to_vec(&NoticeLine { id: &notice.id, status, again_ms: again }).unwrap_or_default();
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use decision::interface::{EndpointId, Event, MessageId, Micros, RouteId};
-pub use handover::{Answer, Over as AttemptOver};
-use journal::Taken;
+pub use handover::{Answer, AttemptCompleted as AttemptOver};
+use journal::AcceptedMessage;
 use tokio::sync::oneshot;
 
 use crate::link::Link;
@@ -134,7 +134,7 @@
 #[derive(Debug)]
 pub struct HandedIn {
     /// The message.
-    pub taken: Arc<Taken>,
+    pub taken: Arc<AcceptedMessage>,
     /// Its class's position in the settings.
     pub class: usize,
     /// The request's number, from 1.
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -7,11 +7,11 @@
 
 use ::known::belief::Belief;
 use cores::{Core, Owners, Pool};
-use decision::interface::{Effect, EndpointId, MessageId, Micros, Settings};
+use decision::interface::{EndpointId, Idempotency, MessageId, Micros, Settings};
 use decision::policy::Policy;
-use handover::State;
+use handover::HandoverState;
 use handover::step::{self, After, Found, Start};
-use journal::{Journal, OpenError, Part};
+use journal::{Journal, JournalPart, OpenError};
 use operators::Operators;
 use ops::door::Door;
 use ops::figures::Ends;
@@ -51,8 +51,8 @@
     let table = &operators.journal;
     let retain = table.retain.zip(table.ledger).map(|(span, size)| {
         let classes = config.names.classes.iter().zip(&config.settings.classes);
-        let once = classes.filter(|(_, class)| class.effect == Effect::Once);
-        journal::Retain {
+        let once = classes.filter(|(_, class)| class.idempotency == Idempotency::NonIdempotent);
+        journal::LedgerOptions {
             span: span.micros,
             bytes: size.bytes,
             classes: once.map(|(name, _)| name.clone()).collect(),
@@ -91,7 +91,7 @@
     config: &Config,
     operators: &Operators,
     beside: bool,
-) -> Result<(Journal, Option<(Link, State)>), String> {
+) -> Result<(Journal, Option<(Link, HandoverState)>), String> {
     let locked = || format!("journal in {}: {}", config.state.display(), OpenError::Locked);
     let began = Clock::new();
     let start = began.now();
@@ -119,13 +119,13 @@
 
 /// What binds what was taken on, by its class, and is written down for the next process before this one takes anything on.
 fn meanings(config: &Config, journal: &Journal) -> Meanings {
-    let effects = config.settings.classes.iter().map(|class| class.effect);
+    let effects = config.settings.classes.iter().map(|class| class.idempotency);
     let now: Meanings = config.names.classes.iter().cloned().zip(effects).collect();
     let before = meanings::read(&config.state).unwrap_or_else(|e| {
         eprintln!("{e}");
-        now.keys().map(|name| (name.clone(), Effect::Once)).collect()
+        now.keys().map(|name| (name.clone(), Idempotency::NonIdempotent)).collect()
     });
-    let held = journal.live().values().map(|live| live.taken.class.to_string()).collect();
+    let held = journal.live().values().map(|live| live.message.class.to_string()).collect();
     let joined = meanings::joined(&before, &now, &held);
     if joined != before
         && let Err(e) = meanings::write(&config.state, &joined)
@@ -136,7 +136,7 @@
 }
 
 /// What another process knew, if this one can read it.
-fn understood(config: &Config, state: &State, now: Micros) -> Option<Policy> {
+fn understood(config: &Config, state: &HandoverState, now: Micros) -> Option<Policy> {
     let names = &config.names;
     if state.names != [names.classes.clone(), names.kinds.clone(), names.zones.clone()] {
         eprintln!("the settings name other classes, kinds or zones than the process before knows");
@@ -175,7 +175,7 @@
         let most = (places(config, cores) / cores).max(1);
         let limits = Limits {
             connect: config.settings.connect_timeout.max(1),
-            idle: config.settings.idle_close,
+            idle: config.settings.idle_timeout,
             report: config.names.report.clone(),
         };
         let seen = door.subscribe();
@@ -206,10 +206,10 @@
 /// What settings say of the whole process and each module keeps for itself is divided: the pace and the number of those that
 /// wake, and what is remembered of those that sleep.
 fn divide(settings: &mut Settings, cores: usize) {
-    if let Some(dormant) = &mut settings.dormant {
-        dormant.wakes /= cores as f64;
-        dormant.most = (dormant.most / cores).max(1);
-        dormant.awake = (dormant.awake / cores).max(1);
+    if let Some(dormant) = &mut settings.idle {
+        dormant.activations_per_second /= cores as f64;
+        dormant.max_retained = (dormant.max_retained / cores).max(1);
+        dormant.max_active = (dormant.max_active / cores).max(1);
     }
 }
 
@@ -228,12 +228,13 @@
     }
     let settings = &config.settings;
     let room = Room {
-        slots: Pool::new(settings.slots, count),
-        held: Pool::new(settings.max_open, count),
+        slots: Pool::new(settings.max_calls, count),
+        held: Pool::new(settings.max_messages, count),
         connections: Pool::new(places(config, count) / if taken_over { PART } else { 1 }, count),
     };
     // What must arrive is bounded by what is out, held and open; as much again can be turned away.
-    let queue = 2 * (settings.slots * 2 + settings.max_open.min(16_384) + places(config, count)).max(1024);
+    let queue =
+        2 * (settings.max_calls * 2 + settings.max_messages.min(16_384) + places(config, count)).max(1024);
     let owners = if taken_over { Owners::all_on(count, Core(0)) } else { Owners::spread(count) };
     Ok(Some(Team::new(owners, room, queue)))
 }
@@ -244,7 +245,7 @@
     team: Arc<Team>,
     config: Config,
     clock: Clock,
-    part: Part,
+    part: JournalPart,
     held_out: HeldOut,
     door: watch::Sender<Door>,
     waits: Vec<(String, Micros)>,
@@ -315,12 +316,12 @@
     let beside = inherited.is_some();
     let (journal, told) = begin(&config, operators, beside).await?;
     let meanings = Arc::new(meanings(&config, &journal));
-    let aim = config.settings.classes.iter().map(|class| class.aim).min().unwrap_or(0);
+    let aim = config.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
     let sync = operators.journal.sync == operators::Sync::Group;
     let keeping = Keeping::of(&operators.known, config.disk, sync, aim);
     let mut memory = keeping.and_then(|keeping| known::open(&config.state, &config.name, &keeping));
     let written = memory.as_ref().map_or(0, |(_, snapshot)| snapshot.stamp.wall);
-    let latest = told.as_ref().map_or(0, |told| told.1.at).max(journal.latest()).max(written);
+    let latest = told.as_ref().map_or(0, |told| told.1.stopped_at).max(journal.latest()).max(written);
     let (clock, mut set_back) = Clock::after(latest);
     if set_back {
         eprintln!("the clock was set back since the last process: how old its attempts are is not known");
@@ -340,7 +341,7 @@
         if let Some(since) = state.standby {
             sides.door.send_replace(Door::Standby(since));
         }
-        let out = if policy.is_some() { state.out.clone() } else { Vec::new() };
+        let out = if policy.is_some() { state.attempts_in_flight.clone() } else { Vec::new() };
         before = Some(share_with(&sides, &config, other, out, &inbound, post.clone()));
         match policy {
             Some(policy) => taken_over = Some((state, policy)),
--- a/crates/sender/src/program.rs
+++ b/crates/sender/src/program.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::{Parser, Subcommand};
-use decision::interface::{Dormant, Micros, RouteId, SharedLaw};
+use decision::interface::{GossipConfig, IdlePolicy, Micros, RouteId};
 use operators::{BYTES_EACH, DormantTable, Operators, SharedTable};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -149,8 +149,8 @@
 fn run(operators: Operators) -> Result<(), String> {
     let inherited = inherited()?;
     let mut config = config::read()?;
-    config.settings.dormant = dormant(&operators.dormant);
-    config.settings.shared = shared(&operators.shared, &config)?;
+    config.settings.idle = dormant(&operators.dormant);
+    config.settings.gossip = shared(&operators.shared, &config)?;
     let runtime = pulse::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -183,7 +183,7 @@
 
 /// What the table says, with what it leaves out.
 /// What senders tell one another, where the operators' file and the platform have it.
-fn shared(table: &SharedTable, config: &Config) -> Result<Option<SharedLaw>, String> {
+fn shared(table: &SharedTable, config: &Config) -> Result<Option<GossipConfig>, String> {
     if !table.on {
         return Ok(None);
     }
@@ -201,18 +201,18 @@
     let run = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as u32);
     let bytes = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64));
     let (broadcast, lends) = (config.peers_all.is_some(), table.lends);
-    Ok(Some(SharedLaw { me, run, senders, broadcast, bytes, lends }))
+    Ok(Some(GossipConfig { me, run, senders, broadcast, bytes, lends }))
 }
 
-fn dormant(table: &DormantTable) -> Option<Dormant> {
+fn dormant(table: &DormantTable) -> Option<IdlePolicy> {
     let after = table.after?.micros;
     let memory = table.memory.map_or(MEMORY, |size| size.bytes);
-    let most = usize::try_from(memory / dormant::bytes_each::<RouteId>() as u64).unwrap_or(usize::MAX);
-    Some(Dormant {
-        after,
-        remember: table.remember.map_or(REMEMBER, |span| span.micros).max(after),
-        most: most.max(1),
-        awake: table.awake.map_or(usize::MAX, |awake| awake as usize),
-        wakes: f64::from(table.wakes.unwrap_or(WAKES)),
+    let most = usize::try_from(memory / dormant::bytes_per_entry::<RouteId>() as u64).unwrap_or(usize::MAX);
+    Some(IdlePolicy {
+        idle_after: after,
+        retain_for: table.remember.map_or(REMEMBER, |span| span.micros).max(after),
+        max_retained: most.max(1),
+        max_active: table.awake.map_or(usize::MAX, |awake| awake as usize),
+        activations_per_second: f64::from(table.wakes.unwrap_or(WAKES)),
     })
 }
--- a/crates/sender/src/store.rs
+++ b/crates/sender/src/store.rs
@@ -3,19 +3,21 @@
 use std::io;
 
 use decision::interface::Micros;
-use journal::{AppendError, ByNumber, Journal, Live, Part, Record, Remembered, Taken};
+use journal::{
+    AcceptedMessage, AppendError, ByNumber, Journal, JournalPart, LedgerEntry, PendingMessage, Record,
+};
 
 /// Where a driver's messages are written down.
 pub enum Store {
     /// The sender has one core.
     Whole(Box<Journal>),
     /// One of several.
-    Part(Part),
+    Part(JournalPart),
 }
 
 impl Store {
     /// The messages that are owed their end, by number, in no order.
-    pub fn live(&self) -> &ByNumber<Live> {
+    pub fn live(&self) -> &ByNumber<PendingMessage> {
         match self {
             Self::Whole(journal) => journal.live(),
             Self::Part(part) => part.live(),
@@ -34,18 +36,18 @@
     }
 
     /// As [`Journal::has_room`].
-    pub fn has_room(&self, taken: &Taken, pending: u64) -> bool {
+    pub fn has_room(&self, taken: &AcceptedMessage, pending: u64) -> bool {
         match self {
-            Self::Whole(journal) => journal.has_room(taken, pending),
-            Self::Part(part) => part.has_room(taken, pending),
+            Self::Whole(journal) => journal.has_capacity(taken, pending),
+            Self::Part(part) => part.has_capacity(taken, pending),
         }
     }
 
     /// As [`Journal::room_for`].
-    pub fn room_for(&self, taken: &Taken) -> u64 {
+    pub fn room_for(&self, taken: &AcceptedMessage) -> u64 {
         match self {
-            Self::Whole(journal) => journal.room_for(taken),
-            Self::Part(part) => part.room_for(taken),
+            Self::Whole(journal) => journal.space_needed(taken),
+            Self::Part(part) => part.space_needed(taken),
         }
     }
 
@@ -58,10 +60,10 @@
     }
 
     /// As [`Journal::remembered`].
-    pub fn remembered(&self, id: &str, now: Micros) -> Option<Remembered> {
+    pub fn remembered(&self, id: &str, now: Micros) -> Option<LedgerEntry> {
         match self {
-            Self::Whole(journal) => journal.remembered(id, now).cloned(),
-            Self::Part(part) => part.remembered(id, now),
+            Self::Whole(journal) => journal.ledger_entry(id, now).cloned(),
+            Self::Part(part) => part.ledger_entry(id, now),
         }
     }
 
@@ -71,15 +73,15 @@
     /// As [`Journal::tidy`].
     pub fn tidy(&mut self, now: Micros) -> io::Result<()> {
         match self {
-            Self::Whole(journal) => journal.tidy(now),
-            Self::Part(part) => part.tidy(now),
+            Self::Whole(journal) => journal.compact_step(now),
+            Self::Part(part) => part.compact_step(now),
         }
     }
 
     /// As [`Journal::room_beside`]; beside one that several cores share nothing is kept.
     pub fn room_beside(&self) -> u64 {
         match self {
-            Self::Whole(journal) => journal.room_beside(),
+            Self::Whole(journal) => journal.free_reserved_bytes(),
             Self::Part(_) => 0,
         }
     }
@@ -87,7 +89,7 @@
     /// As [`Journal::set_beside`].
     pub fn set_beside(&mut self, bytes: u64) {
         if let Self::Whole(journal) = self {
-            journal.set_beside(bytes);
+            journal.set_reserved_bytes(bytes);
         }
     }
 }
--- a/crates/sender/tests/node/kept.rs
+++ b/crates/sender/tests/node/kept.rs
@@ -150,7 +150,7 @@
         // Its own writing, an hour later.
         let options = journal::Options { limit: 3_000_000, ..Default::default() };
         let (mut journal, _) = journal::Journal::open(&state, options, at).unwrap();
-        journal.append(at + hour, &mut vec![journal::Record::Over(77)]).unwrap();
+        journal.append(at + hour, &mut vec![journal::Record::Completed(77)]).unwrap();
     });
     assert!(node.log().iter().any(|line| line.contains("the clock was set back")), "{:?}", node.log());
     // Its time may be up or not, but it has an end, and no second copy.
--- a/crates/sender/tests/node/upgrade.rs
+++ b/crates/sender/tests/node/upgrade.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use handover::{State, ToNew, ToOld, frame};
+use handover::{HandoverState, ToPredecessor, ToSuccessor, frame};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
@@ -113,9 +113,9 @@
     assert_eq!(old.hand_in("a", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
     let mut asking = UnixStream::connect(old.state().join("successor")).unwrap();
-    say(&mut asking, &ToOld::Ask);
-    let ToNew::State(state) = hear(&mut asking) else { panic!("a state") };
-    assert_eq!(state.out.len(), 1);
+    say(&mut asking, &ToPredecessor::RequestTakeover);
+    let ToSuccessor::State(state) = hear(&mut asking) else { panic!("a state") };
+    assert_eq!(state.attempts_in_flight.len(), 1);
     drop(asking);
     assert_eq!(old.hand_in("b", "order", 7, 20_000).status(), 202);
     let second = endpoint.next();
@@ -162,16 +162,16 @@
     let between = UnixListener::bind(&socket).unwrap();
     let spoils = std::thread::spawn(move || {
         let (mut new, mut old) = (between.accept().unwrap().0, UnixStream::connect(real).unwrap());
-        say(&mut old, &hear::<ToOld>(&mut new));
-        let ToNew::State(state) = hear(&mut old) else { panic!("a state") };
-        let waits = vec![("e1".to_owned(), state.at + 1_500_000)];
-        let spoilt = State { policy: Bytes::from_static(b"\xc1"), waits, ..*state };
-        say(&mut new, &ToNew::State(Box::new(spoilt)));
-        let took = hear::<ToOld>(&mut new);
-        assert_eq!(took, ToOld::Took { understood: false });
+        say(&mut old, &hear::<ToPredecessor>(&mut new));
+        let ToSuccessor::State(state) = hear(&mut old) else { panic!("a state") };
+        let waits = vec![("e1".to_owned(), state.stopped_at + 1_500_000)];
+        let spoilt = HandoverState { policy: Bytes::from_static(b"\xc1"), waits, ..*state };
+        say(&mut new, &ToSuccessor::State(Box::new(spoilt)));
+        let took = hear::<ToPredecessor>(&mut new);
+        assert_eq!(took, ToPredecessor::TookOver { understood: false });
         let at = Instant::now();
         say(&mut old, &took);
-        say(&mut new, &hear::<ToNew>(&mut old));
+        say(&mut new, &hear::<ToSuccessor>(&mut old));
         (at, old, new)
     });
     let new = old.start_beside();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -123,12 +123,12 @@
     Ok(match how {
         0 => Outcome::Delivered,
         1 => Outcome::Error,
-        2 => Outcome::Full((note > 0).then_some(Micros::from(note) * 1000)),
+        2 => Outcome::Rejected((note > 0).then_some(Micros::from(note) * 1000)),
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot { no_slot: note == 1 },
+        7 => Outcome::NotSent { no_slot: note == 1 },
         n => return fault(format!("unknown outcome {n}")),
     })
 }
@@ -136,7 +136,7 @@
 /// Decodes frames; keeps the numbered lists that the process was told.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    lists: [Option<Vec<Entry>>; LISTS],
+    lists: [Option<Vec<EndpointEntry>>; LISTS],
     /// How many classes each instance that was ever started knows.
     classes: BTreeMap<u16, usize>,
 }
@@ -190,7 +190,7 @@
                     inputs.push((r.u16(1), Input::Teardown));
                     continue;
                 }
-                1 => Event::Note { from: r.u16(3), content: data(5, 1)?.to_vec() },
+                1 => Event::GossipReceived { from: r.u16(3), content: data(5, 1)?.to_vec() },
                 2 => Event::Streaming { message: r.message(3) },
                 3 => {
                     let known = self.classes.get(&r.u16(1)).copied().unwrap_or(0);
@@ -201,9 +201,9 @@
                         }
                     }
                 }
-                5 => Event::Left(r.message(3)),
+                5 => Event::Withdrawn(r.message(3)),
                 6 => self.news(&r)?,
-                7 => Event::Ended {
+                7 => Event::AttemptCompleted {
                     message: r.message(3),
                     attempt: r.u16(13),
                     endpoint: r.endpoint(15),
@@ -212,8 +212,8 @@
                     took: r.u32(22).into(),
                     report: r.report(26)?,
                 },
-                10 => Event::Reminder(r.u64(3)),
-                11 => Event::Probed {
+                10 => Event::TimerFired(r.u64(3)),
+                11 => Event::HealthChecked {
                     endpoint: r.endpoint(3),
                     outcome: outcome(r.u16(13), 0)?,
                     report: r.report(15)?,
@@ -234,15 +234,15 @@
     fn news(&self, r: &Bytes) -> Result<Event, WireError> {
         let kind = r.0[3];
         if kind == 1 {
-            return Ok(Event::ListFailed);
+            return Ok(Event::DiscoveryFailed);
         }
         let id = r.u32(4) as usize;
         let Some(Some(list)) = self.lists.get(id) else {
             return fault(format!("news refers to list {id}, which was never told"));
         };
         match kind {
-            0 => Ok(Event::Changes(list.clone())),
-            2 | 3 => Ok(Event::List(list.clone())),
+            0 => Ok(Event::EndpointChanges(list.clone())),
+            2 | 3 => Ok(Event::EndpointList(list.clone())),
             n => fault(format!("unknown kind of list news {n}")),
         }
     }
@@ -259,14 +259,14 @@
         class: r.u16(7).into(),
         tenant: r.u32(9) as usize,
         key: (key != 0).then_some(key),
-        time_left: r.u32(21).into(),
+        remaining_time: r.u32(21).into(),
         hint: (options & 1 != 0).then(|| r.u32(25).into()),
         destination: DestinationId(destination as u16),
     }))
 }
 
-fn entry(e: &Bytes) -> Result<Entry, WireError> {
-    Ok(Entry {
+fn entry(e: &Bytes) -> Result<EndpointEntry, WireError> {
+    Ok(EndpointEntry {
         zone: e.u16(0),
         kind: e.0[2].into(),
         weight: f64::from(e.f32(3)),
@@ -297,7 +297,7 @@
                 r.extend(endpoint.0);
                 r.extend(short(*timeout).to_le_bytes());
             }
-            Action::Refuse { message, retry_after } => {
+            Action::Reject { message, retry_after } => {
                 begin(66);
                 r.extend(message.0.to_le_bytes());
                 r.extend(short(*retry_after).to_le_bytes());
@@ -311,20 +311,20 @@
                 r.extend(message.0.to_le_bytes());
                 r.extend(attempt.to_le_bytes());
             }
-            Action::Remind { at, token } => {
+            Action::SetTimer { at, token } => {
                 begin(69);
                 r.extend(at.to_le_bytes());
                 r.extend(token.to_le_bytes());
             }
-            Action::Probe(endpoint) => {
+            Action::HealthCheck(endpoint) => {
                 begin(70);
                 r.extend(endpoint.0);
             }
-            Action::CloseIdle(endpoint) => {
+            Action::CloseIdleConnections(endpoint) => {
                 begin(71);
                 r.extend(endpoint.0);
             }
-            Action::Tell { to, content } => {
+            Action::SendGossip { to, content } => {
                 begin(72);
                 r.extend(to.unwrap_or(ALL_PEERS).to_le_bytes());
                 append(&mut r, &mut tail, content);
@@ -333,11 +333,11 @@
                 begin(73);
                 append(&mut r, &mut tail, text.as_bytes());
             }
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 begin(75);
                 r.push(1);
             }
-            Action::FetchList => begin(76),
+            Action::FetchEndpoints => begin(76),
         }
         r.resize(ACTION_SIZE, 0);
         records.extend(r);
@@ -493,73 +493,73 @@
         classes: raw.classes.iter().map(class).collect::<Result<_, _>>()?,
         tenants: raw.realms.iter().map(|r| Tenant { quota: r.quota_per_s }).collect(),
         kinds: (0..kinds)
-            .map(|k| Kind {
-                routes_apart: family.own_limits.get(k).copied().unwrap_or(false),
-                bundle: family.bundle_max.get(k).copied().unwrap_or(1).max(1),
+            .map(|k| DestinationKind {
+                separate_routes: family.own_limits.get(k).copied().unwrap_or(false),
+                max_batch: family.bundle_max.get(k).copied().unwrap_or(1).max(1),
             })
             .collect(),
-        tolls: family.toll.clone(),
+        zone_fees: family.toll.clone(),
         decay: match family.decay.as_deref() {
-            None | Some("line") => Decay::Line,
-            Some("halves") => Decay::Halves,
+            None | Some("line") => Decay::Linear,
+            Some("halves") => Decay::Halving,
             Some(other) => return fault(format!("settings: unknown decay {other:?}")),
         },
-        slots: family.calls_out,
-        max_open: raw.limits.max_open,
-        try_limit: raw.limits.try_limit,
-        second_copies: raw.limits.second_copies,
-        cancelling: raw.limits.cancelling,
-        probing: raw.limits.probing,
-        probe_price: raw.charges.probe,
-        refused_price: family.turned_away_price.unwrap_or(0.0),
+        max_calls: family.calls_out,
+        max_messages: raw.limits.max_open,
+        max_attempts: raw.limits.try_limit,
+        hedging: raw.limits.second_copies,
+        cancellation: raw.limits.cancelling,
+        health_checks: raw.limits.probing,
+        health_check_price: raw.charges.probe,
+        rejection_price: family.turned_away_price.unwrap_or(0.0),
         connect_timeout: micros(raw.limits.connect_timeout_us),
-        idle_close: raw.limits.idle_close_us.map_or(Micros::MAX, micros),
+        idle_timeout: raw.limits.idle_close_us.map_or(Micros::MAX, micros),
         max_retry_after: micros(raw.limits.max_retry_after_us),
-        must_ask: raw.discovery.as_deref() == Some("ask"),
+        polling_only: raw.discovery.as_deref() == Some("ask"),
         weights: match raw.weights.as_deref() {
             Some("nominal") => Weights::Nominal,
             Some("rough") => Weights::Rough,
             _ => Weights::None,
         },
-        over_share_worth: raw.over_share_worth,
+        over_quota_weight: raw.over_share_worth,
         report: (field("x0"), field("x1")),
         senders: raw.balancers.unwrap_or(1).max(1),
         period: micros(raw.period_us).max(1),
-        dormant: None,
-        shared: None,
+        idle: None,
+        gossip: None,
         rules: Rules {
             answer_slack: micros(o.answer_slack_us),
-            ask_every: o.ask_every_us.map(micros),
+            poll_interval: o.ask_every_us.map(micros),
             cold_share: o.cold_share,
             warm_within: micros(o.warm_within_us),
-            fall_multiple: o.fall_multiple,
+            overload_multiple: o.fall_multiple,
             overload_for: micros(o.overload_for_us),
-            drain_grace: micros(o.stop_sending_within_us),
-            order_pause: micros(o.order_pause_us.unwrap_or(0.0)),
+            drain_timeout: micros(o.stop_sending_within_us),
+            ordering_pause: micros(o.order_pause_us.unwrap_or(0.0)),
         },
     })
 }
 
 fn class(raw: &RawClass) -> Result<Class, WireError> {
     let effect = match raw.effect.as_str() {
-        "repeatable" => Effect::Repeatable,
-        "once" => Effect::Once,
-        "by_key" => Effect::Keyed {
-            group: match raw.group.as_deref() {
-                None | Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                Some(_) => Group::Endpoint,
+        "repeatable" => Idempotency::Idempotent,
+        "once" => Idempotency::NonIdempotent,
+        "by_key" => Idempotency::Keyed {
+            scope: match raw.group.as_deref() {
+                None | Some("all") => IdempotencyScope::All,
+                Some("zone") => IdempotencyScope::Zone,
+                Some(_) => IdempotencyScope::Endpoint,
             },
             window: micros(raw.dedup_window_us.unwrap_or(0.0)),
         },
         other => return fault(format!("settings: unknown effect {other:?}")),
     };
     Ok(Class {
-        effect,
-        aim: micros(raw.on_time_us),
+        idempotency: effect,
+        latency_objective: micros(raw.on_time_us),
         deadline: micros(raw.hard_limit_us),
-        worth: raw.importance,
-        late_worth: raw.late_worth.unwrap_or(0.0),
+        priority_weight: raw.importance,
+        late_weight: raw.late_worth.unwrap_or(0.0),
         in_order: raw.in_order.unwrap_or(false),
     })
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -61,13 +61,16 @@
 #[test]
 fn settings_are_read_and_unknown_keys_passed_over() {
     let s = settings(SETTINGS.as_bytes()).expect("well formed");
-    assert_eq!(s.classes[0].effect, Effect::Keyed { group: Group::Zone, window: 9_000_000 });
-    assert_eq!((s.classes[0].worth, s.classes[1].worth), (2.0, 1.0));
-    assert!(s.classes[1].in_order && s.must_ask && s.probing && !s.second_copies);
-    assert_eq!(s.kinds[0], Kind { routes_apart: true, bundle: 1 });
-    assert_eq!(s.kinds[1], Kind { routes_apart: false, bundle: 4 });
-    assert_eq!((s.report, s.weights, s.decay), ((Some(2), Some(1)), Weights::Nominal, Decay::Halves));
-    assert_eq!((s.slots, s.max_open, s.senders), (5, 50, 1));
+    assert_eq!(
+        s.classes[0].idempotency,
+        Idempotency::Keyed { scope: IdempotencyScope::Zone, window: 9_000_000 }
+    );
+    assert_eq!((s.classes[0].priority_weight, s.classes[1].priority_weight), (2.0, 1.0));
+    assert!(s.classes[1].in_order && s.polling_only && s.health_checks && !s.hedging);
+    assert_eq!(s.kinds[0], DestinationKind { separate_routes: true, max_batch: 1 });
+    assert_eq!(s.kinds[1], DestinationKind { separate_routes: false, max_batch: 4 });
+    assert_eq!((s.report, s.weights, s.decay), ((Some(2), Some(1)), Weights::Nominal, Decay::Halving));
+    assert_eq!((s.max_calls, s.max_messages, s.senders), (5, 50, 1));
 }
 
 #[test]
@@ -85,7 +88,7 @@
         class: 1,
         tenant: 0,
         key: Some(99),
-        time_left: 5_000,
+        remaining_time: 5_000,
         hint: None,
         destination: DestinationId(12),
     };
@@ -97,10 +100,11 @@
     let fields: &[(usize, &[u8])] =
         &[(1, &[3]), (3, &[7]), (7, &[2]), (9, &250u32.to_le_bytes()), (13, &[1]), (15, &[1, 2, 3, 4, 5, 6])];
     let inputs = after_boot(&[record(7, fields)], b"").expect("well formed");
-    let Input::Event(Event::Ended { outcome, attempt, endpoint, terminal, .. }) = &inputs[0] else {
+    let Input::Event(Event::AttemptCompleted { outcome, attempt, endpoint, terminal, .. }) = &inputs[0]
+    else {
         panic!("{inputs:?}")
     };
-    assert_eq!((*outcome, *attempt, *terminal), (Outcome::Full(Some(250_000)), 1, false));
+    assert_eq!((*outcome, *attempt, *terminal), (Outcome::Rejected(Some(250_000)), 1, false));
     assert_eq!(*endpoint, EndpointId([1, 2, 3, 4, 5, 6]));
 }
 
@@ -114,7 +118,7 @@
     let inputs =
         after_boot(&[list(0), news.clone(), list(24), news], &entries).expect("a repeated number is legal");
     let listing = |input: &Input| match input {
-        Input::Event(Event::List(list)) => list[0].listing,
+        Input::Event(Event::EndpointList(list)) => list[0].listing,
         other => panic!("{other:?}"),
     };
     assert_eq!((listing(&inputs[0]), listing(&inputs[1])), (Listing::Ready, Listing::Draining));
@@ -131,12 +135,12 @@
                 message,
                 endpoint,
                 timeout: 80_000,
-                leave_within: 80_000,
-                hold: 0,
-                fresh: false,
+                send_within: 80_000,
+                last_byte_delay: 0,
+                new_connection: false,
             }],
         ),
-        (5, vec![Action::Log("ab".into()), Action::Watch]),
+        (5, vec![Action::Log("ab".into()), Action::WatchEndpoints]),
     ]);
     assert_eq!(reply[..8], [74, 0, 0, 0, 3, 0, 0, 0]);
     let attempt =
@@ -147,14 +151,14 @@
     assert_eq!(reply[80..], *b"ab");
     let message = MessageId(1);
     let all = vec![
-        Action::Refuse { message, retry_after: 5 },
+        Action::Reject { message, retry_after: 5 },
         Action::Fail(message),
         Action::Cancel { message, attempt: 2 },
-        Action::Remind { at: 9, token: 1 },
-        Action::Probe(endpoint),
-        Action::CloseIdle(endpoint),
-        Action::Tell { to: None, content: vec![1] },
-        Action::FetchList,
+        Action::SetTimer { at: 9, token: 1 },
+        Action::HealthCheck(endpoint),
+        Action::CloseIdleConnections(endpoint),
+        Action::SendGossip { to: None, content: vec![1] },
+        Action::FetchEndpoints,
     ];
     let reply = encode(&[(0, all)]);
     let codes: Vec<u8> = reply[8..8 + 8 * 24].chunks(24).map(|r| r[0]).collect();
