--- a/crates/cores/src/lib.rs
+++ b/crates/cores/src/lib.rs
@@ -15,10 +15,10 @@
 mod pool;
 mod router;
 
-pub use owners::{Core, Owners};
-pub use planner::{Advice, Load, Move, Planner};
-pub use pool::{Leased, Pool};
-pub use router::{Attempt, Router};
+pub use owners::{OwnershipMap, ShardId};
+pub use planner::{DestinationLoad, Migration, Plan, Planner};
+pub use pool::{LeasePool, LeaseUpdate};
+pub use router::{Attempt, AttemptRouter};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/cores/src/planner.rs
+++ b/crates/cores/src/planner.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Core, Micros};
+use crate::{Micros, ShardId};
 
 /// Share of the mean load by which the busiest core may lie above the idlest before anything moves.
 const MARGIN: f64 = 0.25;
@@ -21,49 +21,49 @@
 
 /// Work that a destination made on its core in a round, in any unit that is the same for all.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Load {
+pub struct DestinationLoad {
     /// The destination.
     pub destination: u16,
     /// Its owner.
-    pub core: Core,
+    pub core: ShardId,
     /// How much.
     pub work: f64,
 }
 
 /// A destination that is to go to another core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Move {
+pub struct Migration {
     /// The destination.
     pub destination: u16,
     /// Its owner.
-    pub from: Core,
+    pub from: ShardId,
     /// Its owner from then on.
-    pub to: Core,
+    pub to: ShardId,
 }
 
 /// What a round came to.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Advice {
+pub enum Plan {
     /// All is even enough, or has not been uneven for long.
     Stay,
     /// Uneven for long, and no move makes it better: most of the work is for one destination, or for those that rest.
     Stuck {
         /// The busiest core.
-        core: Core,
+        core: ShardId,
         /// The destination with the most work there, and its share of the core's.
         destination: u16,
         /// From 0 to 1.
         share: f64,
     },
     /// One destination is to move.
-    Move(Move),
+    Migrate(Migration),
 }
 
 /// Remembers what destinations made of work, smoothed, and says once a round whether one should move; one at a time.
 #[derive(Debug, Clone)]
 pub struct Planner {
     cores: usize,
-    work: BTreeMap<u16, (Core, f64)>,
+    work: BTreeMap<u16, (ShardId, f64)>,
     uneven: u32,
     rests: BTreeMap<u16, Micros>,
 }
@@ -75,7 +75,7 @@
     }
 
     /// A round is over in which destinations made that work. What is not named made none.
-    pub fn round(&mut self, now: Micros, loads: &[Load]) -> Advice {
+    pub fn round(&mut self, now: Micros, loads: &[DestinationLoad]) -> Plan {
         self.rests.retain(|_, until| *until > now);
         for (_, work) in self.work.values_mut() {
             *work *= 1.0 - NEW;
@@ -94,11 +94,11 @@
         let distance = sums[busiest] - sums[idlest];
         if sums[busiest] < IDLE || distance <= MARGIN * mean {
             self.uneven = 0;
-            return Advice::Stay;
+            return Plan::Stay;
         }
         self.uneven += 1;
         if self.uneven < PATIENCE {
-            return Advice::Stay;
+            return Plan::Stay;
         }
         let on_busiest = || self.work.iter().filter(|(_, (core, _))| core.index() == busiest);
         let left = |work: f64| (distance - 2.0 * work).abs();
@@ -106,23 +106,23 @@
             .filter(|(destination, _)| !self.rests.contains_key(destination))
             .min_by(|a, b| left(a.1.1).total_cmp(&left(b.1.1)))
             .filter(|(_, (_, work))| left(*work) <= LEAVES * distance);
-        let (from, to) = (Core(busiest as u8), Core(idlest as u8));
+        let (from, to) = (ShardId(busiest as u8), ShardId(idlest as u8));
         if let Some((destination, _)) = best {
             let destination = *destination;
             self.uneven = 0;
             self.rests.insert(destination, now + REST);
-            return Advice::Move(Move { destination, from, to });
+            return Plan::Migrate(Migration { destination, from, to });
         }
         match on_busiest().max_by(|a, b| a.1.1.total_cmp(&b.1.1)) {
             Some((destination, (_, work))) => {
-                Advice::Stuck { core: from, destination: *destination, share: work / sums[busiest] }
+                Plan::Stuck { core: from, destination: *destination, share: work / sums[busiest] }
             }
-            None => Advice::Stay,
+            None => Plan::Stay,
         }
     }
 
     /// A move came about: what the destination made of work counts for its new owner.
-    pub fn moved(&mut self, made: Move) {
+    pub fn migrated(&mut self, made: Migration) {
         if let Some(entry) = self.work.get_mut(&made.destination) {
             entry.0 = made.to;
         }
@@ -132,7 +132,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Owners;
+    use crate::OwnershipMap;
 
     const ROUND: Micros = 250_000;
 
@@ -141,25 +141,29 @@
         cores: usize,
         rounds: u64,
         mut work: impl FnMut(u64) -> Vec<(u16, f64)>,
-    ) -> (Vec<Move>, f64, Advice) {
-        let (mut planner, mut owners) = (Planner::new(cores), Owners::spread(cores));
-        let (mut moves, mut last, mut advice) = (Vec::new(), Vec::new(), Advice::Stay);
+    ) -> (Vec<Migration>, f64, Plan) {
+        let (mut planner, mut owners) = (Planner::new(cores), OwnershipMap::hashed(cores));
+        let (mut moves, mut last, mut advice) = (Vec::new(), Vec::new(), Plan::Stay);
         for round in 0..rounds {
             let loads: Vec<_> = work(round)
                 .into_iter()
-                .map(|(destination, work)| Load { destination, core: owners.of(destination), work })
+                .map(|(destination, work)| DestinationLoad {
+                    destination,
+                    core: owners.owner(destination),
+                    work,
+                })
                 .collect();
             advice = planner.round(round * ROUND, &loads);
             last = loads;
-            if let Advice::Move(made) = advice {
-                assert_eq!(owners.of(made.destination), made.from);
+            if let Plan::Migrate(made) = advice {
+                assert_eq!(owners.owner(made.destination), made.from);
                 owners = owners.with(made.destination, made.to);
-                planner.moved(made);
+                planner.migrated(made);
                 moves.push(made);
             }
         }
         let mut sums = vec![0.0; cores];
-        last.iter().for_each(|load| sums[owners.of(load.destination).index()] += load.work);
+        last.iter().for_each(|load| sums[owners.owner(load.destination).index()] += load.work);
         let mean = sums.iter().sum::<f64>() / cores as f64;
         (moves, sums.iter().copied().fold(0.0, f64::max) / mean, advice)
     }
@@ -179,7 +183,7 @@
     fn one_destination_alone_is_not_moved_about() {
         let (moves, _, advice) = play(4, 400, |_| vec![(7, 1_000.0)]);
         assert_eq!(moves, []);
-        assert!(matches!(advice, Advice::Stuck { destination: 7, share, .. } if share > 0.99), "{advice:?}");
+        assert!(matches!(advice, Plan::Stuck { destination: 7, share, .. } if share > 0.99), "{advice:?}");
     }
 
     /// Guards `PATIENCE` and the smoothing: clumps of a round or two here and there move nothing.
@@ -219,7 +223,9 @@
         let mut planner = Planner::new(2);
         planner.round(
             0,
-            &(0..5_000).map(|d| Load { destination: d, core: Core(0), work: 1.0 }).collect::<Vec<_>>(),
+            &(0..5_000)
+                .map(|d| DestinationLoad { destination: d, core: ShardId(0), work: 1.0 })
+                .collect::<Vec<_>>(),
         );
         for round in 1..40 {
             let _ = planner.round(round * ROUND, &[]);
--- a/crates/cores/src/pool.rs
+++ b/crates/cores/src/pool.rs
@@ -1,14 +1,14 @@
 //! What belongs to the whole process and can't be had twice: slots, room for messages, descriptors.
 
-use crate::Core;
+use crate::ShardId;
 
 /// What a core may use from now on, and whom that concerns.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Leased {
+pub struct LeaseUpdate {
     /// All that the core may use.
     pub lease: usize,
     /// Cores that should look again: they lack what has come free, or hold what another lacks.
-    pub concerned: Vec<Core>,
+    pub concerned: Vec<ShardId>,
 }
 
 /// A whole that is leased to cores. Each core says in each of its turns what it has in use and what it would use; what it gets
@@ -20,7 +20,7 @@
 /// that. So nobody waits for room that another does not use for longer than a turn of that other one and one of its own; a
 /// core that stands still keeps what it has in use and a piece for as long as it does.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Pool {
+pub struct LeasePool {
     whole: usize,
     piece: usize,
     leased: Vec<usize>,
@@ -29,7 +29,7 @@
     wants: Vec<usize>,
 }
 
-impl Pool {
+impl LeasePool {
     /// So much for so many cores, none of which has any yet. A piece is a sixteenth of an even part, one at least.
     pub fn new(whole: usize, cores: usize) -> Self {
         let cores = cores.max(1);
@@ -44,7 +44,7 @@
     }
 
     /// All there is.
-    pub fn whole(&self) -> usize {
+    pub fn total(&self) -> usize {
         self.whole
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// What a core may use.
-    pub fn lease(&self, core: Core) -> usize {
+    pub fn lease(&self, core: ShardId) -> usize {
         self.leased[core.index()]
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// A core's turn: it has so much in use and would use so much. Tells what it may use.
-    pub fn turn(&mut self, core: Core, used: usize, wants: usize) -> Leased {
+    pub fn update(&mut self, core: ShardId, used: usize, wants: usize) -> LeaseUpdate {
         let at = core.index();
         let free_before = self.free();
         let need = used.max(wants);
@@ -104,12 +104,12 @@
             let idle = self.leased[*other] > self.used[*other];
             (freed && self.lacks(*other) > 0) || (short && self.free() == 0 && idle)
         });
-        let concerned = concerned.map(|other| Core(other as u8)).collect();
-        Leased { lease: self.leased[at], concerned }
+        let concerned = concerned.map(|other| ShardId(other as u8)).collect();
+        LeaseUpdate { lease: self.leased[at], concerned }
     }
 
     /// What is in use for a destination goes along with it to another core.
-    pub fn hand(&mut self, from: Core, to: Core, used: usize) {
+    pub fn transfer(&mut self, from: ShardId, to: ShardId, used: usize) {
         let (from, to) = (from.index(), to.index());
         // Guards the sum: no more goes than is there.
         let goes = used.min(self.leased[from]);
@@ -127,20 +127,20 @@
     /// Guards the sum: a core that says it hands on more than it has hands on what it has.
     #[test]
     fn no_more_is_handed_on_than_is_there() {
-        let mut pool = Pool::new(4, 2);
-        assert_eq!(pool.turn(Core(0), 0, 2).lease, 3);
-        pool.hand(Core(0), Core(1), 9);
-        assert_eq!((pool.lease(Core(0)), pool.lease(Core(1)), pool.free()), (0, 3, 1));
+        let mut pool = LeasePool::new(4, 2);
+        assert_eq!(pool.update(ShardId(0), 0, 2).lease, 3);
+        pool.transfer(ShardId(0), ShardId(1), 9);
+        assert_eq!((pool.lease(ShardId(0)), pool.lease(ShardId(1)), pool.free()), (0, 3, 1));
     }
 
     #[test]
     fn who_lacks_something_is_told_when_it_is_there() {
-        let mut pool = Pool::new(4, 2);
-        assert_eq!(pool.turn(Core(0), 4, 4).lease, 4);
-        let short = pool.turn(Core(1), 0, 1);
+        let mut pool = LeasePool::new(4, 2);
+        assert_eq!(pool.update(ShardId(0), 4, 4).lease, 4);
+        let short = pool.update(ShardId(1), 0, 1);
         assert_eq!((short.lease, short.concerned), (0, vec![]), "all is in use: there is nobody to ask");
-        let freed = pool.turn(Core(0), 3, 3);
-        assert_eq!((freed.lease, freed.concerned), (3, vec![Core(1)]));
-        assert_eq!(pool.turn(Core(1), 0, 1).lease, 1);
+        let freed = pool.update(ShardId(0), 3, 3);
+        assert_eq!((freed.lease, freed.concerned), (3, vec![ShardId(1)]));
+        assert_eq!(pool.update(ShardId(1), 0, 1).lease, 1);
     }
 }
--- a/crates/cores/src/router.rs
+++ b/crates/cores/src/router.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::Core;
+use crate::ShardId;
 
 /// A message's number and its attempt's.
 pub type Attempt = (u32, u16);
@@ -12,32 +12,32 @@
 /// whoever owns it then; calls of destinations that came here are remembered with the core that has the connection. `E` names
 /// an endpoint. Bounded by what is out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Router<E> {
-    me: Core,
+pub struct AttemptRouter<E> {
+    me: ShardId,
     /// On connections of this core: where to.
     begun: BTreeMap<Attempt, (u16, E)>,
     /// Held by this core's module, on connections of another.
-    guests: BTreeMap<Attempt, Core>,
+    guests: BTreeMap<Attempt, ShardId>,
 }
 
-impl<E: Copy + PartialEq> Router<E> {
+impl<E: Copy + PartialEq> AttemptRouter<E> {
     /// Nothing is out.
-    pub fn new(me: Core) -> Self {
+    pub fn new(me: ShardId) -> Self {
         Self { me, begun: BTreeMap::new(), guests: BTreeMap::new() }
     }
 
     /// Which core this is.
-    pub fn me(&self) -> Core {
+    pub fn me(&self) -> ShardId {
         self.me
     }
 
     /// An attempt begins on a connection of this core.
-    pub fn begins(&mut self, attempt: Attempt, destination: u16, endpoint: E) {
+    pub fn attempt_started(&mut self, attempt: Attempt, destination: u16, endpoint: E) {
         self.begun.insert(attempt, (destination, endpoint));
     }
 
     /// An attempt ended on a connection of this core. Tells its destination, whose owner has to hear of it.
-    pub fn ended(&mut self, attempt: Attempt) -> Option<u16> {
+    pub fn attempt_ended(&mut self, attempt: Attempt) -> Option<u16> {
         self.begun.remove(&attempt).map(|begun| begun.0)
     }
 
@@ -48,22 +48,22 @@
     }
 
     /// This core's module has heard how an attempt on another's connection ended.
-    pub fn heard(&mut self, attempt: Attempt) {
+    pub fn add_foreign(&mut self, attempt: Attempt) {
         self.guests.remove(&attempt);
     }
 
     /// Who has the connection of an attempt that this core's module holds.
-    pub fn connection(&self, attempt: Attempt) -> Core {
+    pub fn connection(&self, attempt: Attempt) -> ShardId {
         self.guests.get(&attempt).copied().unwrap_or(self.me)
     }
 
     /// These attempts go along with their destination. Tells who has their connections.
-    pub fn part(&mut self, attempts: impl IntoIterator<Item = Attempt>) -> Vec<(Attempt, Core)> {
+    pub fn detach(&mut self, attempts: impl IntoIterator<Item = Attempt>) -> Vec<(Attempt, ShardId)> {
         attempts.into_iter().map(|a| (a, self.guests.remove(&a).unwrap_or(self.me))).collect()
     }
 
     /// These came with their destination, or came back.
-    pub fn join(&mut self, attempts: impl IntoIterator<Item = (Attempt, Core)>) {
+    pub fn attach(&mut self, attempts: impl IntoIterator<Item = (Attempt, ShardId)>) {
         let me = self.me;
         self.guests.extend(attempts.into_iter().filter(|(_, core)| *core != me));
     }
--- a/crates/cores/tests/model.rs
+++ b/crates/cores/tests/model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use cores::{Attempt, Core, Owners, Pool, Router};
+use cores::{Attempt, AttemptRouter, LeasePool, OwnershipMap, ShardId};
 use stateright::{Checker, Model, Property};
 
 /// What is left out.
@@ -37,8 +37,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    Loaded(Owners),
-    Drained(Option<Owners>),
+    Loaded(OwnershipMap),
+    Drained(Option<OwnershipMap>),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -47,7 +47,7 @@
     OnItsWay,
     Held,
     /// Out on a connection of that core.
-    Out(Core),
+    Out(ShardId),
     /// Its call ended, and its module has not heard of it.
     Answered,
     Over,
@@ -55,19 +55,19 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    owners: Owners,
+    owners: OwnershipMap,
     /// By destination: the cores whose modules know it, and how many waits were heard of there.
-    holds: Vec<BTreeMap<Core, u8>>,
+    holds: Vec<BTreeMap<ShardId, u8>>,
     queues: Vec<Vec<Say>>,
     local: Vec<Vec<Say>>,
     phases: Vec<Phase>,
     /// What is left of a move that a core is at.
-    moving: Vec<Option<(u16, Core)>>,
+    moving: Vec<Option<(u16, ShardId)>>,
     moved: Vec<bool>,
-    routers: Vec<Router<u16>>,
+    routers: Vec<AttemptRouter<u16>>,
     messages: Vec<Message>,
     /// Who holds each.
-    keeper: Vec<Option<Core>>,
+    keeper: Vec<Option<ShardId>>,
     /// Waits that went along with parcels.
     carried: BTreeMap<u16, u8>,
     begun: Vec<u8>,
@@ -78,19 +78,19 @@
 enum Act {
     HandIn(u8),
     End(u8),
-    Load(Core),
-    Drain(Core),
-    Decide(Core),
+    Load(ShardId),
+    Drain(ShardId),
+    Decide(ShardId),
     Part(usize),
-    Finish(Core),
+    Finish(ShardId),
 }
 
 struct World {
     fault: Fault,
     cores: u8,
     /// The core at whose front it is handed in, and its destination.
-    messages: Vec<(Core, u16)>,
-    moves: Vec<(u16, Core)>,
+    messages: Vec<(ShardId, u16)>,
+    moves: Vec<(u16, ShardId)>,
     /// Room of a queue.
     room: usize,
 }
@@ -105,9 +105,9 @@
     }
 
     /// A core hears something, with the owners as it has them in this turn.
-    fn hear(&self, s: &mut State, me: Core, owners: &Owners, say: Say, from_here: bool) {
+    fn hear(&self, s: &mut State, me: ShardId, owners: &OwnershipMap, say: Say, from_here: bool) {
         let at = me.index();
-        let mine = |destination| owners.of(destination) == me || self.fault == Fault::ForwardsNothing;
+        let mine = |destination| owners.owner(destination) == me || self.fault == Fault::ForwardsNothing;
         match say {
             Say::Parcel(destination) => {
                 let waits = s.carried.remove(&destination).unwrap_or(0);
@@ -129,12 +129,12 @@
                         _ => {}
                     }
                 }
-                s.routers[at].join(out);
+                s.routers[at].attach(out);
             }
             Say::HandedIn(message) => {
                 let destination = self.destination(message);
                 if !mine(destination) {
-                    s.queues[owners.of(destination).index()].push(say);
+                    s.queues[owners.owner(destination).index()].push(say);
                     return;
                 }
                 if !s.holds[usize::from(destination)].contains_key(&me) {
@@ -145,15 +145,15 @@
             }
             Say::Ended(message) => {
                 let destination = self.destination(message);
-                if from_here && s.routers[at].ended(attempt(message)) != Some(destination) {
+                if from_here && s.routers[at].attempt_ended(attempt(message)) != Some(destination) {
                     s.wrong = Some("an end of what was not begun here");
                 }
                 let stays = self.fault == Fault::EndsStay && from_here;
                 if !mine(destination) && !stays {
-                    s.queues[owners.of(destination).index()].push(say);
+                    s.queues[owners.owner(destination).index()].push(say);
                     return;
                 }
-                s.routers[at].heard(attempt(message));
+                s.routers[at].add_foreign(attempt(message));
                 if let Some(waits) = s.holds[usize::from(destination)].get_mut(&me) {
                     *waits += 1;
                 }
@@ -167,7 +167,7 @@
 
     fn ends(&self, s: &State) -> bool {
         let ended = |destination| {
-            let of = |m: &(usize, &(Core, u16))| m.1.1 == destination && s.begun[m.0] > 0;
+            let of = |m: &(usize, &(ShardId, u16))| m.1.1 == destination && s.begun[m.0] > 0;
             self.messages.iter().enumerate().filter(of).count()
         };
         s.messages.iter().all(|m| *m == Message::Over)
@@ -181,18 +181,18 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<State> {
-        let owners = Owners::all_on(self.cores.into(), Core(0));
+        let owners = OwnershipMap::all_on(self.cores.into(), ShardId(0));
         let cores = usize::from(self.cores);
         let destinations = usize::from(self.messages.iter().map(|m| m.1).max().unwrap_or(0)) + 1;
         vec![State {
             owners,
-            holds: vec![BTreeMap::from([(Core(0), 0)]); destinations],
+            holds: vec![BTreeMap::from([(ShardId(0), 0)]); destinations],
             queues: vec![vec![]; cores],
             local: vec![vec![]; cores],
             phases: vec![Phase::Idle; cores],
             moving: vec![None; cores],
             moved: vec![false; self.moves.len()],
-            routers: (0..self.cores).map(|core| Router::new(Core(core))).collect(),
+            routers: (0..self.cores).map(|core| AttemptRouter::new(ShardId(core))).collect(),
             messages: vec![Message::Away; self.messages.len()],
             keeper: vec![None; self.messages.len()],
             carried: BTreeMap::new(),
@@ -209,7 +209,7 @@
                 _ => {}
             }
         }
-        for core in (0..self.cores).map(Core) {
+        for core in (0..self.cores).map(ShardId) {
             let at = core.index();
             if s.moving[at].is_some() {
                 acts.push(Act::Finish(core));
@@ -228,7 +228,7 @@
             }
         }
         for (number, (destination, to)) in self.moves.iter().enumerate() {
-            let from = s.owners.of(*destination);
+            let from = s.owners.owner(*destination);
             let has = s.holds[usize::from(*destination)].contains_key(&from);
             let idle = s.phases[from.index()] == Phase::Idle && s.moving[from.index()].is_none();
             if !s.moved[number] && from != *to && has && idle {
@@ -242,7 +242,7 @@
         match act {
             Act::HandIn(message) => {
                 let (front, destination) = self.messages[usize::from(message)];
-                let to = s.owners.of(destination);
+                let to = s.owners.owner(destination);
                 s.messages[usize::from(message)] = Message::OnItsWay;
                 if to == front {
                     s.local[front.index()].push(Say::HandedIn(message));
@@ -289,14 +289,18 @@
                         s.messages[message] = Message::Out(core);
                         s.begun[message] += 1;
                         let destination = self.messages[message].1;
-                        s.routers[core.index()].begins(attempt(message as u8), destination, destination);
+                        s.routers[core.index()].attempt_started(
+                            attempt(message as u8),
+                            destination,
+                            destination,
+                        );
                     }
                 }
                 s.phases[core.index()] = Phase::Idle;
             }
             Act::Part(number) => {
                 let (destination, to) = self.moves[number];
-                let from = s.owners.of(destination);
+                let from = s.owners.owner(destination);
                 s.moved[number] = true;
                 let room = s.queues[to.index()].len() < self.room;
                 if !room && self.fault != Fault::DropsWhatFindsNoRoom {
@@ -311,7 +315,7 @@
                 held.iter().for_each(|m| s.keeper[*m] = None);
                 let out =
                     held.iter().filter(|m| matches!(s.messages[**m], Message::Out(_) | Message::Answered));
-                s.routers[from.index()].part(out.map(|m| attempt(*m as u8)));
+                s.routers[from.index()].detach(out.map(|m| attempt(*m as u8)));
                 if self.fault == Fault::NamesBeforeItSends {
                     s.owners = s.owners.with(destination, to);
                 } else if room {
@@ -366,8 +370,8 @@
     World {
         fault,
         cores: 2,
-        messages: vec![(Core(0), 0), (Core(1), 0), (Core(1), 1)],
-        moves: vec![(0, Core(1)), (0, Core(0)), (1, Core(1))],
+        messages: vec![(ShardId(0), 0), (ShardId(1), 0), (ShardId(1), 1)],
+        moves: vec![(0, ShardId(1)), (0, ShardId(0)), (1, ShardId(1))],
         room: 2,
     }
 }
@@ -377,8 +381,8 @@
     World {
         fault,
         cores: 3,
-        messages: vec![(Core(0), 0), (Core(2), 0)],
-        moves: vec![(0, Core(1)), (0, Core(2)), (0, Core(0))],
+        messages: vec![(ShardId(0), 0), (ShardId(2), 0)],
+        moves: vec![(0, ShardId(1)), (0, ShardId(2)), (0, ShardId(0))],
         room: 2,
     }
 }
@@ -423,16 +427,16 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Leased {
-    pool: Pool,
+    pool: LeasePool,
     used: Vec<usize>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum LeaseAct {
-    Turn(Core, usize),
-    Begin(Core),
-    End(Core),
-    Hand(Core, Core),
+    Turn(ShardId, usize),
+    Begin(ShardId),
+    End(ShardId),
+    Hand(ShardId, ShardId),
 }
 
 impl Model for Leases {
@@ -440,11 +444,11 @@
     type Action = LeaseAct;
 
     fn init_states(&self) -> Vec<Leased> {
-        vec![Leased { pool: Pool::new(self.whole, self.cores.into()), used: vec![0; self.cores.into()] }]
+        vec![Leased { pool: LeasePool::new(self.whole, self.cores.into()), used: vec![0; self.cores.into()] }]
     }
 
     fn actions(&self, s: &Leased, acts: &mut Vec<LeaseAct>) {
-        for core in (0..self.cores).map(Core) {
+        for core in (0..self.cores).map(ShardId) {
             let used = s.used[core.index()];
             acts.extend((0..=2).map(|more| LeaseAct::Turn(core, used + more)));
             if used < s.pool.lease(core) {
@@ -453,7 +457,7 @@
             if used > 0 {
                 acts.push(LeaseAct::End(core));
                 acts.extend(
-                    (0..self.cores).map(Core).filter(|to| *to != core).map(|to| LeaseAct::Hand(core, to)),
+                    (0..self.cores).map(ShardId).filter(|to| *to != core).map(|to| LeaseAct::Hand(core, to)),
                 );
             }
         }
@@ -463,12 +467,12 @@
         let mut s = last.clone();
         match act {
             LeaseAct::Turn(core, wants) => {
-                let _ = s.pool.turn(core, s.used[core.index()], wants);
+                let _ = s.pool.update(core, s.used[core.index()], wants);
             }
             LeaseAct::Begin(core) => s.used[core.index()] += 1,
             LeaseAct::End(core) => s.used[core.index()] -= 1,
             LeaseAct::Hand(from, to) => {
-                s.pool.hand(from, to, 1);
+                s.pool.transfer(from, to, 1);
                 s.used[from.index()] -= 1;
                 s.used[to.index()] += 1;
             }
@@ -479,10 +483,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("the sum stays within the whole", |m: &Leases, s: &Leased| {
-                (0..m.cores).map(|core| s.pool.lease(Core(core))).sum::<usize>() + s.pool.free() == m.whole
+                (0..m.cores).map(|core| s.pool.lease(ShardId(core))).sum::<usize>() + s.pool.free() == m.whole
             }),
             Property::always("none has less than it uses", |m: &Leases, s: &Leased| {
-                (0..m.cores).all(|core| s.used[usize::from(core)] <= s.pool.lease(Core(core)))
+                (0..m.cores).all(|core| s.used[usize::from(core)] <= s.pool.lease(ShardId(core)))
             }),
             // Where all want all there is, nobody has less than an even part, unless another has more in use.
             Property::always("even parts", |m: &Leases, s: &Leased| {
@@ -491,22 +495,22 @@
                     return true;
                 }
                 let mut pool = s.pool.clone();
-                for core in (0..3).flat_map(|_| (0..m.cores).map(Core)) {
-                    pool.turn(core, s.used[core.index()], m.whole);
+                for core in (0..3).flat_map(|_| (0..m.cores).map(ShardId)) {
+                    pool.update(core, s.used[core.index()], m.whole);
                 }
-                (0..m.cores).map(Core).all(|core| pool.lease(core) >= even)
+                (0..m.cores).map(ShardId).all(|core| pool.lease(core) >= even)
             }),
             // Room that another does not use is there after a turn of the others and one of its own.
             Property::always("none starves", |m: &Leases, s: &Leased| {
-                (0..m.cores).map(Core).all(|core| {
+                (0..m.cores).map(ShardId).all(|core| {
                     let mut pool = s.pool.clone();
                     let used = s.used[core.index()];
                     let room = s.used.iter().sum::<usize>() < m.whole;
-                    pool.turn(core, used, used + 1);
-                    for other in (0..m.cores).map(Core).filter(|other| *other != core) {
-                        pool.turn(other, s.used[other.index()], s.used[other.index()]);
+                    pool.update(core, used, used + 1);
+                    for other in (0..m.cores).map(ShardId).filter(|other| *other != core) {
+                        pool.update(other, s.used[other.index()], s.used[other.index()]);
                     }
-                    pool.turn(core, used, used + 1);
+                    pool.update(core, used, used + 1);
                     !room || pool.lease(core) > used
                 })
             }),
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use dormant::Condition;
-pub use shared::Law as GossipConfig;
+pub use shared::Config as GossipConfig;
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -6,7 +6,7 @@
 
 use dormant::ActivationLimiter;
 use serde::{Deserialize, Serialize};
-use shared::Shared;
+use shared::Gossip;
 
 use crate::book::{Book, Held};
 use crate::calls::Calls;
@@ -79,7 +79,7 @@
     tenants: Vec<(f64, Micros)>,
     /// What is shared with other senders. The next process begins anew with it, and hears it from them.
     #[serde(skip)]
-    shared: Option<Shared>,
+    shared: Option<Gossip>,
     /// When notes that are used for nothing may be told of again.
     #[serde(skip)]
     complain_at: Micros,
@@ -89,7 +89,7 @@
     /// A sender that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Self {
-            shared: settings.gossip.map(|law| Shared::new(law, seed, now)),
+            shared: settings.gossip.map(|law| Gossip::new(law, seed, now)),
             complain_at: 0,
             routes: Routes::new(&settings, now),
             waking: ActivationLimiter::new(
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -177,9 +177,9 @@
         route.pace.refill(now);
         // What is lent and borrowed of the limit; a sender that has more to send than its part asks for more.
         if let (Some(shared), None) = (&mut self.shared, route_id.1) {
-            route.share.0 = shared.part(route_id.0.0, now);
+            route.share.0 = shared.quota_share(route_id.0.0, now);
             let (needs, short) = route.needs(&self.settings, now, class.latency_objective, backlog);
-            shared.needs(route_id.0.0, needs, short, now);
+            shared.report_demand(route_id.0.0, needs, short, now);
         }
         if let Some(part) =
             route.part(&self.settings, now, class.latency_objective, backlog / endpoint.kind.max_batch as f64)
--- a/crates/decision/src/policy/hearsay.rs
+++ b/crates/decision/src/policy/hearsay.rs
@@ -1,7 +1,7 @@
 //! What this sender tells others of what it sees, and what it hears from them, put into the module's terms. Nothing is decided
 //! here: what hearsay counts for stands in `route.rs`, beside the guards that it adds to.
 
-use shared::{Kind, Seen, Shared};
+use shared::{FailureKind, Gossip, Observation};
 
 use super::Policy;
 use super::route::MAX_FAILURES;
@@ -12,7 +12,7 @@
 
 impl Policy {
     /// What is shared is by destination; routes apart are a sender's own.
-    fn shared_of(&mut self, route: RouteId) -> Option<(&mut Shared, u16)> {
+    fn shared_of(&mut self, route: RouteId) -> Option<(&mut Gossip, u16)> {
         let (destination, None) = route else { return None };
         Some((self.shared.as_mut()?, destination.0))
     }
@@ -29,19 +29,21 @@
         let now = self.now;
         let failed = after.0 > before.0;
         let seen = match outcome {
-            Outcome::Delivered => Seen::Well(sent),
+            Outcome::Delivered => Observation::Success(sent),
             // One that is a limit's, or no more than one lost connection, is no evidence.
             Outcome::Rejected(_) if after.1 > before.1 && after.1 >= MAX_FAILURES => {
-                Seen::Bad(Kind::Shut, after.1)
+                Observation::Failure(FailureKind::Shut, after.1)
+            }
+            Outcome::Rejected(_) => Observation::Rejected,
+            Outcome::Error if failed => Observation::Failure(FailureKind::Failing, after.0),
+            Outcome::TimedOut if failed => Observation::Failure(FailureKind::Silent, after.0),
+            Outcome::ConnectFailed | Outcome::Reset if failed => {
+                Observation::Failure(FailureKind::Unreachable, after.0)
             }
-            Outcome::Rejected(_) => Seen::Refused,
-            Outcome::Error if failed => Seen::Bad(Kind::Failing, after.0),
-            Outcome::TimedOut if failed => Seen::Bad(Kind::Silent, after.0),
-            Outcome::ConnectFailed | Outcome::Reset if failed => Seen::Bad(Kind::Unreachable, after.0),
             _ => return,
         };
         if let Some((shared, destination)) = self.shared_of(route) {
-            shared.saw(destination, seen, now);
+            shared.observe(destination, seen, now);
         }
     }
 
@@ -49,7 +51,7 @@
     pub(super) fn share_limit(&mut self, route: RouteId, limit: f64) {
         let now = self.now;
         if let Some((shared, destination)) = self.shared_of(route) {
-            shared.saw_limit(destination, limit as f32, now);
+            shared.observe_limit(destination, limit as f32, now);
         }
     }
 
@@ -57,14 +59,14 @@
     pub(super) fn share_wait(&mut self, route: RouteId, until: Micros) {
         let now = self.now;
         if let Some((shared, destination)) = self.shared_of(route) {
-            shared.saw_wait(destination, until, now);
+            shared.observe_wait(destination, until, now);
         }
     }
 
     /// A note came.
     pub(super) fn hear(&mut self, from: u16, content: &[u8], actions: &mut Vec<Action>) {
         let Some(shared) = &mut self.shared else { return };
-        if let Err(why) = shared.hear(from, content, self.now)
+        if let Err(why) = shared.receive(from, content, self.now)
             && self.now >= self.complain_at
         {
             self.complain_at = self.now + COMPLAIN_EVERY;
@@ -80,7 +82,7 @@
             return;
         };
         let belief = shared.belief(destination.0, self.now);
-        if belief.ill.is_some() && !route.heard_ill || belief.wait_until > route.wait_until {
+        if belief.unhealthy.is_some() && !route.heard_ill || belief.wait_until > route.wait_until {
             route.heard(&belief, self.now);
         }
     }
@@ -88,7 +90,7 @@
     /// Routes hear what is believed otherwise now.
     pub(super) fn heed(&mut self, now: Micros) {
         let Some(shared) = &mut self.shared else { return };
-        for (destination, belief) in shared.changed(now) {
+        for (destination, belief) in shared.take_changes(now) {
             let id = (DestinationId(destination), None);
             if let Some(route) = self.routes.get_mut(&id) {
                 route.heard(&belief, now);
@@ -104,14 +106,15 @@
             if let Action::Attempt { message, .. } = action
                 && let Some(held) = self.book.get(message).filter(|held| held.attempts > 1)
             {
-                shared.repeats(held.message.destination.0, now);
+                shared.count_retry(held.message.destination.0, now);
             }
         }
-        actions.extend(shared.speak(now).into_iter().map(|(to, content)| Action::SendGossip { to, content }));
+        actions
+            .extend(shared.publish(now).into_iter().map(|(to, content)| Action::SendGossip { to, content }));
     }
 
     /// What is shared, for operators.
-    pub fn shared(&self) -> Option<&Shared> {
+    pub fn shared(&self) -> Option<&Gossip> {
         self.shared.as_ref()
     }
 }
--- a/crates/decision/src/policy/route.rs
+++ b/crates/decision/src/policy/route.rs
@@ -365,7 +365,7 @@
     /// it had been told here. Guards partners against senders that each find out alone. It costs a trial's
     /// time where a partner is ill for others alone.
     pub(crate) fn heard(&mut self, belief: &shared::Belief, now: Micros) {
-        let ill = belief.ill.is_some();
+        let ill = belief.unhealthy.is_some();
         if self.heard_ill && !ill && self.cold_since.is_none_or(|since| since < self.well_at) {
             self.cold_since = Some(now);
         }
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet/src/world.rs
@@ -6,10 +6,10 @@
 use decision::interface::*;
 use decision::policy::Policy;
 
-use known::Kept;
-use known::belief::{Law, Start, believe};
+use known::DestinationRecord;
+use known::belief::{Config, RestoreTime, restore};
 use known::replay::Snapshot;
-use known::stamp::Stamp;
+use known::stamp::Timestamp;
 
 use crate::partner::{Count, Partner};
 
@@ -208,8 +208,14 @@
 fn settings_of(me: usize, senders: usize, notes: Option<Notes>) -> Settings {
     let (me, all) = (me as u16, senders as u16);
     let bytes = (25.0, 100.0);
-    let law =
-        |notes: Notes| GossipConfig { me, run: 1, senders: all, broadcast: true, bytes, lends: notes.lends };
+    let law = |notes: Notes| GossipConfig {
+        member: me,
+        incarnation: 1,
+        senders: all,
+        broadcast: true,
+        byte_budget: bytes,
+        quota_transfer: notes.lends,
+    };
     Settings { gossip: notes.map(law), ..settings(senders) }
 }
 
@@ -442,12 +448,12 @@
 
     fn keep(&mut self, sender: usize) {
         let node = &mut self.nodes[sender];
-        let stamp = Stamp { wall: WALL + self.now, boot: None };
+        let stamp = Timestamp { wall: WALL + self.now, boot: None };
         let mut snapshot = Snapshot { stamp, found: true, ..Snapshot::default() };
         for destination in node.policy.known_destinations() {
             let routes =
                 node.policy.learnt(destination).into_iter().map(|(_, learnt)| (None, on_the_wall(learnt)));
-            let kept = Kept { at: stamp.wall, listed: vec![], routes: routes.collect() };
+            let kept = DestinationRecord { at: stamp.wall, listed: vec![], routes: routes.collect() };
             for (_, learnt) in kept.routes.iter().filter(|route| route.1.wait_until > stamp.wall) {
                 snapshot.waits.insert((destination.0, None), learnt.wait_until);
             }
@@ -459,12 +465,12 @@
     /// What a sender believes that comes back now.
     fn believed(&self, sender: usize) -> Vec<Event> {
         let Some(snapshot) = &self.nodes[sender].snapshot else { return vec![] };
-        let stamp = Stamp { wall: WALL + self.now, boot: None };
-        let law = Law { span: 3_600 * SECOND, aim: 4 * SECOND };
-        let belief = believe(snapshot, &Start { now: self.now, stamp }, 0, &law);
-        let told = |believed: known::belief::Believed| Event::SnapshotRestored {
+        let stamp = Timestamp { wall: WALL + self.now, boot: None };
+        let law = Config { span: 3_600 * SECOND, latency_objective: 4 * SECOND };
+        let belief = restore(snapshot, &RestoreTime { now: self.now, stamp }, 0, &law);
+        let told = |believed: known::belief::RestoredRoute| Event::SnapshotRestored {
             route: (DestinationId(believed.destination), None),
-            snapshot: believed.learnt,
+            snapshot: believed.snapshot,
         };
         belief.routes.into_iter().map(told).collect()
     }
--- a/crates/known/src/format.rs
+++ b/crates/known/src/format.rs
@@ -22,8 +22,8 @@
 use decision::interface::{Condition, RouteSnapshot};
 use serde::{Deserialize, Serialize};
 
-use crate::stamp::{Boot, Stamp};
-use crate::{Listed, Micros};
+use crate::stamp::{Boot, Timestamp};
+use crate::{ListedEndpoint, Micros};
 
 /// The first bytes of a file.
 pub const MAGIC: [u8; 8] = *b"myrtle-k";
@@ -100,7 +100,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Entry {
     /// An append begins.
-    Stamp(Stamp),
+    Stamp(Timestamp),
     /// Nothing may go there before.
     Wait {
         /// The destination.
@@ -126,7 +126,7 @@
         /// Whether it is the first.
         first: bool,
         /// Some of its endpoints.
-        listed: Vec<Listed>,
+        listed: Vec<ListedEndpoint>,
     },
     /// All that was listed up to this version stands before.
     List {
@@ -231,7 +231,7 @@
 
 impl Writer {
     /// Begins an append to that generation.
-    pub fn begin(&mut self, sequence: u64, stamp: &Stamp) {
+    pub fn begin(&mut self, sequence: u64, stamp: &Timestamp) {
         (self.sequence, self.base) = (sequence, stamp.wall);
         self.bytes.clear();
         let boot = stamp.boot.unwrap_or(Boot { id: 0, at: 0 });
@@ -279,7 +279,7 @@
     pub fn destination(
         &mut self,
         destination: u16,
-        listed: &[Listed],
+        listed: &[ListedEndpoint],
         routes: &[(Option<String>, RouteSnapshot)],
     ) {
         let fits = |text: &str| text.len() <= TEXT_LIMIT;
@@ -389,7 +389,7 @@
                 let id = u128::from_le_bytes(self.payload.get(8..24)?.try_into().ok()?);
                 let at = u64_at(24)?;
                 let boot = (id != 0).then_some(Boot { id, at });
-                Some(Entry::Stamp(Stamp { wall: u64_at(0)?, boot }))
+                Some(Entry::Stamp(Timestamp { wall: u64_at(0)?, boot }))
             }
             WAIT => {
                 let name = std::str::from_utf8(self.payload.get(10..)?).ok()?;
--- a/crates/known/src/keep.rs
+++ b/crates/known/src/keep.rs
@@ -8,7 +8,7 @@
 
 use decision::interface::{Condition, RouteSnapshot};
 
-use crate::{Kept, Micros};
+use crate::{DestinationRecord, Micros};
 
 /// A destination is looked at again no sooner than that, unless it told a wait or the list changed.
 pub const LOOK: Micros = 100_000;
@@ -61,7 +61,7 @@
 }
 
 impl Digest {
-    fn of(kept: &Kept) -> Self {
+    fn of(kept: &DestinationRecord) -> Self {
         let mut digest = Self { at: kept.at, listed: listed(kept), ..Self::default() };
         for (place, (_, learnt)) in kept.routes.iter().enumerate() {
             // Routes apart are few; their order is the same each time, so that sums with weights tell most changes.
@@ -115,7 +115,7 @@
 }
 
 /// A number that is another one when anything that the list says of the destination is.
-fn listed(kept: &Kept) -> u32 {
+fn listed(kept: &DestinationRecord) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for listed in &kept.listed {
         for text in [&listed.name, &listed.address, &listed.zone, &listed.kind] {
@@ -151,7 +151,7 @@
 
 /// What was written of each destination, and what is to be written next.
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct WriteScheduler {
     written: HashMap<u16, Digest>,
     /// When each is to be looked at, and the same the other way round.
     due: BTreeSet<(Micros, u16)>,
@@ -166,7 +166,7 @@
     later_bytes: u64,
 }
 
-impl Keeper {
+impl WriteScheduler {
     /// A generation begins, with all of these destinations to be written.
     pub fn begin(&mut self, all: impl IntoIterator<Item = u16>) {
         self.written.clear();
@@ -229,7 +229,7 @@
     }
 
     /// Looks at a destination that was due. What is not pressing, and was written of late, is looked at again later.
-    pub fn judge(&mut self, destination: u16, kept: &Kept, now: Micros) -> Step {
+    pub fn judge(&mut self, destination: u16, kept: &DestinationRecord, now: Micros) -> Step {
         self.looked.insert(destination, now);
         // What has not been looked at for long is no busy one's.
         if self.looked.len() > 4 * SLICE {
@@ -260,7 +260,7 @@
     }
 
     /// What is to be done with a destination of the whole: what binds is written first.
-    pub fn judge_of_whole(&mut self, destination: u16, kept: &Kept) -> Step {
+    pub fn judge_of_whole(&mut self, destination: u16, kept: &DestinationRecord) -> Step {
         let Some(whole) = &mut self.whole else { return Step::Pass };
         if Digest::of(kept).binds() {
             return if self.written.contains_key(&destination) { Step::Pass } else { Step::Write };
@@ -294,7 +294,7 @@
     }
 
     /// It was written.
-    pub fn wrote(&mut self, destination: u16, kept: &Kept) {
+    pub fn wrote(&mut self, destination: u16, kept: &DestinationRecord) {
         self.written.insert(destination, Digest::of(kept));
         self.listed.remove(&destination);
     }
@@ -324,7 +324,7 @@
 }
 
 /// What a digest is made of, for tests of what is pressing.
-pub fn urgency(before: &Kept, now: &Kept) -> Urgency {
+pub fn urgency(before: &DestinationRecord, now: &DestinationRecord) -> Urgency {
     Digest::of(now).urgency(&Digest::of(before))
 }
 
--- a/crates/known/src/lib.rs
+++ b/crates/known/src/lib.rs
@@ -23,18 +23,20 @@
 
 /// What the list said of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Status {
+pub enum EndpointStatus {
     /// It takes what is new.
     Active,
     /// It finishes what it has.
-    Leaving,
+    #[serde(rename = "Leaving")]
+    Draining,
     /// It is gone.
-    Left,
+    #[serde(rename = "Left")]
+    Removed,
 }
 
 /// An endpoint, as the list had it. Names and addresses are the list's own texts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// The same at every sender.
     pub name: String,
     /// Where this sender dials it; empty where that could not be read.
@@ -44,18 +46,18 @@
     /// Its kind.
     pub kind: String,
     /// What the list said of it.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Its weight.
     pub weight: f64,
 }
 
 /// All that is kept of a destination.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Kept {
+pub struct DestinationRecord {
     /// When it was written, on its writer's clock.
     pub at: Micros,
     /// Its endpoints.
-    pub listed: Vec<Listed>,
+    pub listed: Vec<ListedEndpoint>,
     /// What was learnt of its routes: the common one, or each endpoint's by name where they are apart.
     pub routes: Vec<(Option<String>, RouteSnapshot)>,
 }
--- a/crates/known/src/replay.rs
+++ b/crates/known/src/replay.rs
@@ -7,12 +7,12 @@
 use std::fmt;
 
 use crate::format::{Entry, Head, VERSION, cut_short, frame_at, next_stamp};
-use crate::stamp::Stamp;
-use crate::{Kept, Micros};
+use crate::stamp::Timestamp;
+use crate::{DestinationRecord, Micros};
 
 /// What was found that should not be so.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ReplayFault {
     /// So many bytes of a last write that was not finished: nothing is wrong with that.
     Torn {
         /// The file.
@@ -45,14 +45,14 @@
     GivenBack,
 }
 
-impl Trouble {
+impl ReplayFault {
     /// Whether something that was known may be lost by it.
     pub fn loses(&self) -> bool {
         matches!(self, Self::Damaged { .. } | Self::OtherVersion { .. } | Self::GivenBack)
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for ReplayFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Torn { file, bytes } => {
@@ -80,11 +80,11 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Snapshot {
     /// When something was last written.
-    pub stamp: Stamp,
+    pub stamp: Timestamp,
     /// The list's version that is all here, and when discovery last said that there is nothing newer.
     pub list: Option<(u64, Micros)>,
     /// By destination.
-    pub destinations: BTreeMap<u16, Kept>,
+    pub destinations: BTreeMap<u16, DestinationRecord>,
     /// Until when nothing may go, by destination and endpoint.
     pub waits: BTreeMap<(u16, Option<String>), Micros>,
     /// Destinations that had no room.
@@ -92,13 +92,13 @@
     /// A whole generation was found, or the first one has not come to its end.
     pub found: bool,
     /// What should not be so.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ReplayFault>,
 }
 
 impl Snapshot {
     /// Whether something that was known may be lost.
     pub fn lost(&self) -> bool {
-        self.troubles.iter().any(Trouble::loses)
+        self.troubles.iter().any(ReplayFault::loses)
     }
 
     fn shift(&mut self, by: i64) {
@@ -162,13 +162,13 @@
         let Some((head, begin)) = Head::read(bytes) else {
             // Its process ended while it was made.
             all.troubles.push(match bytes.len() < 32 + owner.len() {
-                true => Trouble::Torn { file: file.clone(), bytes: bytes.len() },
-                false => Trouble::Damaged { file: file.clone(), at: 0 },
+                true => ReplayFault::Torn { file: file.clone(), bytes: bytes.len() },
+                false => ReplayFault::Damaged { file: file.clone(), at: 0 },
             });
             continue;
         };
         if head.owner != owner {
-            all.troubles.push(Trouble::Foreign { file: file.clone(), owner: head.owner });
+            all.troubles.push(ReplayFault::Foreign { file: file.clone(), owner: head.owner });
             continue;
         }
         all.shift(head.shift);
@@ -186,7 +186,7 @@
     let mut whole = false;
     let file = || file.to_owned();
     if head.version != VERSION {
-        own.troubles.push(Trouble::OtherVersion { file: file(), version: head.version });
+        own.troubles.push(ReplayFault::OtherVersion { file: file(), version: head.version });
     }
     let mut at = begin;
     while at < bytes.len() {
@@ -203,10 +203,10 @@
         let next = next_stamp(head.sequence, bytes, at + 1);
         // Nobody writes behind a write that failed: a further generation is begun.
         if next.is_none() && cut_short(&bytes[at..]) {
-            own.troubles.push(Trouble::Torn { file: file(), bytes: bytes.len() - at });
+            own.troubles.push(ReplayFault::Torn { file: file(), bytes: bytes.len() - at });
             break;
         }
-        own.troubles.push(Trouble::Damaged { file: file(), at });
+        own.troubles.push(ReplayFault::Damaged { file: file(), at });
         let Some(next) = next else { break };
         at = next;
     }
@@ -220,7 +220,7 @@
     behind.destinations.extend(own.destinations);
     behind.troubles.extend(own.troubles);
     behind.list = own.list.or(behind.list);
-    if own.stamp != Stamp::default() {
+    if own.stamp != Timestamp::default() {
         behind.stamp = own.stamp;
     }
     behind.found = true;
--- a/crates/known/src/store.rs
+++ b/crates/known/src/store.rs
@@ -10,13 +10,13 @@
 use journal::disk::Disk;
 
 use crate::format::{Head, VERSION, Writer};
-use crate::keep::{Keeper, SLICE, Step};
-use crate::replay::{Snapshot, Trouble, read};
-use crate::stamp::Stamp;
-use crate::{Kept, Micros};
+use crate::keep::{SLICE, Step, WriteScheduler};
+use crate::replay::{ReplayFault, Snapshot, read};
+use crate::stamp::Timestamp;
+use crate::{DestinationRecord, Micros};
 
 /// An empty file that says that something was known, and its room was given back.
-pub const GIVEN_BACK: &str = "known-given-back";
+pub const RELEASED_MARKER: &str = "known-given-back";
 /// A slice appends so many bytes at most, and one destination more.
 pub const SLICE_BYTES: usize = 16 << 10;
 /// With less room than that nothing is kept.
@@ -59,7 +59,7 @@
 
 /// What a slice did.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Did {
+pub struct SliceResult {
     /// Destinations written.
     pub destinations: usize,
     /// Bytes appended.
@@ -72,7 +72,7 @@
     fn destinations(&self) -> Vec<u16>;
 
     /// What is known of one; none where that is nothing.
-    fn kept(&self, destination: u16) -> Option<Kept>;
+    fn kept(&self, destination: u16) -> Option<DestinationRecord>;
 
     /// The list's version, and when discovery last said that there is nothing newer.
     fn list(&self) -> (u64, Micros);
@@ -83,7 +83,7 @@
     disk: Box<dyn Disk>,
     options: Options,
     owner: String,
-    keeper: Keeper,
+    keeper: WriteScheduler,
     writer: Writer,
     /// Earlier generations, which count until this one's whole is at its end.
     before: Vec<File>,
@@ -125,7 +125,7 @@
     }
     let mut snapshot = read(owner, &read_files);
     if marked {
-        snapshot.troubles.push(Trouble::GivenBack);
+        snapshot.troubles.push(ReplayFault::GivenBack);
     }
     Ok(snapshot)
 }
@@ -151,7 +151,7 @@
 
 fn names(disk: &mut dyn Disk) -> io::Result<Names> {
     let names = disk.names()?;
-    let marked = names.iter().any(|(name, _)| name == GIVEN_BACK);
+    let marked = names.iter().any(|(name, _)| name == RELEASED_MARKER);
     let mut files: Vec<_> =
         names.into_iter().filter_map(|(name, length)| Some((sequence(&name)?, name, length))).collect();
     files.sort();
@@ -170,7 +170,7 @@
             disk,
             options,
             owner: owner.to_owned(),
-            keeper: Keeper::default(),
+            keeper: WriteScheduler::default(),
             writer: Writer::default(),
             next: files.last().map_or(1, |last| last.0 + 1),
             before: files.into_iter().map(|(_, name, length)| File { name, length }).collect(),
@@ -221,15 +221,15 @@
     ///
     /// # Errors
     /// Fails when the system does: nothing that is promised is touched, and it is tried again later.
-    pub fn slice(&mut self, stamp: &Stamp, room: u64, source: &dyn Source) -> io::Result<Did> {
+    pub fn slice(&mut self, stamp: &Timestamp, room: u64, source: &dyn Source) -> io::Result<SliceResult> {
         let now = stamp.wall;
         if now < self.rest_until {
-            return Ok(Did::default());
+            return Ok(SliceResult::default());
         }
         let room = room.min(self.options.size);
         if room < LEAST_ROOM {
             self.rest(now);
-            return Ok(Did::default());
+            return Ok(SliceResult::default());
         }
         let done = self.write_slice(stamp, room, source);
         match &done {
@@ -258,7 +258,7 @@
         self.rests += 1;
     }
 
-    fn write_slice(&mut self, stamp: &Stamp, room: u64, source: &dyn Source) -> io::Result<Did> {
+    fn write_slice(&mut self, stamp: &Timestamp, room: u64, source: &dyn Source) -> io::Result<SliceResult> {
         let now = stamp.wall;
         if self.active.is_none() || self.keeper.wants_whole() {
             // Two generations have their room beside one another.
@@ -267,12 +267,12 @@
             }
             self.begin(source)?;
         }
-        let Some(sequence) = self.next.checked_sub(1) else { return Ok(Did::default()) };
+        let Some(sequence) = self.next.checked_sub(1) else { return Ok(SliceResult::default()) };
         let left = room.saturating_sub(self.used() + BLOCK) as usize;
         self.writer.begin(sequence, stamp);
-        let mut did = Did::default();
+        let mut did = SliceResult::default();
         let mut binds = false;
-        let mut wrote: Vec<(u16, Kept)> = Vec::new();
+        let mut wrote: Vec<(u16, DestinationRecord)> = Vec::new();
         for _ in 0..SLICE {
             if self.writer.bytes().len() > SLICE_BYTES {
                 break;
@@ -393,7 +393,7 @@
             }
         }
         if self.marked {
-            self.disk.remove(GIVEN_BACK)?;
+            self.disk.remove(RELEASED_MARKER)?;
             self.marked = false;
         }
         Ok(())
@@ -403,7 +403,7 @@
     /// knows that something is lost.
     fn make_room(&mut self) -> io::Result<()> {
         if !self.marked {
-            self.disk.create(GIVEN_BACK)?;
+            self.disk.create(RELEASED_MARKER)?;
             self.marked = true;
         }
         if self.options.sync {
@@ -421,7 +421,7 @@
     ///
     /// # Errors
     /// Fails when the system does; what could not go is still counted.
-    pub fn give_back(&mut self, now: Micros) -> io::Result<()> {
+    pub fn release(&mut self, now: Micros) -> io::Result<()> {
         self.rest(now);
         let done = self.make_room();
         if done.is_err() {
--- a/crates/known/tests/belief.rs
+++ b/crates/known/tests/belief.rs
@@ -1,19 +1,19 @@
 //! The one rule: what is kept may make a sender more careful, never bolder. Whatever the clocks show.
 
 use decision::interface::{Condition, RouteSnapshot};
-use known::belief::{Belief, DOUBT, FADE, LIST_GOOD_FOR, Law, Reason, Start, believe};
-use known::replay::{Snapshot, Trouble};
-use known::stamp::{Boot, Stamp};
-use known::{Kept, Listed, Micros, Status};
+use known::belief::{Config, DOUBT, FADE, LIST_GOOD_FOR, Reason, RestoreTime, RestoredState, restore};
+use known::replay::{ReplayFault, Snapshot};
+use known::stamp::{Boot, Timestamp};
+use known::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
 const HOUR: Micros = 3_600 * SECOND;
 const START: Micros = 400_000 * HOUR;
-const LAW: Law = Law { span: HOUR, aim: 4 * SECOND };
+const LAW: Config = Config { span: HOUR, latency_objective: 4 * SECOND };
 
 fn snapshot(learnt: RouteSnapshot) -> Snapshot {
-    let listed = |name: &str, status| Listed {
+    let listed = |name: &str, status| ListedEndpoint {
         name: name.to_owned(),
         address: "10.0.0.1:1".to_owned(),
         zone: String::new(),
@@ -21,13 +21,13 @@
         status,
         weight: 1.0,
     };
-    let kept = Kept {
+    let kept = DestinationRecord {
         at: START,
-        listed: vec![listed("a", Status::Active), listed("b", Status::Leaving)],
+        listed: vec![listed("a", EndpointStatus::Active), listed("b", EndpointStatus::Draining)],
         routes: vec![(None, learnt)],
     };
     Snapshot {
-        stamp: Stamp { wall: START, boot: Some(Boot { id: 1, at: 100 * HOUR }) },
+        stamp: Timestamp { wall: START, boot: Some(Boot { id: 1, at: 100 * HOUR }) },
         list: Some((41, START)),
         destinations: [(7, kept)].into(),
         waits: if learnt.wait_until > 0 { [((7, None), learnt.wait_until)].into() } else { [].into() },
@@ -37,15 +37,15 @@
 }
 
 /// A start so long after the snapshot by the machine's own clock, with a wall clock that is ahead of that by so much.
-fn start(after: Micros, ahead: i64) -> Start {
+fn start(after: Micros, ahead: i64) -> RestoreTime {
     let wall = (START + after).saturating_add_signed(ahead);
-    let stamp = Stamp { wall, boot: Some(Boot { id: 1, at: 100 * HOUR + after }) };
-    Start { now: wall.max(START), stamp }
+    let stamp = Timestamp { wall, boot: Some(Boot { id: 1, at: 100 * HOUR + after }) };
+    RestoreTime { now: wall.max(START), stamp }
 }
 
 fn after(learnt: RouteSnapshot, span: Micros) -> (RouteSnapshot, Vec<Reason>) {
-    let belief = believe(&snapshot(learnt), &start(span, 0), 0, &LAW);
-    (belief.routes[0].learnt, belief.routes[0].reasons.clone())
+    let belief = restore(&snapshot(learnt), &start(span, 0), 0, &LAW);
+    (belief.routes[0].snapshot, belief.routes[0].reasons.clone())
 }
 
 #[test]
@@ -54,7 +54,7 @@
     assert!((after(found, FADE).0.send_rate - 6.0).abs() < 1e-6);
     assert!((after(found, 3 * FADE).0.send_rate - 24.0).abs() < 1e-6);
     let (faded, reasons) = after(found, 6 * FADE);
-    assert_eq!((faded.send_rate, reasons), (0.0, vec![Reason::FoundFaded]));
+    assert_eq!((faded.send_rate, reasons), (0.0, vec![Reason::ObservedLimitExpired]));
 }
 
 #[test]
@@ -68,7 +68,10 @@
     };
     assert!((after(ill, DOUBT).0.success_rate - 4.0).abs() < 1e-6);
     let (old, reasons) = after(ill, 1_000 * HOUR);
-    assert_eq!((old.condition, old.trial, &reasons[..]), (Condition::Failing, None, &[Reason::Ill(0)][..]));
+    assert_eq!(
+        (old.condition, old.trial, &reasons[..]),
+        (Condition::Failing, None, &[Reason::Unhealthy(0)][..])
+    );
     let (soon, _) = after(ill, SECOND / 2);
     assert_eq!(soon.trial, Some((START + SECOND, 2 * SECOND)), "no later than a breaker's first trial");
 }
@@ -92,21 +95,21 @@
         ..RouteSnapshot::default()
     };
     let mut snapshot = snapshot(well);
-    snapshot.troubles.push(Trouble::Damaged { file: "known-000000000001".to_owned(), at: 99 });
-    let belief = believe(&snapshot, &start(SECOND, 0), 0, &LAW);
-    let learnt = belief.routes[0].learnt;
-    assert!(belief.lost);
+    snapshot.troubles.push(ReplayFault::Damaged { file: "known-000000000001".to_owned(), at: 99 });
+    let belief = restore(&snapshot, &start(SECOND, 0), 0, &LAW);
+    let learnt = belief.routes[0].snapshot;
+    assert!(belief.incomplete);
     assert_eq!((learnt.wait_until, learnt.condition), (START + 60 * SECOND, Condition::Failing));
     assert_eq!((learnt.success_rate, learnt.last_success_at, learnt.send_rate), (0.0, 0, 3.0));
     assert_eq!((&belief.list.newer, &belief.list.drains[..]), (&None, &["b".to_owned()][..]));
-    assert_eq!(belief.told.len(), 1, "{:?}", belief.told);
+    assert_eq!(belief.warnings.len(), 1, "{:?}", belief.warnings);
 }
 
 #[test]
 fn the_list_counts_where_it_is_newer_and_whole() {
     let all = snapshot(RouteSnapshot::default());
     let list =
-        |snapshot: &Snapshot, after: Micros, index| believe(snapshot, &start(after, 0), index, &LAW).list;
+        |snapshot: &Snapshot, after: Micros, index| restore(snapshot, &start(after, 0), index, &LAW).list;
     let newer = list(&all, SECOND, 40);
     assert_eq!(newer.newer.map(|newer| (newer.0, newer.1[&7].len())), Some((41, 2)));
     assert_eq!(newer.good_for, LIST_GOOD_FOR - SECOND);
@@ -149,11 +152,11 @@
 /// Holds what is believed so long after, in truth, against what was so.
 fn never_bolder(
     kept: &RouteSnapshot,
-    belief: &Belief,
+    belief: &RestoredState,
     now: Micros,
     truly: Micros,
 ) -> Result<(), TestCaseError> {
-    let learnt = &belief.routes[0].learnt;
+    let learnt = &belief.routes[0].snapshot;
     // How long something goes on from now, or is over for, in truth.
     let left = |until: Micros| (until - START).saturating_sub(truly);
     let ago = |at: Micros| START - at + truly;
@@ -173,7 +176,9 @@
     prop_assert!(learnt.send_rate == 0.0 || learnt.send_rate >= kept.send_rate);
     prop_assert!(learnt.recent_calls.0 == kept.recent_calls.0 || kept.recent_calls.0 == 0.0);
     prop_assert!(kept.condition != Condition::Failing || learnt.condition == Condition::Failing);
-    prop_assert!(learnt.trial.is_none_or(|trial| trial.0 > now && trial.0 <= now + LAW.aim / 2));
+    prop_assert!(
+        learnt.trial.is_none_or(|trial| trial.0 > now && trial.0 <= now + LAW.latency_objective / 2)
+    );
     Ok(())
 }
 
@@ -195,7 +200,7 @@
         }
         // Across a restart of the machine a wall clock that was set forward can't be told: what is good news is its word.
         prop_assume!(!restarted || ahead >= 0);
-        let belief = believe(&snapshot(kept), &start, 0, &LAW);
+        let belief = restore(&snapshot(kept), &start, 0, &LAW);
         never_bolder(&kept, &belief, start.now, truly)?;
     }
 
@@ -210,11 +215,11 @@
         start.stamp.boot = None;
         let mut snapshot = snapshot(kept);
         snapshot.stamp.boot = None;
-        let belief = believe(&snapshot, &start, 0, &LAW);
+        let belief = restore(&snapshot, &start, 0, &LAW);
         // What is good news is taken for as old as the clock says.
         let learnt = RouteSnapshot { last_success_at: 0, ..kept };
         let mut belief = belief;
-        belief.routes[0].learnt.last_success_at = 0;
+        belief.routes[0].snapshot.last_success_at = 0;
         never_bolder(&learnt, &belief, start.now, truly)?;
     }
 }
--- a/crates/known/tests/store.rs
+++ b/crates/known/tests/store.rs
@@ -7,10 +7,10 @@
 use decision::interface::{Condition, RouteSnapshot};
 use journal::disk::Disk;
 use journal::sim::{Fault, SimDisk};
-use known::replay::{Snapshot, Trouble};
-use known::stamp::Stamp;
-use known::store::{GIVEN_BACK, Options, Source, Store, load};
-use known::{Kept, Listed, Micros, Status};
+use known::replay::{ReplayFault, Snapshot};
+use known::stamp::Timestamp;
+use known::store::{Options, RELEASED_MARKER, Source, Store, load};
+use known::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_700_000_000 * SECOND;
@@ -24,7 +24,7 @@
 /// What a sender knows: some hundred destinations, and the list's version.
 #[derive(Default)]
 struct World {
-    all: RefCell<BTreeMap<u16, Kept>>,
+    all: RefCell<BTreeMap<u16, DestinationRecord>>,
     index: RefCell<u64>,
     now: RefCell<Micros>,
 }
@@ -33,22 +33,22 @@
     fn destinations(&self) -> Vec<u16> {
         self.all.borrow().keys().copied().collect()
     }
-    fn kept(&self, destination: u16) -> Option<Kept> {
+    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
         let kept = self.all.borrow().get(&destination).cloned()?;
-        Some(Kept { at: *self.now.borrow(), ..kept })
+        Some(DestinationRecord { at: *self.now.borrow(), ..kept })
     }
     fn list(&self) -> (u64, Micros) {
         (*self.index.borrow(), *self.now.borrow())
     }
 }
 
-fn listed(destination: u16, weight: f64) -> Listed {
-    Listed {
+fn listed(destination: u16, weight: f64) -> ListedEndpoint {
+    ListedEndpoint {
         name: format!("e{destination}"),
         address: format!("10.0.0.1:{destination}"),
         zone: "a".to_owned(),
         kind: "plain".to_owned(),
-        status: Status::Active,
+        status: EndpointStatus::Active,
         weight,
     }
 }
@@ -62,7 +62,8 @@
             last_success_at: START,
             ..RouteSnapshot::default()
         };
-        let kept = Kept { at: 0, listed: vec![listed(destination, 1.0)], routes: vec![(None, learnt)] };
+        let kept =
+            DestinationRecord { at: 0, listed: vec![listed(destination, 1.0)], routes: vec![(None, learnt)] };
         world.all.borrow_mut().insert(destination, kept);
     }
     world
@@ -96,7 +97,7 @@
     }
 
     fn slice(&mut self, room: u64) -> io::Result<()> {
-        let stamp = Stamp { wall: self.now(), boot: None };
+        let stamp = Timestamp { wall: self.now(), boot: None };
         self.store.slice(&stamp, room, &self.world)?;
         Ok(())
     }
@@ -267,7 +268,7 @@
         let now = START + n * 10_000;
         *world.now.borrow_mut() = now;
         store.touched((n % 1_000) as u16, now);
-        store.slice(&Stamp { wall: now, boot: None }, u64::MAX, &world).unwrap();
+        store.slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world).unwrap();
         assert!(disk.used() <= options.size, "{} bytes", disk.used());
         assert_eq!(disk.used(), store.used());
     }
@@ -283,10 +284,10 @@
     (0..20).for_each(|_| run.step().unwrap());
     assert!(run.store.used() > 0);
     let now = run.now();
-    run.store.give_back(now).unwrap();
+    run.store.release(now).unwrap();
     assert_eq!((run.store.used(), disk.used()), (0, 0));
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
-    assert_eq!((snapshot.lost(), snapshot.troubles), (true, vec![Trouble::GivenBack]));
+    assert_eq!((snapshot.lost(), snapshot.troubles), (true, vec![ReplayFault::GivenBack]));
     // While the journal holds the room nothing is written.
     for _ in 0..50 {
         *run.world.now.borrow_mut() += SECOND;
@@ -299,7 +300,7 @@
     }
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
     assert!(!snapshot.lost() && snapshot.destinations.len() == 100, "{:?}", snapshot.troubles);
-    assert!(disk.bytes(GIVEN_BACK).is_none());
+    assert!(disk.bytes(RELEASED_MARKER).is_none());
 }
 
 #[test]
@@ -312,7 +313,7 @@
     let whole = load(&mut disk.clone(), "n1").unwrap();
     disk.spoil(&file, |bytes| bytes[length as usize / 3] ^= 0x20);
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
-    assert!(snapshot.lost() && snapshot.troubles.iter().any(|t| matches!(t, Trouble::Damaged { .. })));
+    assert!(snapshot.lost() && snapshot.troubles.iter().any(|t| matches!(t, ReplayFault::Damaged { .. })));
     assert_eq!(snapshot.stamp, whole.stamp, "the newest is read");
 }
 
@@ -323,11 +324,11 @@
     (0..20).for_each(|_| run.step().unwrap());
     let (mut store, snapshot) = Store::open(Box::new(disk.clone()), "n2", OPTIONS).unwrap();
     assert!(!snapshot.found && snapshot.destinations.is_empty() && snapshot.waits.is_empty());
-    assert!(matches!(&snapshot.troubles[..], [Trouble::Foreign { owner, .. }] if owner == "n1"));
+    assert!(matches!(&snapshot.troubles[..], [ReplayFault::Foreign { owner, .. }] if owner == "n1"));
     assert!(!snapshot.lost(), "it is as without");
     let (mine, now) = (world(3), START + SECOND);
     for n in 0..5 {
-        store.slice(&Stamp { wall: now + n, boot: None }, u64::MAX, &mine).unwrap();
+        store.slice(&Timestamp { wall: now + n, boot: None }, u64::MAX, &mine).unwrap();
     }
     let snapshot = load(&mut disk.clone(), "n2").unwrap();
     assert_eq!((snapshot.destinations.len(), snapshot.troubles), (3, vec![]));
--- a/crates/ops/src/call.rs
+++ b/crates/ops/src/call.rs
@@ -7,17 +7,19 @@
 
 /// What is asked of the sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Call {
+pub enum AdminRequest {
     /// Does this process take clients?
     Status,
     /// The figures.
     Metrics,
     /// What senders share.
-    Shared,
+    Gossip,
     /// Leave the endpoint of that name out.
-    HoldOut(String),
+    #[serde(rename = "HoldOut")]
+    Eject(String),
     /// The endpoint of that name may serve again.
-    PutBack(String),
+    #[serde(rename = "PutBack")]
+    Reinstate(String),
     /// Send clients away.
     Standby,
     /// Take clients again.
@@ -33,7 +35,7 @@
 
 /// Why a request is no call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoCall {
+pub enum InvalidRequest {
     /// There is nothing of that path: see the list of calls.
     Path,
     /// The path is there, for `GET` or `POST` alone: use the other.
@@ -44,7 +46,7 @@
     Target,
 }
 
-impl NoCall {
+impl InvalidRequest {
     /// The answer's status.
     pub fn status(self) -> u16 {
         match self {
@@ -69,27 +71,27 @@
 ///
 /// # Errors
 /// Fails, with what to tell the caller, when it is none of the calls.
-pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<Call, NoCall> {
+pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<AdminRequest, InvalidRequest> {
     let asks = ["/status", "/status/metrics", "/shared"].contains(&path);
     let does =
         ["/maintenance/enter", "/maintenance/exit", "/standby", "/active", "/cores/move"].contains(&path);
     match (asks, does, method) {
-        (false, false, _) => return Err(NoCall::Path),
+        (false, false, _) => return Err(InvalidRequest::Path),
         (true, _, "GET") | (_, true, "POST") => {}
-        _ => return Err(NoCall::Method),
+        _ => return Err(InvalidRequest::Method),
     }
     Ok(match path {
-        "/status" => Call::Status,
-        "/status/metrics" => Call::Metrics,
-        "/shared" => Call::Shared,
-        "/standby" => Call::Standby,
-        "/active" => Call::Active,
-        "/cores/move" => Call::Move {
-            destination: number(query, "destination").ok_or(NoCall::Cores)?,
-            core: number(query, "core").ok_or(NoCall::Cores)?,
+        "/status" => AdminRequest::Status,
+        "/status/metrics" => AdminRequest::Metrics,
+        "/shared" => AdminRequest::Gossip,
+        "/standby" => AdminRequest::Standby,
+        "/active" => AdminRequest::Active,
+        "/cores/move" => AdminRequest::Move {
+            destination: number(query, "destination").ok_or(InvalidRequest::Cores)?,
+            core: number(query, "core").ok_or(InvalidRequest::Cores)?,
         },
-        "/maintenance/enter" => Call::HoldOut(target(query)?),
-        _ => Call::PutBack(target(query)?),
+        "/maintenance/enter" => AdminRequest::Eject(target(query)?),
+        _ => AdminRequest::Reinstate(target(query)?),
     })
 }
 
@@ -101,11 +103,11 @@
     if values.next().is_some() { None } else { value.parse().ok() }
 }
 
-fn target(query: Option<&str>) -> Result<String, NoCall> {
+fn target(query: Option<&str>) -> Result<String, InvalidRequest> {
     let mut targets =
         form_urlencoded::parse(query.unwrap_or_default().as_bytes()).filter(|(name, _)| name == "target");
     match (targets.next(), targets.next()) {
         (Some((_, id)), None) if !id.is_empty() && id.len() <= ID_LIMIT => Ok(id.into_owned()),
-        _ => Err(NoCall::Target),
+        _ => Err(InvalidRequest::Target),
     }
 }
--- a/crates/ops/src/door.rs
+++ b/crates/ops/src/door.rs
@@ -12,7 +12,7 @@
 
 /// What the front does with clients.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Door {
+pub enum AdmissionGate {
     /// Clients come and stay.
     #[default]
     Open,
@@ -29,7 +29,7 @@
     Closing,
 }
 
-impl Door {
+impl AdmissionGate {
     /// Clients are to be sent away. Once more changes nothing, and a process that ends does not come back.
     #[must_use]
     pub fn standby(self, now: Micros) -> Self {
--- a/crates/ops/src/held_out.rs
+++ b/crates/ops/src/held_out.rs
@@ -7,14 +7,14 @@
 
 /// Why an endpoint is not held out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum EjectError {
     /// No list has named it, as far as is remembered: look at its spelling.
     Unknown,
     /// So many are held out already that there is no room to keep a further name: put some back.
     Full,
 }
 
-impl Refused {
+impl EjectError {
     /// The answer's status.
     pub fn status(self) -> u16 {
         match self {
@@ -34,13 +34,13 @@
 
 /// Which endpoints are held out.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct HeldOut {
+pub struct Ejections {
     names: BTreeSet<String>,
     /// Bytes that their text may have.
     room: usize,
 }
 
-impl HeldOut {
+impl Ejections {
     /// None is. Their text may have so many bytes.
     pub fn new(room: usize) -> Self {
         Self { names: BTreeSet::new(), room }
@@ -66,12 +66,12 @@
     ///
     /// # Errors
     /// Fails when there is no room to keep its name.
-    pub fn enter(&mut self, name: &str) -> Result<bool, Refused> {
+    pub fn enter(&mut self, name: &str) -> Result<bool, EjectError> {
         if self.contains(name) {
             return Ok(false);
         }
         if self.text().len() + quoted(name).len() > self.room {
-            return Err(Refused::Full);
+            return Err(EjectError::Full);
         }
         Ok(self.names.insert(name.to_owned()))
     }
@@ -106,12 +106,12 @@
 
 /// Names that lists had and have no longer: under churn there are ever new ones, so that the oldest go.
 #[derive(Debug, Clone, Default)]
-pub struct Past {
+pub struct RetiredNames {
     order: std::collections::VecDeque<String>,
     names: BTreeSet<String>,
 }
 
-impl Past {
+impl RetiredNames {
     /// A name that the list no longer has.
     pub fn left(&mut self, name: &str) {
         if self.names.insert(name.to_owned()) {
--- a/crates/rig/src/known_cost.rs
+++ b/crates/rig/src/known_cost.rs
@@ -7,9 +7,9 @@
 use decision::interface::RouteSnapshot;
 use journal::Journal;
 use journal::disk::Folder;
-use known::stamp::Stamp;
+use known::stamp::Timestamp;
 use known::store::{Options as Keep, Source, Store};
-use known::{Kept, Listed, Micros, Status};
+use known::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
 use standins::Platform;
 
 use crate::scenario::{Options, Scenario, program};
@@ -41,7 +41,7 @@
         (0..self.count).collect()
     }
 
-    fn kept(&self, destination: u16) -> Option<Kept> {
+    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
         let now = *self.now.borrow();
         let learnt = RouteSnapshot {
             limit: 5.0 + f64::from(destination),
@@ -50,15 +50,15 @@
             last_success_at: now,
             ..RouteSnapshot::default()
         };
-        let listed = Listed {
+        let listed = ListedEndpoint {
             name: format!("s-{destination:08x}"),
             address: format!("10.1.0.18:{destination}"),
             zone: "cph-1".into(),
             kind: "bulk".into(),
-            status: Status::Active,
+            status: EndpointStatus::Active,
             weight: 1.0,
         };
-        Some(Kept { at: now, listed: vec![listed], routes: vec![(None, learnt)] })
+        Some(DestinationRecord { at: now, listed: vec![listed], routes: vec![(None, learnt)] })
     }
 
     fn list(&self) -> (u64, Micros) {
@@ -81,7 +81,7 @@
             store.touched(((turn * 37 + n * 11) % u64::from(count)) as u16, now);
         }
         let began = Instant::now();
-        store.slice(&Stamp { wall: now, boot: None }, u64::MAX, &world).map_err(|e| e.to_string())?;
+        store.slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world).map_err(|e| e.to_string())?;
         times.push(began.elapsed());
     }
     Ok((Times::new(times), store.written()))
@@ -111,7 +111,7 @@
         if known {
             (0..10).for_each(|n| store.touched(((turn * 37 + n * 11) % 60) as u16, now));
             let room = journal.free_reserved_bytes();
-            store.slice(&Stamp { wall: now, boot: None }, room, &world).map_err(|e| e.to_string())?;
+            store.slice(&Timestamp { wall: now, boot: None }, room, &world).map_err(|e| e.to_string())?;
             journal.set_reserved_bytes(store.used());
         }
     }
--- a/crates/sender/src/cores/elsewhere.rs
+++ b/crates/sender/src/cores/elsewhere.rs
@@ -6,18 +6,18 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use cores::Core;
+use cores::ShardId;
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::post::{Post, Say};
-use crate::ports::{Carrier, Front, Inbound, Pace, Part};
+use crate::ports::{CallMessage, Frontend, Inbound, Transport, WriteOptions};
 
 /// The other cores, as a front and a carrier of the first. They own nothing any more: what comes to them is said to the
 /// first, as ever.
 pub struct Elsewhere {
     post: Rc<Post>,
-    outs: RefCell<BTreeMap<(MessageId, u16), (Core, EndpointId)>>,
+    outs: RefCell<BTreeMap<(MessageId, u16), (ShardId, EndpointId)>>,
     /// Endpoints by their names, as the process that took over was told.
     ids: HashMap<String, EndpointId>,
 }
@@ -26,7 +26,7 @@
     /// These attempts are out on connections of others.
     pub fn new(
         post: Rc<Post>,
-        outs: BTreeMap<(MessageId, u16), (Core, EndpointId)>,
+        outs: BTreeMap<(MessageId, u16), (ShardId, EndpointId)>,
         ids: &[(String, EndpointId)],
     ) -> Self {
         Self { post, outs: RefCell::new(outs), ids: ids.iter().cloned().collect() }
@@ -51,12 +51,12 @@
     fn heard(&self, say: Say) -> Option<Inbound> {
         let id = |name: &str| self.ids.get(name).copied();
         Some(match say {
-            Say::HandedIn(message) => Inbound::HandedIn(message),
+            Say::HandedIn(message) => Inbound::Submitted(message),
             Say::Withdrawn { id, request, destination } => Inbound::Withdrawn { id, request, destination },
             Say::Ended { name, mut over, .. } => {
                 let known = self.outs.borrow_mut().remove(&(over.message, over.attempt));
                 over.endpoint = known.map(|known| known.1).or_else(|| id(&name)).unwrap_or(over.endpoint);
-                Inbound::CallOver(vec![over])
+                Inbound::CallCompleted(vec![over])
             }
             Say::Wait { name, wait, .. } => Inbound::Event(Event::RetryAfter { endpoint: id(&name)?, wait }),
             _ => return None,
@@ -64,8 +64,8 @@
     }
 }
 
-impl Front for Elsewhere {
-    fn begin(self: Rc<Self>) -> io::Result<SocketAddr> {
+impl Frontend for Elsewhere {
+    fn start(self: Rc<Self>) -> io::Result<SocketAddr> {
         Err(io::ErrorKind::Unsupported.into())
     }
 
@@ -73,11 +73,11 @@
         0
     }
 
-    fn open(&self) -> usize {
+    fn open_connections(&self) -> usize {
         self.post.team().clients_of_others(self.post.me())
     }
 
-    fn set_places(&self, most: usize) {
+    fn set_max_clients(&self, most: usize) {
         let team = self.post.team();
         let others = team.all().filter(|core| *core != self.post.me());
         others.for_each(|core| self.post.say(core, Say::Places(most)));
@@ -89,8 +89,8 @@
     }
 }
 
-impl Carrier for Elsewhere {
-    fn place(&self, _: EndpointId, _: &str) -> bool {
+impl Transport for Elsewhere {
+    fn set_address(&self, _: EndpointId, _: &str) -> bool {
         false
     }
 
@@ -101,7 +101,7 @@
     fn forget(&self, _: EndpointId) {}
 
     /// Nothing is placed here, so that nothing is started here.
-    fn start(&self, _: (RouteId, EndpointId), _: Vec<Part>, _: Pace) {}
+    fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
 
     fn cancel(&self, message: MessageId, attempt: u16) {
         if let Some((core, _)) = self.outs.borrow().get(&(message, attempt)) {
@@ -113,17 +113,17 @@
 
     fn close_idle(&self, _: EndpointId) {}
 
-    fn written(&self) -> u64 {
+    fn messages_written(&self) -> u64 {
         let figures = self.post.team().figures();
         let others = figures.iter().enumerate().filter(|(core, _)| *core != self.post.me().index());
         others.map(|(_, figures)| figures.now.relayed).sum()
     }
 
-    fn out(&self) -> usize {
+    fn attempts_in_flight(&self) -> usize {
         self.outs.borrow().len()
     }
 
-    fn outs(&self) -> Vec<(MessageId, u16, EndpointId)> {
+    fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)> {
         self.outs
             .borrow()
             .iter()
--- a/crates/sender/src/cores/post.rs
+++ b/crates/sender/src/cores/post.rs
@@ -5,17 +5,17 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use cores::{Attempt, Core};
+use cores::{Attempt, ShardId};
 use crossbeam_queue::ArrayQueue;
 use decision::interface::{EndpointId, MessageId, Micros};
 use decision::policy::moving::Parcel;
 use journal::PendingMessage;
-use ops::held_out::HeldOut;
+use ops::held_out::Ejections;
 use tokio::sync::{Notify, oneshot};
 
 use super::Team;
 use crate::list::Listed;
-use crate::ports::{AttemptOver, HandedIn};
+use crate::ports::{AttemptOver, Submission};
 
 /// A destination that goes to another core, with all that is known, held and out.
 #[derive(Debug)]
@@ -31,14 +31,14 @@
     /// Attempts begun for each.
     pub attempts: Vec<(u32, u16)>,
     /// Who has the connection of each attempt that is out.
-    pub connections: Vec<(Attempt, Core)>,
+    pub connections: Vec<(Attempt, ShardId)>,
 }
 
 /// What one core says to another.
 #[derive(Debug)]
 pub enum Say {
     /// A client handed a message in at that core's front.
-    HandedIn(HandedIn),
+    HandedIn(Submission),
     /// A client closed before its request was answered.
     Withdrawn {
         /// The message's `Req-Id`.
@@ -73,7 +73,7 @@
         /// Which.
         destination: u16,
         /// Where to.
-        to: Core,
+        to: ShardId,
     },
     /// All that this core has is to go to the first.
     Gather,
@@ -86,7 +86,7 @@
     /// Discovery could not be asked.
     ListFailed,
     /// These endpoints are held out by hand, from when it is answered.
-    HeldOut(HeldOut, oneshot::Sender<()>),
+    HeldOut(Ejections, oneshot::Sender<()>),
     /// A client's connection.
     Client(std::net::TcpStream),
     /// Discovery is there from now on.
@@ -155,7 +155,7 @@
 
 /// One core's way to the others. What it says to one of them arrives in order.
 pub struct Post {
-    me: Core,
+    me: ShardId,
     team: Arc<Team>,
     /// What found no room in a queue and may not be turned away: bounded by what is out, open or listed. It goes in order, so
     /// that whatever is said behind it waits here too.
@@ -164,13 +164,13 @@
 
 impl Post {
     /// Nothing was said yet.
-    pub fn new(me: Core, team: Arc<Team>) -> Self {
+    pub fn new(me: ShardId, team: Arc<Team>) -> Self {
         let outbox = (0..team.count()).map(|_| VecDeque::new()).collect();
         Self { me, team, outbox: RefCell::new(outbox) }
     }
 
     /// Whose it is.
-    pub fn me(&self) -> Core {
+    pub fn me(&self) -> ShardId {
         self.me
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Says what must arrive.
-    pub fn say(&self, to: Core, say: Say) {
+    pub fn say(&self, to: ShardId, say: Say) {
         let mut outbox = self.outbox.borrow_mut();
         let waiting = &mut outbox[to.index()];
         match if waiting.is_empty() { self.team.mailbox(to).push(say) } else { Err(say) } {
@@ -194,7 +194,7 @@
     ///
     /// # Errors
     /// Gives it back where there is no room.
-    pub fn try_say(&self, to: Core, say: Say) -> Result<(), Say> {
+    pub fn try_say(&self, to: ShardId, say: Say) -> Result<(), Say> {
         let mailbox = self.team.mailbox(to);
         let busy = mailbox.queue.len() * 2 >= mailbox.queue.capacity();
         if busy || !self.outbox.borrow()[to.index()].is_empty() {
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     /// Gives it back where there is no room, or something waits for some.
-    pub fn say_now(&self, to: Core, say: Say) -> Result<(), Say> {
+    pub fn say_now(&self, to: ShardId, say: Say) -> Result<(), Say> {
         if self.outbox.borrow()[to.index()].is_empty() { self.team.mailbox(to).push(say) } else { Err(say) }
     }
 
@@ -220,7 +220,7 @@
     pub fn flush(&self) {
         for (to, waiting) in self.outbox.borrow_mut().iter_mut().enumerate() {
             while let Some(say) = waiting.pop_front() {
-                if let Err(say) = self.team.mailbox(Core(to as u8)).push(say) {
+                if let Err(say) = self.team.mailbox(ShardId(to as u8)).push(say) {
                     waiting.push_front(say);
                     break;
                 }
--- a/crates/sender/src/cores/team.rs
+++ b/crates/sender/src/cores/team.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use arc_swap::ArcSwap;
-use cores::{Core, Owners, Pool};
-use ops::figures::{Ends, Now};
+use cores::{LeasePool, OwnershipMap, ShardId};
+use ops::figures::{Gauges, OutcomeCounts};
 
 use super::post::Mailbox;
 
@@ -14,20 +14,20 @@
 #[derive(Debug)]
 pub struct Room {
     /// Calls that may be out at once.
-    pub slots: Pool,
+    pub slots: LeasePool,
     /// Messages that may be held.
-    pub held: Pool,
+    pub held: LeasePool,
     /// Connections to endpoints.
-    pub connections: Pool,
+    pub connections: LeasePool,
 }
 
 /// What a core shows of itself.
 #[derive(Debug, Clone, Default)]
 pub struct Figures {
     /// How messages ended there.
-    pub ends: Option<Ends>,
+    pub ends: Option<OutcomeCounts>,
     /// What is so at the moment; of endpoints out of rotation those that breakers shut.
-    pub now: Now,
+    pub now: Gauges,
     /// Calls that are out, and messages that wait.
     pub out: usize,
     /// Destinations that came, and that went.
@@ -36,7 +36,7 @@
 
 /// What all cores share.
 pub struct Team {
-    owners: ArcSwap<Owners>,
+    owners: ArcSwap<OwnershipMap>,
     mailboxes: Vec<Mailbox>,
     room: Mutex<Room>,
     figures: Vec<Mutex<Figures>>,
@@ -56,7 +56,7 @@
 
 impl Team {
     /// So many cores as the owners have, and queues between them with room for so much.
-    pub fn new(owners: Owners, room: Room, queue: usize) -> Arc<Self> {
+    pub fn new(owners: OwnershipMap, room: Room, queue: usize) -> Arc<Self> {
         let count = owners.count();
         Arc::new(Self {
             owners: ArcSwap::from_pointee(owners),
@@ -77,33 +77,33 @@
     }
 
     /// All of them.
-    pub fn all(&self) -> impl Iterator<Item = Core> + use<> {
-        (0..self.count() as u8).map(Core)
+    pub fn all(&self) -> impl Iterator<Item = ShardId> + use<> {
+        (0..self.count() as u8).map(ShardId)
     }
 
     /// Who owns what, as one version.
-    pub fn owners(&self) -> Arc<Owners> {
+    pub fn owners(&self) -> Arc<OwnershipMap> {
         self.owners.load_full()
     }
 
     /// A destination's owner.
-    pub fn owner(&self, destination: u16) -> Core {
-        self.owners.load().of(destination)
+    pub fn owner(&self, destination: u16) -> ShardId {
+        self.owners.load().owner(destination)
     }
 
     /// A destination's owner has sent it to another core: to be called behind that, and by the owner alone.
-    pub fn has_gone(&self, destination: u16, to: Core) {
+    pub fn has_gone(&self, destination: u16, to: ShardId) {
         self.owners.rcu(|owners| owners.with(destination, to));
         self.moves.fetch_add(1, Ordering::Relaxed);
     }
 
     /// All that a core owned is the first's: to be called behind the parcels, and by the core alone.
-    pub fn has_gathered(&self, core: Core) {
-        self.owners.rcu(|owners| owners.gather(core));
+    pub fn has_gathered(&self, core: ShardId) {
+        self.owners.rcu(|owners| owners.gather_on(core));
     }
 
     /// Clients' connections of all cores but one.
-    pub fn clients_of_others(&self, core: Core) -> usize {
+    pub fn clients_of_others(&self, core: ShardId) -> usize {
         let others = self.clients.iter().enumerate().filter(|(other, _)| *other != core.index());
         others.map(|(_, clients)| clients.load(Ordering::Relaxed)).sum()
     }
@@ -119,7 +119,7 @@
     }
 
     /// What comes for a core.
-    pub fn mailbox(&self, core: Core) -> &Mailbox {
+    pub fn mailbox(&self, core: ShardId) -> &Mailbox {
         &self.mailboxes[core.index()]
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// What a core shows.
-    pub fn show(&self, core: Core, figures: Figures) {
+    pub fn show(&self, core: ShardId, figures: Figures) {
         *lock(&self.figures[core.index()]) = figures;
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// A core's turn had so many events of each of these destinations.
-    pub fn worked(&self, core: Core, work: impl Iterator<Item = (u16, u32)>) {
+    pub fn worked(&self, core: ShardId, work: impl Iterator<Item = (u16, u32)>) {
         let mut of = lock(&self.work[core.index()]);
         work.for_each(|(destination, events)| *of.entry(destination).or_default() += events);
     }
@@ -154,20 +154,20 @@
     }
 
     /// The core with the fewest clients gets one more.
-    pub fn deal(&self) -> Core {
+    pub fn deal(&self) -> ShardId {
         let fewest = self.all().min_by_key(|core| self.clients[core.index()].load(Ordering::Relaxed));
-        let fewest = fewest.unwrap_or(Core(0));
+        let fewest = fewest.unwrap_or(ShardId(0));
         self.clients[fewest.index()].fetch_add(1, Ordering::Relaxed);
         fewest
     }
 
     /// A client of a core is gone, or never came there.
-    pub fn client_gone(&self, core: Core) {
+    pub fn client_gone(&self, core: ShardId) {
         self.clients[core.index()].fetch_sub(1, Ordering::Relaxed);
     }
 
     /// Whether a core has nothing left to do; tells whether none has.
-    pub fn done(&self, core: Core, done: bool) -> bool {
+    pub fn done(&self, core: ShardId, done: bool) -> bool {
         self.done[core.index()].store(done, Ordering::Release);
         self.done.iter().all(|done| done.load(Ordering::Acquire))
     }
--- a/crates/sender/src/directory.rs
+++ b/crates/sender/src/directory.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 
 use decision::interface::*;
-use ops::held_out::{HeldOut, Past, Refused};
+use ops::held_out::{EjectError, Ejections, RetiredNames};
 
 use crate::config::Names;
 use crate::list::{ListBody, Listing as Listed};
-use crate::ports::Carrier;
+use crate::ports::Transport;
 
 /// Entries of a long list that are taken in in one turn: bounds the pause that a list makes.
 pub const SLICE: usize = 1_000;
@@ -22,7 +22,7 @@
     group: u16,
     kind: usize,
     /// Who makes calls to it; none where its address can't be read.
-    carrier: Option<Rc<dyn Carrier>>,
+    carrier: Option<Rc<dyn Transport>>,
     bundle: usize,
     /// What the list says of it; nothing new goes there besides while it is held out.
     listing: Listing,
@@ -40,7 +40,7 @@
 pub struct Directory {
     names: Names,
     kinds: Vec<DestinationKind>,
-    carriers: Vec<Rc<dyn Carrier>>,
+    carriers: Vec<Rc<dyn Transport>>,
     endpoints: HashMap<EndpointId, Known>,
     /// The id of each name, and how many ids were given out.
     ids: HashMap<String, EndpointId>,
@@ -51,8 +51,8 @@
     gone: BTreeSet<EndpointId>,
     strays: BTreeSet<String>,
     /// Held out by hand, whatever the list says, and names that the list had.
-    held_out: HeldOut,
-    past: Past,
+    held_out: Ejections,
+    past: RetiredNames,
     /// Whole lists so far; the last one may not be at its end yet.
     lists: u64,
     whole: bool,
@@ -90,12 +90,12 @@
     pub fn new(
         names: Names,
         kinds: Vec<DestinationKind>,
-        carriers: Vec<Rc<dyn Carrier>>,
-        held_out: HeldOut,
+        carriers: Vec<Rc<dyn Transport>>,
+        held_out: Ejections,
     ) -> Self {
         Self {
             held_out,
-            past: Past::default(),
+            past: RetiredNames::default(),
             names,
             kinds,
             carriers,
@@ -133,7 +133,8 @@
                 weight,
                 unlisted: gone,
             } = known;
-            let place = |carrier: &&Rc<dyn Carrier>| address.as_ref().is_some_and(|a| carrier.place(id, a));
+            let place =
+                |carrier: &&Rc<dyn Transport>| address.as_ref().is_some_and(|a| carrier.set_address(id, a));
             let carrier = self.carriers.iter().find(place).cloned();
             let kind = kind.map_or(usize::MAX, usize::from);
             let bundle = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
@@ -141,7 +142,7 @@
                 self.gone.insert(id);
             }
             let open = listing == Listing::Ready && !gone && !self.held_out.contains(&name);
-            carrier.iter().for_each(|carrier| carrier.set_open(id, open));
+            carrier.iter().for_each(|carrier| carrier.set_accepting(id, open));
             self.destinations.insert(group);
             let (name, named) = (name.into(), self.lists);
             let place = crc32fast::hash(address.as_deref().unwrap_or_default().as_bytes());
@@ -192,20 +193,20 @@
     }
 
     /// An endpoint as the list has it, whatever is held out by hand.
-    pub fn describe(&self, endpoint: EndpointId) -> Option<known::Listed> {
+    pub fn describe(&self, endpoint: EndpointId) -> Option<known::ListedEndpoint> {
         let known = self.endpoints.get(&endpoint)?;
         let text = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
         let address = known.carrier.as_ref().and_then(|carrier| carrier.address(endpoint));
-        Some(known::Listed {
+        Some(known::ListedEndpoint {
             name: known.name.to_string(),
             address: address.unwrap_or_default(),
             zone: text(&self.names.zones, known.zone.into()),
             kind: text(&self.names.kinds, known.kind),
             status: match known.listing {
-                _ if known.gone => known::Status::Left,
-                Listing::Ready => known::Status::Active,
-                Listing::Draining => known::Status::Leaving,
-                Listing::Gone => known::Status::Left,
+                _ if known.gone => known::EndpointStatus::Removed,
+                Listing::Ready => known::EndpointStatus::Active,
+                Listing::Draining => known::EndpointStatus::Draining,
+                Listing::Gone => known::EndpointStatus::Removed,
             },
             weight: known.weight,
         })
@@ -237,12 +238,12 @@
     }
 
     /// All who make calls.
-    pub fn carriers(&self) -> &[Rc<dyn Carrier>] {
+    pub fn carriers(&self) -> &[Rc<dyn Transport>] {
         &self.carriers
     }
 
     /// Who makes calls to an endpoint.
-    pub fn carrier(&self, endpoint: EndpointId) -> Option<&Rc<dyn Carrier>> {
+    pub fn carrier(&self, endpoint: EndpointId) -> Option<&Rc<dyn Transport>> {
         self.endpoints.get(&endpoint)?.carrier.as_ref()
     }
 
@@ -259,7 +260,7 @@
     }
 
     /// Which endpoints are held out by hand.
-    pub fn held_out(&self) -> &HeldOut {
+    pub fn held_out(&self) -> &Ejections {
         &self.held_out
     }
 
@@ -267,10 +268,10 @@
     ///
     /// # Errors
     /// Fails when no list has named it, or there is no room.
-    pub fn would_hold_out(&self, name: &str, out: bool) -> Result<HeldOut, Refused> {
+    pub fn would_hold_out(&self, name: &str, out: bool) -> Result<Ejections, EjectError> {
         let known = self.ids.get(name).is_some_and(|id| self.endpoints.contains_key(id));
         if !known && !self.past.contains(name) && !self.held_out.contains(name) {
-            return Err(Refused::Unknown);
+            return Err(EjectError::Unknown);
         }
         let mut held_out = self.held_out.clone();
         if out {
@@ -282,14 +283,14 @@
     }
 
     /// These are held out from now on; tells what changes by it.
-    pub fn hold_out(&mut self, held_out: HeldOut) -> Event {
+    pub fn hold_out(&mut self, held_out: Ejections) -> Event {
         let before = std::mem::replace(&mut self.held_out, held_out);
         let changed = |known: &&Known| before.contains(&known.name) != self.held_out.contains(&known.name);
         let listed = self.endpoints.iter().filter(|(_, known)| !known.gone);
         let changes = listed.filter(|(_, known)| changed(known)).map(|(id, known)| {
             let listing = if self.held_out.contains(&known.name) { Listing::Draining } else { known.listing };
             if let Some(carrier) = &known.carrier {
-                carrier.set_open(*id, listing == Listing::Ready);
+                carrier.set_accepting(*id, listing == Listing::Ready);
                 if listing == Listing::Draining {
                     carrier.close_idle(*id);
                 }
@@ -411,7 +412,7 @@
     fn goes(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
         let known = self.endpoints.get_mut(&endpoint).filter(|known| known.named != self.lists)?;
         known.gone = true;
-        known.carrier.iter().for_each(|carrier| carrier.set_open(endpoint, false));
+        known.carrier.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
         self.past.left(&known.name);
         self.gone.insert(endpoint);
         self.changed.insert(known.group);
@@ -441,7 +442,7 @@
             entry(endpoint, group, Listing::Gone);
             if let Some(known) = self.endpoints.get_mut(&endpoint) {
                 known.gone = true;
-                known.carrier.iter().for_each(|carrier| carrier.set_open(endpoint, false));
+                known.carrier.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
                 self.gone.insert(endpoint);
             }
             self.changed.insert(group);
@@ -471,12 +472,13 @@
         } else {
             self.gone.remove(&endpoint)
         };
-        let carrier = self.carriers.iter().find(|carrier| carrier.place(endpoint, &listing.address)).cloned();
-        let keeps = |other: &&Rc<dyn Carrier>| carrier.as_ref().is_some_and(|c| Rc::ptr_eq(c, other));
+        let carrier =
+            self.carriers.iter().find(|carrier| carrier.set_address(endpoint, &listing.address)).cloned();
+        let keeps = |other: &&Rc<dyn Transport>| carrier.as_ref().is_some_and(|c| Rc::ptr_eq(c, other));
         // Who made calls to it at the address that it had has no more to do with it.
         self.carriers.iter().filter(|other| !keeps(other)).for_each(|other| other.forget(endpoint));
         if let Some(carrier) = &carrier {
-            carrier.set_open(endpoint, state == Listing::Ready);
+            carrier.set_accepting(endpoint, state == Listing::Ready);
             if state != Listing::Ready {
                 carrier.close_idle(endpoint);
             }
@@ -534,14 +536,14 @@
 
     use decision::interface::MessageId;
 
-    use crate::ports::{Pace, Part};
+    use crate::ports::{CallMessage, WriteOptions};
 
     /// Where endpoints are, and nothing else.
     #[derive(Default)]
     struct Places(RefCell<BTreeMap<EndpointId, String>>);
 
-    impl Carrier for Places {
-        fn place(&self, endpoint: EndpointId, address: &str) -> bool {
+    impl Transport for Places {
+        fn set_address(&self, endpoint: EndpointId, address: &str) -> bool {
             self.0.borrow_mut().insert(endpoint, address.to_owned());
             true
         }
@@ -551,17 +553,17 @@
         fn forget(&self, endpoint: EndpointId) {
             self.0.borrow_mut().remove(&endpoint);
         }
-        fn start(&self, _: (RouteId, EndpointId), _: Vec<Part>, _: Pace) {}
+        fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
         fn cancel(&self, _: MessageId, _: u16) {}
         fn probe(&self, _: EndpointId) {}
         fn close_idle(&self, _: EndpointId) {}
-        fn written(&self) -> u64 {
+        fn messages_written(&self) -> u64 {
             0
         }
-        fn out(&self) -> usize {
+        fn attempts_in_flight(&self) -> usize {
             0
         }
-        fn outs(&self) -> Vec<(MessageId, u16, EndpointId)> {
+        fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)> {
             vec![]
         }
     }
@@ -577,7 +579,7 @@
         fn new() -> Self {
             let (places, told) = (Rc::new(Places::default()), BTreeMap::new());
             let directory =
-                Directory::new(Names::default(), vec![], vec![places.clone()], HeldOut::default());
+                Directory::new(Names::default(), vec![], vec![places.clone()], Ejections::default());
             Self { directory, places, told }
         }
 
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -12,10 +12,10 @@
 use decision::policy::Policy;
 use handover::HandoverState;
 use journal::{Abandonment, AcceptedMessage, Record};
-use known::belief::Belief;
-use ops::door::Door;
-use ops::figures::{End, Ends};
-use ops::held_out::HeldOut;
+use known::belief::RestoredState;
+use ops::door::AdmissionGate;
+use ops::figures::{FinalOutcome, OutcomeCounts};
+use ops::held_out::Ejections;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, oneshot, watch};
 
@@ -31,7 +31,7 @@
 use crate::meanings::Meanings;
 use crate::peers::Peers;
 use crate::platform::{self, Notice};
-use crate::ports::{Answer, AttemptOver, Carrier, Clock, Front, Inbound, Pace, Part};
+use crate::ports::{Answer, AttemptOver, CallMessage, Clock, Frontend, Inbound, Transport, WriteOptions};
 use crate::store::Store;
 
 mod begin;
@@ -79,7 +79,7 @@
     endpoint: EndpointId,
     timeout: Micros,
     leave_within: Micros,
-    pace: Pace,
+    pace: WriteOptions,
 }
 
 struct Driver {
@@ -109,8 +109,8 @@
     /// Who asks to take over, and what is left of the process before this one.
     successor: Option<Link>,
     before: Option<Rc<Before>>,
-    door: watch::Sender<Door>,
-    ends: Ends,
+    door: watch::Sender<AdmissionGate>,
+    ends: OutcomeCounts,
     /// Where it is kept who is held out.
     state: PathBuf,
     stop_at: Option<Micros>,
@@ -149,15 +149,15 @@
     /// What one of several cores has beside.
     pub member: Option<Member>,
     /// Take messages on.
-    pub fronts: Vec<Rc<dyn Front>>,
+    pub fronts: Vec<Rc<dyn Frontend>>,
     /// Make calls; the first that can read an endpoint's address makes those to it.
-    pub carriers: Vec<Rc<dyn Carrier>>,
+    pub carriers: Vec<Rc<dyn Transport>>,
     /// Notes to other senders.
     pub peers: Option<Peers>,
     /// Tells the fronts whether clients may come.
-    pub door: watch::Sender<Door>,
+    pub door: watch::Sender<AdmissionGate>,
     /// Who is held out by hand.
-    pub held_out: HeldOut,
+    pub held_out: Ejections,
     /// The fronts have begun.
     pub begun: bool,
     /// What another process knew, which this one goes on with.
@@ -167,13 +167,13 @@
     /// Endpoints of destinations that told another process a wait, and until when.
     pub waits: Vec<(String, Micros)>,
     /// Ends so far.
-    pub ends: Option<Ends>,
+    pub ends: Option<OutcomeCounts>,
     /// The system's clock was set back since the last process.
     pub set_back: bool,
     /// Keeps what is learnt for the next process.
     pub memory: Option<Memory>,
     /// What the last process learnt, as far as it is believed.
-    pub belief: Belief,
+    pub belief: RestoredState,
     /// What binds what was taken on, by its class.
     pub meanings: Arc<Meanings>,
 }
@@ -199,7 +199,7 @@
         /// What it is told.
         state: Box<HandoverState>,
         /// Ends so far.
-        ends: Ends,
+        ends: OutcomeCounts,
         /// Notes to other senders, which the other process is to have.
         peers: Option<Peers>,
         /// What is left of one of several cores.
@@ -233,7 +233,7 @@
     } = parts;
     let (from, before, waits, ends) = (parts.taken_over, parts.before, parts.waits, parts.ends);
     let mut belief = parts.belief;
-    let me = member.as_ref().map_or(cores::Core(0), Member::me);
+    let me = member.as_ref().map_or(cores::ShardId(0), Member::me);
     let new = || Policy::new(config.settings.clone(), config.seed.wrapping_add(me.0.into()), clock.now());
     let (from, mut policy) = from.map_or_else(|| (None, new()), |(state, policy)| (Some(state), policy));
     policy.count_calls_from(u64::from(me.0) << 48);
@@ -259,7 +259,7 @@
         successor: None,
         before,
         door,
-        ends: ends.unwrap_or_else(|| Ends::new(config.names.classes.iter().cloned())),
+        ends: ends.unwrap_or_else(|| OutcomeCounts::new(config.names.classes.iter().cloned())),
         state: config.state.clone(),
         stop_at: None,
         timers: BTreeSet::new(),
@@ -288,7 +288,7 @@
 
     let mut places = Vec::new();
     for front in fronts.iter().filter(|_| !begun) {
-        places.push(front.clone().begin().map_err(|e| format!("listen: {e}"))?.to_string());
+        places.push(front.clone().start().map_err(|e| format!("listen: {e}"))?.to_string());
     }
     // On-call staff learn of a process that takes clients from when on it does.
     if let (Some(address), false) = (config.ops, begun) {
@@ -300,10 +300,10 @@
     let again = Again::new(config.settings.senders, grace, config.seed);
     let good_for = Duration::from_micros(belief.list.good_for);
     // One core watches the list for all.
-    let watch = (me == cores::Core(0)).then(|| {
+    let watch = (me == cores::ShardId(0)).then(|| {
         tokio::task::spawn_local(platform::watch(found, from, whole_list, again, good_for, inbound))
     });
-    if me == cores::Core(0) {
+    if me == cores::ShardId(0) {
         driver.say_ready(&config.name, &places);
     }
 
@@ -352,7 +352,7 @@
         }
         driver.after_turn();
         driver.keep_known();
-        let may_end = driver.may_end(fronts.iter().map(|front| front.open()).sum());
+        let may_end = driver.may_end(fronts.iter().map(|front| front.open_connections()).sum());
         if driver.member.as_ref().map_or(may_end, |member| member.team().done(me, may_end)) {
             return Ok(Ended::Done);
         }
@@ -384,26 +384,26 @@
     /// Turns what a task says into events for the module.
     fn fold(&mut self, inbound: Inbound, said: &mut Vec<Event>) {
         let Some(inbound) = self.sorted(inbound) else { return };
-        if let Inbound::Listed(Listed(list)) = &inbound {
+        if let Inbound::EndpointsUpdated(Listed(list)) = &inbound {
             (self.index, self.list_is_good) = (list.index, true);
         }
         match inbound {
-            Inbound::HandedIn(message) => self.handed_in(message, said),
+            Inbound::Submitted(message) => self.handed_in(message, said),
             Inbound::Withdrawn { id, request, .. } => self.withdrawn(&id, request, said),
-            Inbound::CallOver(ends) => ends.into_iter().for_each(|end| said.push(self.ended(end))),
+            Inbound::CallCompleted(ends) => ends.into_iter().for_each(|end| said.push(self.ended(end))),
             Inbound::Event(event) => said.push(event),
             Inbound::Successor(link) => {
                 self.gather_all();
                 self.successor = Some(link);
             }
-            Inbound::Listed(Listed(list)) if self.directory.wants_slices(&list) => {
+            Inbound::EndpointsUpdated(Listed(list)) if self.directory.wants_slices(&list) => {
                 if self.directory.put_off(list).is_err() {
                     eprintln!("the list changes faster than it can be taken in: it is asked for as a whole");
                     self.whole_list.notify_one();
                 }
             }
-            Inbound::Listed(Listed(list)) => said.push(self.listed(&list)),
-            Inbound::NoticesKept(messages) => {
+            Inbound::EndpointsUpdated(Listed(list)) => said.push(self.listed(&list)),
+            Inbound::NotificationsAcknowledged(messages) => {
                 for MessageId(number) in messages {
                     if let Some(id) = self.journal.live().get(&number).map(|l| l.message.id.clone()) {
                         self.over(number, false);
@@ -411,7 +411,7 @@
                     }
                 }
             }
-            Inbound::Ops(call, answer) => self.answer_staff(call, answer, said),
+            Inbound::AdminRequest(call, answer) => self.answer_staff(call, answer, said),
             Inbound::Status => {
                 let open: Vec<_> = self.policy.open_breakers().iter().map(|d| d.0).collect();
                 let (awake, asleep) = self.policy.awake_and_asleep();
@@ -428,7 +428,7 @@
             Inbound::Terminate => {
                 let at = self.clock.now() + STOP_WITHIN;
                 self.stop_at = Some(at);
-                self.door.send_replace(Door::Closing);
+                self.door.send_replace(AdmissionGate::Closing);
                 said.push(Event::ShuttingDown(at));
             }
         }
@@ -468,7 +468,7 @@
                         self.note_call(endpoint);
                         self.untried.called(message.0);
                         self.note_out(message, attempt, endpoint);
-                        let pace = Pace { hold, fresh: new };
+                        let pace = WriteOptions { last_byte_delay: hold, new_connection: new };
                         sends.push(Send { message, attempt, endpoint, timeout, leave_within, pace });
                     }
                 }
@@ -506,8 +506,8 @@
         }
         for (number, how) in given_up {
             let end = match how {
-                Abandonment::Deferred(_) => End::Throttled,
-                Abandonment::Undeliverable => End::Faulted,
+                Abandonment::Deferred(_) => FinalOutcome::Throttled,
+                Abandonment::Undeliverable => FinalOutcome::Faulted,
             };
             if let Some(fresh) = fresh.remove(&number) {
                 self.ends.count(&fresh.taken.class, end);
@@ -605,11 +605,11 @@
         for &Send { message, attempt, endpoint, .. } in sends {
             let outcome = Outcome::NotSent { no_slot: false };
             let end = AttemptOver::unsent(message, attempt, endpoint, outcome);
-            let _ = self.inbound.send(Inbound::CallOver(vec![end]));
+            let _ = self.inbound.send(Inbound::CallCompleted(vec![end]));
         }
         for (number, fresh) in fresh {
             self.forget(number, &fresh.taken.id);
-            self.ends.count(&fresh.taken.class, End::Throttled);
+            self.ends.count(&fresh.taken.class, FinalOutcome::Throttled);
             let _ = self.inbound.send(Inbound::Event(Event::Withdrawn(MessageId(number))));
             fresh.answer(Answer::Rejected(NO_ROOM_AGAIN));
         }
@@ -627,7 +627,7 @@
 
     /// Starts the calls of a turn: what goes to one endpoint travels together as far as its kind allows.
     fn begin(&mut self, now: Micros, sends: Vec<Send>) {
-        let mut calls: Vec<(EndpointId, Vec<Part>, Pace)> = Vec::new();
+        let mut calls: Vec<(EndpointId, Vec<CallMessage>, WriteOptions)> = Vec::new();
         let mut last: HashMap<EndpointId, usize> = HashMap::new();
         for Send { message, attempt, endpoint, timeout, leave_within, pace } in sends {
             let Some(live) = self.journal.live().get(&message.0) else { continue };
@@ -635,7 +635,8 @@
             // From when it was decided: the module answers for it at its end, which comes no sooner.
             let until = self.clock.instant(now.saturating_add(timeout));
             let leave = self.clock.instant(now.saturating_add(leave_within.min(timeout)));
-            let part = Part { message, attempt, id, key, body, until, leave };
+            let part =
+                CallMessage { message, attempt, id, key, body, answer_deadline: until, send_deadline: leave };
             let bundle = self.directory.bundle(endpoint);
             let call = last.get(&endpoint).copied().and_then(|at| calls.get_mut(at));
             match call.filter(|call| call.1.len() < bundle) {
@@ -653,14 +654,14 @@
             // Guards those that travel along against the end of the first, by which a call may be told: where that one was
             // over before the answer came, the answer was taken for none of theirs. The one that is waited for longest
             // lives as long as its call does.
-            parts.sort_by_key(|part| std::cmp::Reverse(part.until));
+            parts.sort_by_key(|part| std::cmp::Reverse(part.answer_deadline));
             let place = self.directory.carrier(endpoint).zip(self.directory.route(endpoint));
             let Some((carrier, route)) = place else {
                 // An address that can't be read is one where no connection can be made.
-                let over = |part: &Part| {
+                let over = |part: &CallMessage| {
                     AttemptOver::unsent(part.message, part.attempt, endpoint, Outcome::ConnectFailed)
                 };
-                let _ = self.inbound.send(Inbound::CallOver(parts.iter().map(over).collect()));
+                let _ = self.inbound.send(Inbound::CallCompleted(parts.iter().map(over).collect()));
                 continue;
             };
             carrier.start((route, endpoint), parts, pace);
@@ -674,7 +675,8 @@
         let idle = self.journal.live().is_empty() && clients == 0;
         let called = now < at - STOP_WITHIN + STILL_CALLED;
         (idle && !called && self.unwritten.is_empty())
-            || (now >= at && self.directory.carriers().iter().all(|carrier| carrier.out() == 0))
+            || (now >= at
+                && self.directory.carriers().iter().all(|carrier| carrier.attempts_in_flight() == 0))
     }
 }
 
--- a/crates/sender/src/driver/begin.rs
+++ b/crates/sender/src/driver/begin.rs
@@ -5,8 +5,8 @@
 use decision::interface::*;
 use handover::HandoverState;
 use journal::{Abandonment, PendingMessage, Record};
-use known::belief::{Belief, LIST_GOOD_FOR};
-use ops::door::Door;
+use known::belief::{LIST_GOOD_FOR, RestoredState};
+use ops::door::AdmissionGate;
 
 use super::left::Without;
 use super::{Driver, NO_REQUEST, message};
@@ -80,14 +80,19 @@
         let waits = self.policy.waits().into_iter();
         let (next_message, out) = match &self.journal {
             Store::Whole(_) => {
-                let outs = self.directory.carriers().iter().flat_map(|carrier| carrier.outs()).collect();
+                let outs = self
+                    .directory
+                    .carriers()
+                    .iter()
+                    .flat_map(|carrier| carrier.outstanding_attempts())
+                    .collect();
                 (self.next_message, outs)
             }
             // Those on connections of other cores too.
             Store::Part(part) => (part.next_number(), self.policy.out()),
         };
         let standby = match *self.door.borrow() {
-            Door::Standby(since) => Some(since),
+            AdmissionGate::Standby(since) => Some(since),
             _ => None,
         };
         Ok(HandoverState {
@@ -115,7 +120,7 @@
         known: ListBody,
         set_back: bool,
         waits: Vec<(String, Micros)>,
-        belief: &mut Belief,
+        belief: &mut RestoredState,
     ) -> (Vec<Event>, Option<u64>) {
         let now = self.at;
         let (list, from) = first_list(known, belief);
--- a/crates/sender/src/driver/duty.rs
+++ b/crates/sender/src/driver/duty.rs
@@ -1,50 +1,52 @@
 //! What on-call staff ask of the driver.
 
 use decision::interface::Event;
-use ops::call::Call;
-use ops::door::Door;
-use ops::figures::Now;
-use shared::judgement::Item;
-use shared::{Micros, Shared};
+use ops::call::AdminRequest;
+use ops::door::AdmissionGate;
+use ops::figures::Gauges;
+use shared::judgement::Evidence;
+use shared::{Gossip, Micros};
 
 use std::fmt::Write as _;
 
 use super::Driver;
 use crate::kept;
-use crate::ports::Told;
+use crate::ports::AdminResponse;
 
 impl Driver {
     /// What on-call staff ask for. A no changes nothing.
-    pub(super) fn asked(&mut self, call: Call, said: &mut Vec<Event>) -> Told {
-        let told = |status, text: &str| Told { status, text: text.to_owned() };
+    pub(super) fn asked(&mut self, call: AdminRequest, said: &mut Vec<Event>) -> AdminResponse {
+        let told = |status, text: &str| AdminResponse { status, text: text.to_owned() };
         let done = || told(200, "done\n");
         let door = *self.door.borrow();
-        if !matches!(call, Call::Status | Call::Metrics | Call::Shared) {
+        if !matches!(call, AdminRequest::Status | AdminRequest::Metrics | AdminRequest::Gossip) {
             eprintln!("on-call staff ask for {call:?}");
         }
         match call {
-            Call::Status if door == Door::Closing => told(503, "ending\n"),
-            Call::Status => told(200, "taking clients\n"),
-            Call::Metrics => {
+            AdminRequest::Status if door == AdmissionGate::Closing => told(503, "ending\n"),
+            AdminRequest::Status => told(200, "taking clients\n"),
+            AdminRequest::Metrics => {
                 let (ends, now) = self.figures_of_all();
                 told(200, &(ends.text(now) + &self.figures_by_core()))
             }
-            Call::Shared => match self.policy.shared() {
+            AdminRequest::Gossip => match self.policy.shared() {
                 Some(shared) => told(200, &show_shared(shared, self.clock.now())),
                 None => told(404, "nothing is shared: the operators' file has no [shared] on = true\n"),
             },
-            Call::Standby | Call::Active if door == Door::Closing => told(409, "ending\n"),
-            Call::Standby => {
+            AdminRequest::Standby | AdminRequest::Active if door == AdmissionGate::Closing => {
+                told(409, "ending\n")
+            }
+            AdminRequest::Standby => {
                 self.door.send_replace(door.standby(self.clock.now()));
                 done()
             }
-            Call::Active => {
+            AdminRequest::Active => {
                 self.door.send_replace(door.active());
                 done()
             }
-            Call::Move { destination, core } => self.asked_to_move(destination, core),
-            Call::HoldOut(ref name) | Call::PutBack(ref name) => {
-                let out = matches!(call, Call::HoldOut(_));
+            AdminRequest::Move { destination, core } => self.asked_to_move(destination, core),
+            AdminRequest::Eject(ref name) | AdminRequest::Reinstate(ref name) => {
+                let out = matches!(call, AdminRequest::Eject(_));
                 let held_out = match self.directory.would_hold_out(name, out) {
                     Ok(held_out) => held_out,
                     Err(refused) => return told(refused.status(), refused.text()),
@@ -61,9 +63,9 @@
         }
     }
 
-    pub(super) fn figures(&self) -> Now {
-        Now {
-            relayed: self.directory.carriers().iter().map(|carrier| carrier.written()).sum(),
+    pub(super) fn figures(&self) -> Gauges {
+        Gauges {
+            relayed: self.directory.carriers().iter().map(|carrier| carrier.messages_written()).sum(),
             open: self.policy.held(),
             listed: self.directory.listed_endpoints(),
             out_of_rotation: self.policy.avoided(),
@@ -72,20 +74,20 @@
 }
 
 /// Who is there, what is believed of each destination and why, and what is lent.
-fn show_shared(shared: &Shared, now: Micros) -> String {
+fn show_shared(shared: &Gossip, now: Micros) -> String {
     let age = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
     let (said, rejected) = shared.traffic();
-    let alone = if shared.alone(now) { ", hears nobody" } else { "" };
+    let alone = if shared.is_isolated(now) { ", hears nobody" } else { "" };
     let mut text = format!(
         "senders {}{alone}, {said} bytes said, {rejected} notes used for nothing\n",
-        shared.view().present()
+        shared.membership().present()
     );
-    for (rank, state, since) in shared.view().missing() {
+    for (rank, state, since) in shared.membership().missing() {
         let _ = writeln!(text, "sender {rank}: {state:?} for {:.1} s", age(since));
     }
-    for shown in shared.show(now) {
+    for shown in shared.inspect(now) {
         let part = f64::from(shown.may_use) / f64::from(shared::rights::EVEN);
-        let ill = shown.belief.ill.map_or("well, as far as others say".to_owned(), |(at, kind)| {
+        let ill = shown.belief.unhealthy.map_or("well, as far as others say".to_owned(), |(at, kind)| {
             format!("ill ({kind:?}, {:.1} s ago)", age(at))
         });
         let _ = writeln!(
@@ -95,17 +97,17 @@
         );
         for item in shown.items {
             let _ = match item {
-                Item::Bad(from, bad) => writeln!(
+                Evidence::Failure(from, bad) => writeln!(
                     text,
                     "  sender {from}: {} calls in a row failed ({:?}), {:.1} s ago",
                     bad.calls,
                     bad.kind,
                     age(bad.at)
                 ),
-                Item::Cleared(from, _, at) => {
+                Evidence::Cleared(from, _, at) => {
                     writeln!(text, "  outranked what sender {from} said, {:.1} s ago", age(at))
                 }
-                Item::Limit(limit) => {
+                Evidence::Limit(limit) => {
                     writeln!(
                         text,
                         "  limit {:.1} a second, from sender {}, {:.1} s ago",
@@ -114,7 +116,7 @@
                         age(limit.at)
                     )
                 }
-                Item::Wait(until) => {
+                Evidence::Wait(until) => {
                     writeln!(text, "  a wait for {:.1} s more", until.saturating_sub(now) as f64 / 1e6)
                 }
             };
--- a/crates/sender/src/driver/learnt.rs
+++ b/crates/sender/src/driver/learnt.rs
@@ -1,15 +1,15 @@
 //! What was learnt of partners, between the module and what is kept of it.
 
 use decision::interface::*;
-use known::belief::Belief;
+use known::belief::RestoredState;
 
 use super::Driver;
 use crate::known::View;
 
 impl Driver {
     /// What an earlier process learnt, as far as it is believed: to be told behind the list.
-    pub(super) fn recall(&self, belief: &Belief) -> Vec<Event> {
-        belief.told.iter().for_each(|told| eprintln!("known: {told}"));
+    pub(super) fn recall(&self, belief: &RestoredState) -> Vec<Event> {
+        belief.warnings.iter().for_each(|told| eprintln!("known: {told}"));
         let mut said: Vec<_> = belief
             .routes
             .iter()
@@ -19,10 +19,10 @@
                 let unlisted = EndpointId([u8::MAX; 6]);
                 let id = |name: &String| self.directory.listed_id(name).unwrap_or(unlisted);
                 let route = (destination, believed.endpoint.as_ref().map(id));
-                Event::SnapshotRestored { route, snapshot: believed.learnt }
+                Event::SnapshotRestored { route, snapshot: believed.snapshot }
             })
             .collect();
-        said.extend(belief.lost.then_some(Event::SnapshotLost));
+        said.extend(belief.incomplete.then_some(Event::SnapshotLost));
         said
     }
 
--- a/crates/sender/src/driver/taking.rs
+++ b/crates/sender/src/driver/taking.rs
@@ -2,15 +2,15 @@
 
 use decision::interface::*;
 use journal::{Abandonment, LedgerEntry, Record};
-use ops::figures::End;
+use ops::figures::FinalOutcome;
 
 use super::{Driver, Fresh, NO_REQUEST, NO_ROOM_AGAIN, UNLISTED_AGAIN, message};
-use crate::ports::{Answer, AttemptOver, HandedIn};
+use crate::ports::{Answer, AttemptOver, Submission};
 use crate::store::Store;
 
 impl Driver {
-    pub(super) fn handed_in(&mut self, message: HandedIn, said: &mut Vec<Event>) {
-        let HandedIn { taken, class, request, answer } = message;
+    pub(super) fn handed_in(&mut self, message: Submission, said: &mut Vec<Event>) {
+        let Submission { message: taken, class, request, answer } = message;
         if let Some((number, by)) = self.held.get_mut(&taken.id) {
             // The client did not hear that it is taken on, and says it once more. Guards what it is told now against the
             // end of its earlier connection, which may show later: no request can take the message back any more.
@@ -23,7 +23,7 @@
         }
         // Guards the room against messages that nobody takes: a new destination's first list may be on its way.
         if !self.directory.names_destination(taken.destination) {
-            self.ends.count(&taken.class, End::Throttled);
+            self.ends.count(&taken.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(UNLISTED_AGAIN));
             return;
         }
@@ -36,12 +36,12 @@
         }
         let pending: u64 = self.fresh.values().map(|fresh| self.journal.room_for(&fresh.taken)).sum();
         if !self.journal.has_room(&taken, pending) {
-            self.ends.count(&taken.class, End::Throttled);
+            self.ends.count(&taken.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(NO_ROOM_AGAIN));
             return;
         }
         let Some(number) = self.number() else {
-            self.ends.count(&taken.class, End::Throttled);
+            self.ends.count(&taken.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(NO_ROOM_AGAIN));
             return;
         };
@@ -94,7 +94,7 @@
             terminal = end.message_completed || end.outcome == Outcome::Delivered;
             if terminal {
                 if end.outcome == Outcome::Delivered {
-                    self.ends.count(&taken.class, End::Fulfilled);
+                    self.ends.count(&taken.class, FinalOutcome::Fulfilled);
                 }
                 self.over(number, end.outcome == Outcome::Delivered);
                 self.forget(number, &taken.id);
--- a/crates/sender/src/driver/team.rs
+++ b/crates/sender/src/driver/team.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cores::{Advice, Core, Load, Owners, Planner, Router};
+use cores::{AttemptRouter, DestinationLoad, OwnershipMap, Plan, Planner, ShardId};
 use decision::interface::*;
-use ops::call::Call;
-use ops::figures::{Ends, Now};
-use ops::held_out::HeldOut;
+use ops::call::AdminRequest;
+use ops::figures::{Gauges, OutcomeCounts};
+use ops::held_out::Ejections;
 use tokio::sync::oneshot;
 
 use super::Driver;
 use crate::cores::{BUSY_AGAIN, Bundle, Elsewhere, Figures, Post, Say, Team};
-use crate::ports::{Answer, Front, Inbound, Told};
+use crate::ports::{AdminResponse, Answer, Frontend, Inbound};
 use crate::store::Store;
 
 /// A destination that can't go for so long stays.
@@ -30,16 +30,16 @@
 /// A destination that was told to go.
 struct Departing {
     destination: u16,
-    to: Core,
+    to: ShardId,
     until: Micros,
 }
 
 /// What a driver has beside what one of a single core has.
 pub struct Member {
     post: Rc<Post>,
-    router: Router<EndpointId>,
+    router: AttemptRouter<EndpointId>,
     /// As of this turn.
-    owners: Arc<Owners>,
+    owners: Arc<OwnershipMap>,
     /// What the module may use, as it was last told.
     told: (usize, usize),
     connections: usize,
@@ -61,10 +61,10 @@
     /// Nothing is out.
     pub fn new(post: Rc<Post>) -> Self {
         let (me, team) = (post.me(), post.team());
-        let planner = (me == Core(0)).then(|| (Planner::new(team.count()), 0));
+        let planner = (me == ShardId(0)).then(|| (Planner::new(team.count()), 0));
         let owners = team.owners();
         Self {
-            router: Router::new(me),
+            router: AttemptRouter::new(me),
             owners,
             told: (0, 0),
             connections: 0,
@@ -86,19 +86,19 @@
     }
 
     /// Which core this is.
-    pub fn me(&self) -> Core {
+    pub fn me(&self) -> ShardId {
         self.post.me()
     }
 
     fn is_mine(&self, destination: u16) -> bool {
-        self.owners.of(destination) == self.me()
+        self.owners.owner(destination) == self.me()
     }
 
     fn to_owner(&self, destination: u16, say: Say) {
-        self.post.say(self.owners.of(destination), say);
+        self.post.say(self.owners.owner(destination), say);
     }
 
-    fn others(&self) -> impl Iterator<Item = Core> {
+    fn others(&self) -> impl Iterator<Item = ShardId> {
         let me = self.me();
         self.team().all().filter(move |core| *core != me)
     }
@@ -107,7 +107,7 @@
         *self.work.entry(destination).or_default() += 1;
     }
 
-    fn let_depart(&mut self, destination: u16, to: Core, now: Micros) {
+    fn let_depart(&mut self, destination: u16, to: ShardId, now: Micros) {
         let until = now + DEPART_WITHIN;
         if self.departing.replace(Departing { destination, to, until }).is_some() {
             self.team().stayed();
@@ -118,7 +118,7 @@
     pub(super) fn began_before(&mut self, attempt: (u32, u16), destination: u16, endpoint: EndpointId) {
         // One that goes on after all knows its own.
         if !self.router.knows(attempt) {
-            self.router.begins(attempt, destination, endpoint);
+            self.router.attempt_started(attempt, destination, endpoint);
         }
     }
 
@@ -165,7 +165,7 @@
     /// Takes in what other cores said. Guards the one owner of each destination in this order, which the package `cores`
     /// checks in all interleavings: the owners are read, then all that came is taken, parcels first, and only then is
     /// anything judged by those owners. So what is this core's by them is here, and all else is sent on.
-    pub(super) fn hear_cores(&mut self, fronts: &[Rc<dyn Front>], said: &mut Vec<Event>) {
+    pub(super) fn hear_cores(&mut self, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
         let Some(member) = &mut self.member else { return };
         member.owners = member.team().owners();
         let came = member.team().mailbox(member.me()).drain();
@@ -181,10 +181,10 @@
         }
     }
 
-    fn hear(&mut self, say: Say, fronts: &[Rc<dyn Front>], said: &mut Vec<Event>) {
+    fn hear(&mut self, say: Say, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
         let Some(member) = &mut self.member else { return };
         match say {
-            Say::HandedIn(message) => self.fold(Inbound::HandedIn(message), said),
+            Say::HandedIn(message) => self.fold(Inbound::Submitted(message), said),
             Say::Withdrawn { id, request, destination } => {
                 self.fold(Inbound::Withdrawn { id, request, destination }, said);
             }
@@ -193,7 +193,7 @@
             }
             Say::Ended { destination, name, mut over } => {
                 member.worked(destination);
-                member.router.heard((over.message.0, over.attempt));
+                member.router.add_foreign((over.message.0, over.attempt));
                 over.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
                 said.push(self.ended(over));
             }
@@ -205,16 +205,16 @@
             Say::Depart { destination, to } => member.let_depart(destination, to, self.clock.now()),
             Say::Gather => member.gathers = true,
             Say::Places(most) => {
-                fronts.iter().for_each(|front| front.set_places(most));
+                fronts.iter().for_each(|front| front.set_max_clients(most));
                 if member.owners.all_gathered() {
                     // Another process calls from now on: what stands idle is closed.
-                    self.directory.carriers().iter().for_each(|carrier| carrier.set_connections(0));
+                    self.directory.carriers().iter().for_each(|carrier| carrier.set_max_connections(0));
                 }
             }
             Say::Cancel(message, attempt) => {
                 self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
-            Say::Listed(list) => self.fold(Inbound::Listed(list), said),
+            Say::Listed(list) => self.fold(Inbound::EndpointsUpdated(list), said),
             Say::ListFailed => said.push(Event::DiscoveryFailed),
             Say::HeldOut(held_out, done) => {
                 said.push(self.directory.hold_out(held_out));
@@ -233,7 +233,7 @@
     /// Discovery moved, for this core and, where it is the first, for all.
     pub(super) fn discovery_is_at(&mut self, address: SocketAddr) {
         self.discovery.send_if_modified(|at| std::mem::replace(at, address) != address);
-        if let Some(member) = self.member.as_ref().filter(|member| member.me() == Core(0)) {
+        if let Some(member) = self.member.as_ref().filter(|member| member.me() == ShardId(0)) {
             member.others().for_each(|core| member.post.say(core, Say::Discovery(address)));
         }
     }
@@ -257,28 +257,32 @@
     pub(super) fn sorted(&mut self, inbound: Inbound) -> Option<Inbound> {
         let Some(member) = &mut self.member else { return Some(inbound) };
         match inbound {
-            Inbound::HandedIn(message) if !member.is_mine(message.taken.destination) => {
-                let destination = message.taken.destination;
+            Inbound::Submitted(message) if !member.is_mine(message.message.destination) => {
+                let destination = message.message.destination;
                 if let Err(Say::HandedIn(message)) =
-                    member.post.try_say(member.owners.of(destination), Say::HandedIn(message))
+                    member.post.try_say(member.owners.owner(destination), Say::HandedIn(message))
                 {
                     let _ = message.answer.send(Answer::Rejected(BUSY_AGAIN));
                 }
                 None
             }
-            Inbound::HandedIn(message) => {
-                member.worked(message.taken.destination);
-                Some(Inbound::HandedIn(message))
+            Inbound::Submitted(message) => {
+                member.worked(message.message.destination);
+                Some(Inbound::Submitted(message))
             }
             Inbound::Withdrawn { id, request, destination } if !member.is_mine(destination) => {
                 member.to_owner(destination, Say::Withdrawn { id, request, destination });
                 None
             }
-            Inbound::CallOver(ends) => {
+            Inbound::CallCompleted(ends) => {
                 let mut ours = Vec::new();
                 for over in ends {
                     let attempt = (over.message.0, over.attempt);
-                    match member.router.ended(attempt).filter(|destination| !member.is_mine(*destination)) {
+                    match member
+                        .router
+                        .attempt_ended(attempt)
+                        .filter(|destination| !member.is_mine(*destination))
+                    {
                         Some(destination) => {
                             let name = self.directory.name(over.endpoint);
                             member.to_owner(destination, Say::Ended { destination, name, over });
@@ -288,13 +292,13 @@
                                 .destination(over.endpoint)
                                 .into_iter()
                                 .for_each(|d| member.worked(d));
-                            member.router.heard(attempt);
+                            member.router.add_foreign(attempt);
                             ours.push(over);
                         }
                     }
                 }
-                Some(Inbound::CallOver(ours))
-                    .filter(|ours| !matches!(ours, Inbound::CallOver(ours) if ours.is_empty()))
+                Some(Inbound::CallCompleted(ours))
+                    .filter(|ours| !matches!(ours, Inbound::CallCompleted(ours) if ours.is_empty()))
             }
             Inbound::Event(Event::RetryAfter { endpoint, wait }) => {
                 let listed = self.directory.destination(endpoint);
@@ -309,19 +313,19 @@
                 }
             }
             // What one core hears for all.
-            Inbound::Listed(list) if member.me() == Core(0) => {
+            Inbound::EndpointsUpdated(list) if member.me() == ShardId(0) => {
                 member.others().for_each(|core| member.post.say(core, Say::Listed(list.clone())));
-                Some(Inbound::Listed(list))
+                Some(Inbound::EndpointsUpdated(list))
             }
-            Inbound::Event(Event::DiscoveryFailed) if member.me() == Core(0) => {
+            Inbound::Event(Event::DiscoveryFailed) if member.me() == ShardId(0) => {
                 member.others().for_each(|core| member.post.say(core, Say::ListFailed));
                 Some(Inbound::Event(Event::DiscoveryFailed))
             }
-            Inbound::Terminate if member.me() == Core(0) => {
+            Inbound::Terminate if member.me() == ShardId(0) => {
                 member.others().for_each(|core| member.post.say(core, Say::Terminate));
                 Some(Inbound::Terminate)
             }
-            Inbound::Status if member.me() == Core(0) => {
+            Inbound::Status if member.me() == ShardId(0) => {
                 member.others().for_each(|core| member.post.say(core, Say::Status));
                 Some(Inbound::Status)
             }
@@ -330,7 +334,7 @@
     }
 
     /// Tells the other cores who is held out; the answer comes once each has done it.
-    fn held_out_everywhere(&self, held_out: &HeldOut) -> Vec<oneshot::Receiver<()>> {
+    fn held_out_everywhere(&self, held_out: &Ejections) -> Vec<oneshot::Receiver<()>> {
         let Some(member) = &self.member else { return Vec::new() };
         let tell = |core| {
             let (done, heard) = oneshot::channel();
@@ -341,8 +345,13 @@
     }
 
     /// Answers on-call staff; a yes to what binds all cores comes once it does.
-    pub(super) fn answer_staff(&mut self, call: Call, answer: oneshot::Sender<Told>, said: &mut Vec<Event>) {
-        let binds = matches!(call, Call::HoldOut(_) | Call::PutBack(_));
+    pub(super) fn answer_staff(
+        &mut self,
+        call: AdminRequest,
+        answer: oneshot::Sender<AdminResponse>,
+        said: &mut Vec<Event>,
+    ) {
+        let binds = matches!(call, AdminRequest::Eject(_) | AdminRequest::Reinstate(_));
         let told = self.asked(call, said);
         if !binds || told.status != 200 || self.member.is_none() {
             let _ = answer.send(told);
@@ -357,9 +366,10 @@
             };
             let told = match tokio::time::timeout(BINDS_WITHIN, all).await {
                 Ok(()) => told,
-                Err(_) => {
-                    Told { status: 503, text: "it is kept, and a core has not taken it in yet\n".into() }
-                }
+                Err(_) => AdminResponse {
+                    status: 503,
+                    text: "it is kept, and a core has not taken it in yet\n".into(),
+                },
             };
             let _ = answer.send(told);
         });
@@ -376,16 +386,19 @@
         let used: usize = self.directory.carriers().iter().map(|carrier| carrier.connections()).sum();
         let (slots, messages, connections) = {
             let mut room = member.team().room();
-            let slots = room.slots.turn(member.me(), out, out + waiting + come);
-            let messages = room.held.turn(member.me(), held, room_for);
+            let slots = room.slots.update(member.me(), out, out + waiting + come);
+            let messages = room.held.update(member.me(), held, room_for);
             let more = slots.lease.saturating_sub(out).min(waiting + come);
-            (slots, messages, room.connections.turn(member.me(), used, used + more))
+            (slots, messages, room.connections.update(member.me(), used, used + more))
         };
         for leased in [&slots, &messages, &connections] {
             leased.concerned.iter().for_each(|core| member.team().mailbox(*core).wake());
         }
         if std::mem::replace(&mut member.connections, connections.lease) != connections.lease {
-            self.directory.carriers().iter().for_each(|carrier| carrier.set_connections(connections.lease));
+            self.directory
+                .carriers()
+                .iter()
+                .for_each(|carrier| carrier.set_max_connections(connections.lease));
         }
         if member.told != (slots.lease, messages.lease) {
             member.told = (slots.lease, messages.lease);
@@ -396,7 +409,7 @@
     /// A call begins on a connection of this core.
     pub(super) fn note_out(&mut self, message: MessageId, attempt: u16, endpoint: EndpointId) {
         if let (Some(member), Some(destination)) = (&mut self.member, self.directory.destination(endpoint)) {
-            member.router.begins((message.0, attempt), destination, endpoint);
+            member.router.attempt_started((message.0, attempt), destination, endpoint);
         }
     }
 
@@ -431,7 +444,7 @@
         let Some(member) = self.member.as_mut().filter(|member| member.show_at <= now) else { return };
         member.show_at = now + SHOW_EVERY;
         let (me, team, moves) = (member.me(), member.team().clone(), (member.came, member.went));
-        let now = Now { out_of_rotation: self.policy.shut(), ..self.figures() };
+        let now = Gauges { out_of_rotation: self.policy.shut(), ..self.figures() };
         team.show(me, Figures { ends: Some(self.ends.clone()), now, out: self.policy.calls_out(), moves });
     }
 
@@ -441,20 +454,20 @@
         let Some((planner, at)) = member.planner.as_mut().filter(|planner| planner.1 <= now) else { return };
         *at = now + PLAN_EVERY;
         let owners = &member.owners;
-        let loads: Vec<Load> = member
+        let loads: Vec<DestinationLoad> = member
             .post
             .team()
             .take_work()
             .into_iter()
-            .map(|(destination, events)| Load {
+            .map(|(destination, events)| DestinationLoad {
                 destination,
-                core: owners.of(destination),
+                core: owners.owner(destination),
                 work: events.into(),
             })
             .collect();
         match planner.round(now, &loads) {
-            Advice::Move(advised) => {
-                planner.moved(advised);
+            Plan::Migrate(advised) => {
+                planner.migrated(advised);
                 member.stuck = false;
                 let say = Say::Depart { destination: advised.destination, to: advised.to };
                 if advised.from == member.post.me() {
@@ -463,7 +476,7 @@
                     member.post.say(advised.from, say);
                 }
             }
-            Advice::Stuck { core, destination, share } if !member.stuck => {
+            Plan::Stuck { core, destination, share } if !member.stuck => {
                 member.stuck = true;
                 eprintln!(
                     "core {} is busier than the others and no move helps: {:.0}% of its work is for destination {destination}",
@@ -471,15 +484,15 @@
                     share * 100.0
                 );
             }
-            Advice::Stuck { .. } => {}
-            Advice::Stay => member.stuck = false,
+            Plan::Stuck { .. } => {}
+            Plan::Stay => member.stuck = false,
         }
     }
 
     /// On-call staff want a destination on another core.
-    pub(super) fn asked_to_move(&mut self, destination: u16, core: u8) -> Told {
-        let told = |status, text: &str| Told { status, text: text.to_owned() };
-        let to = Core(core);
+    pub(super) fn asked_to_move(&mut self, destination: u16, core: u8) -> AdminResponse {
+        let told = |status, text: &str| AdminResponse { status, text: text.to_owned() };
+        let to = ShardId(core);
         let Some(member) = &mut self.member else { return told(409, "there is one core\n") };
         if to.index() >= member.team().count() {
             return told(404, "there is no such core\n");
@@ -523,8 +536,8 @@
         let owners = member.team().owners();
         let of_module = self.policy.known_destinations().into_iter().map(|destination| destination.0);
         let held = self.journal.live().values().map(|live| live.message.destination);
-        let all: BTreeSet<u16> = of_module.chain(held).filter(|d| owners.of(*d) == member.me()).collect();
-        if all.into_iter().all(|destination| self.goes(destination, Core(0)))
+        let all: BTreeSet<u16> = of_module.chain(held).filter(|d| owners.owner(*d) == member.me()).collect();
+        if all.into_iter().all(|destination| self.goes(destination, ShardId(0)))
             && let Some(member) = &mut self.member
         {
             member.gathers = false;
@@ -545,7 +558,7 @@
     }
 
     /// Parts with a destination, if that can be now.
-    fn goes(&mut self, destination: u16, to: Core) -> bool {
+    fn goes(&mut self, destination: u16, to: ShardId) -> bool {
         // Guards what is written or said half: a message that was given up stays until its notice is kept.
         let given_up = |live: &journal::PendingMessage| {
             live.message.destination == destination && live.abandoned.is_some()
@@ -575,12 +588,13 @@
             }
         }
         let attempts = numbers.iter().filter_map(|n| Some((*n, self.attempts.remove(n)?))).collect();
-        let connections = member.router.part(parcel.out().map(|(message, attempt, _)| (message.0, attempt)));
+        let connections =
+            member.router.detach(parcel.out().map(|(message, attempt, _)| (message.0, attempt)));
         let (calls, messages) = (parcel.calls(), numbers.len());
         {
             let mut room = member.team().room();
-            room.slots.hand(member.me(), to, calls);
-            room.held.hand(member.me(), to, messages);
+            room.slots.transfer(member.me(), to, calls);
+            room.held.transfer(member.me(), to, messages);
         }
         let bundle = Bundle { parcel, names, lives, held, attempts, connections };
         match member.post.say_now(to, Say::Parcel(Box::new(bundle))) {
@@ -598,8 +612,8 @@
             }
             Err(Say::Parcel(bundle)) => {
                 let mut room = member.team().room();
-                room.slots.hand(to, member.me(), calls);
-                room.held.hand(to, member.me(), messages);
+                room.slots.transfer(to, member.me(), calls);
+                room.held.transfer(to, member.me(), messages);
                 drop(room);
                 self.join(*bundle);
                 false
@@ -629,7 +643,7 @@
         }
         self.held.extend(held.into_iter().map(|(id, number, request)| (id, (number, request))));
         self.attempts.extend(attempts);
-        member.router.join(connections);
+        member.router.attach(connections);
         member.came += 1;
         member.show_at = 0;
         self.policy.join(parcel.rename(&ids));
@@ -637,7 +651,7 @@
     }
 
     /// The figures of all cores.
-    pub(super) fn figures_of_all(&self) -> (Ends, Now) {
+    pub(super) fn figures_of_all(&self) -> (OutcomeCounts, Gauges) {
         let Some(member) = &self.member else { return (self.ends.clone(), self.figures()) };
         let all = member.team().figures();
         let mut ends = self.ends.clone();
@@ -661,7 +675,7 @@
         let mut text = String::new();
         let room = team.room();
         for (core, figures) in team.figures().iter().enumerate() {
-            let of = Core(core as u8);
+            let of = ShardId(core as u8);
             let (said, wakes) = team.mailbox(of).figures();
             let label = format!("{{core=\"{core}\"}}");
             let _ = writeln!(text, "svc_core_open_requests{label} {}", figures.now.open);
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -13,8 +13,8 @@
 
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
 use handover::{Answer, HandoverState, OutstandingAttempts, ToPredecessor, ToSuccessor, step};
-use ops::call::Call;
-use ops::door::Door;
+use ops::call::AdminRequest;
+use ops::door::AdmissionGate;
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
@@ -22,7 +22,9 @@
 use tokio::time::timeout;
 
 use crate::link::Link;
-use crate::ports::{Carrier, Clock, Front, HandedIn, Inbound, Pace, Part, Told};
+use crate::ports::{
+    AdminResponse, CallMessage, Clock, Frontend, Inbound, Submission, Transport, WriteOptions,
+};
 
 const SOCKET: &str = "successor";
 /// Who connects and does not ask within this time is sent away.
@@ -117,22 +119,22 @@
     /// The time.
     pub clock: Clock,
     /// Clients' connections.
-    pub fronts: Vec<Rc<dyn Front>>,
+    pub fronts: Vec<Rc<dyn Frontend>>,
     /// Calls.
-    pub carriers: Vec<Rc<dyn Carrier>>,
+    pub carriers: Vec<Rc<dyn Transport>>,
     /// Tells the fronts whether clients may come.
-    pub door: watch::Sender<Door>,
+    pub door: watch::Sender<AdmissionGate>,
     /// The figures as they were.
-    pub ends: ops::figures::Ends,
+    pub ends: ops::figures::OutcomeCounts,
 }
 
 impl Carried {
     fn out(&self) -> usize {
-        self.carriers.iter().map(|carrier| carrier.out()).sum()
+        self.carriers.iter().map(|carrier| carrier.attempts_in_flight()).sum()
     }
 
     fn clients(&self) -> usize {
-        self.fronts.iter().map(|front| front.open()).sum()
+        self.fronts.iter().map(|front| front.open_connections()).sum()
     }
 
     fn cancel(&self, message: MessageId, attempt: u16) {
@@ -152,10 +154,10 @@
 ) -> Result<(), String> {
     let clock = carried.clock;
     let ready = carried.door.borrow().ready();
-    carried.door.send_replace(Door::HandedOver { since: clock.now(), ready });
+    carried.door.send_replace(AdmissionGate::HandedOver { since: clock.now(), ready });
     let (say, mut heard, writing) = link.split::<ToSuccessor, ToPredecessor>();
     if !understood {
-        let out = carried.carriers.iter().flat_map(|carrier| carrier.outs());
+        let out = carried.carriers.iter().flat_map(|carrier| carrier.outstanding_attempts());
         out.collect::<Vec<_>>()
             .into_iter()
             .for_each(|(message, attempt, _)| carried.cancel(message, attempt));
@@ -165,7 +167,7 @@
         let _ = say.send(ToSuccessor::Drained);
     }
     let mut waiting: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
-    let mut callers: HashMap<u64, oneshot::Sender<Told>> = HashMap::new();
+    let mut callers: HashMap<u64, oneshot::Sender<AdminResponse>> = HashMap::new();
     let (mut number, mut stopping) = (0, None);
     let mut look = tokio::time::interval(LOOK);
     loop {
@@ -174,7 +176,7 @@
             inbound = events.recv() => {
                 number += 1;
                 let message = match inbound {
-                    Some(Inbound::HandedIn(HandedIn { taken, request, answer, .. })) => {
+                    Some(Inbound::Submitted(Submission { message: taken, request, answer, .. })) => {
                         waiting.insert(number, answer);
                         ToSuccessor::Submitted { number, message: Arc::unwrap_or_clone(taken), request }
                     }
@@ -182,25 +184,25 @@
                         ToSuccessor::Withdrawn { id, request, destination }
                     }
                     // Calls that were called off for a process that does not know of them.
-                    Some(Inbound::CallOver(_)) if !understood => continue,
-                    Some(Inbound::CallOver(over)) => ToSuccessor::CallCompleted(over),
+                    Some(Inbound::CallCompleted(_)) if !understood => continue,
+                    Some(Inbound::CallCompleted(over)) => ToSuccessor::CallCompleted(over),
                     Some(Inbound::Event(Event::RetryAfter { endpoint, wait })) => ToSuccessor::RetryAfter(endpoint, wait),
                     Some(Inbound::Event(Event::ConnectionReused { lost })) => ToSuccessor::ConnectionReused { lost },
-                    Some(Inbound::Ops(Call::Status, answer)) => {
-                        let _ = answer.send(Told { status: 200, text: "handed over\n".into() });
+                    Some(Inbound::AdminRequest(AdminRequest::Status, answer)) => {
+                        let _ = answer.send(AdminResponse { status: 200, text: "handed over\n".into() });
                         continue;
                     }
-                    Some(Inbound::Ops(Call::Metrics, answer)) => {
-                        let relayed = carried.carriers.iter().map(|carrier| carrier.written()).sum();
-                        let now = ops::figures::Now { relayed, ..Default::default() };
-                        let _ = answer.send(Told { status: 200, text: carried.ends.text(now) });
+                    Some(Inbound::AdminRequest(AdminRequest::Metrics, answer)) => {
+                        let relayed = carried.carriers.iter().map(|carrier| carrier.messages_written()).sum();
+                        let now = ops::figures::Gauges { relayed, ..Default::default() };
+                        let _ = answer.send(AdminResponse { status: 200, text: carried.ends.text(now) });
                         continue;
                     }
-                    Some(Inbound::Ops(call, answer)) => {
+                    Some(Inbound::AdminRequest(call, answer)) => {
                         let door = *carried.door.borrow();
                         carried.door.send_replace(match call {
-                            Call::Standby => door.standby(clock.now()),
-                            Call::Active => door.active(),
+                            AdminRequest::Standby => door.standby(clock.now()),
+                            AdminRequest::Active => door.active(),
                             _ => door,
                         });
                         callers.insert(number, answer);
@@ -208,7 +210,7 @@
                     }
                     Some(Inbound::Terminate) => {
                         stopping = stopping.or(Some(clock.now()));
-                        carried.door.send_replace(Door::Closing);
+                        carried.door.send_replace(AdmissionGate::Closing);
                         continue;
                     }
                     Some(_) => continue,
@@ -224,7 +226,7 @@
                 }
                 Some(ToPredecessor::AdminResponse(number, status, text)) => {
                     if let Some(waits) = callers.remove(&number) {
-                        let _ = waits.send(Told { status, text });
+                        let _ = waits.send(AdminResponse { status, text });
                     }
                 }
                 Some(ToPredecessor::Cancel(message, attempt)) => carried.cancel(message, attempt),
@@ -279,7 +281,7 @@
             followed.there.set(false);
             let lost = followed.outs.borrow_mut().lost(clock.now().saturating_sub(began));
             for over in lost {
-                let _ = inbound.send(Inbound::CallOver(vec![over]));
+                let _ = inbound.send(Inbound::CallCompleted(vec![over]));
             }
             gone();
         });
@@ -303,24 +305,24 @@
                     let _ = answer.send(Answer::Failed);
                     return;
                 };
-                Inbound::HandedIn(HandedIn { taken: Arc::new(taken), class, request, answer })
+                Inbound::Submitted(Submission { message: Arc::new(taken), class, request, answer })
             }
             ToSuccessor::AdminRequest { number, call } => {
                 let (answer, answered) = oneshot::channel();
                 let say = self.say.clone();
                 tokio::task::spawn_local(async move {
-                    let ending = Told { status: 503, text: "ending\n".into() };
-                    let Told { status, text } = answered.await.unwrap_or(ending);
+                    let ending = AdminResponse { status: 503, text: "ending\n".into() };
+                    let AdminResponse { status, text } = answered.await.unwrap_or(ending);
                     let _ = say.send(ToPredecessor::AdminResponse(number, status, text));
                 });
-                Inbound::Ops(call, answer)
+                Inbound::AdminRequest(call, answer)
             }
             ToSuccessor::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
             }
             ToSuccessor::CallCompleted(over) => match self.outs.borrow_mut().ended(over) {
                 over if over.is_empty() => return,
-                over => Inbound::CallOver(over),
+                over => Inbound::CallCompleted(over),
             },
             ToSuccessor::RetryAfter(endpoint, wait) => Inbound::Event(Event::RetryAfter { endpoint, wait }),
             ToSuccessor::ConnectionReused { lost } => Inbound::Event(Event::ConnectionReused { lost }),
@@ -330,8 +332,8 @@
     }
 }
 
-impl Carrier for Before {
-    fn place(&self, _: EndpointId, _: &str) -> bool {
+impl Transport for Before {
+    fn set_address(&self, _: EndpointId, _: &str) -> bool {
         false
     }
 
@@ -342,7 +344,7 @@
     fn forget(&self, _: EndpointId) {}
 
     /// Nothing is placed here, so that nothing is started here.
-    fn start(&self, _: (RouteId, EndpointId), _: Vec<Part>, _: Pace) {}
+    fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
 
     fn cancel(&self, message: MessageId, attempt: u16) {
         if self.outs.borrow().contains(message, attempt) {
@@ -354,15 +356,15 @@
 
     fn close_idle(&self, _: EndpointId) {}
 
-    fn written(&self) -> u64 {
+    fn messages_written(&self) -> u64 {
         0
     }
 
-    fn out(&self) -> usize {
+    fn attempts_in_flight(&self) -> usize {
         self.outs.borrow().len()
     }
 
-    fn outs(&self) -> Vec<(MessageId, u16, EndpointId)> {
+    fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)> {
         Vec::new()
     }
 }
--- a/crates/sender/src/http/calls.rs
+++ b/crates/sender/src/http/calls.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::conn::{Conn, Leave, Passed, REST_OF_ANSWER, Unanswered};
-use crate::ports::{AttemptOver, Carrier, Inbound, Pace, Part};
+use crate::ports::{AttemptOver, CallMessage, Inbound, Transport, WriteOptions};
 use crate::waits::Waits;
 
 /// Where an endpoint is dialled.
@@ -173,8 +173,8 @@
     }
 }
 
-impl Carrier for Calls {
-    fn place(&self, endpoint: EndpointId, address: &str) -> bool {
+impl Transport for Calls {
+    fn set_address(&self, endpoint: EndpointId, address: &str) -> bool {
         let Ok(address) = address.parse() else { return false };
         let before = self.0.places.borrow_mut().insert(endpoint, address);
         if before.is_some_and(|before| before != address) {
@@ -193,7 +193,7 @@
         self.close_idle(endpoint);
     }
 
-    fn set_open(&self, endpoint: EndpointId, open: bool) {
+    fn set_accepting(&self, endpoint: EndpointId, open: bool) {
         let mut shut = self.0.shut.borrow_mut();
         if open {
             shut.remove(&endpoint);
@@ -202,12 +202,12 @@
         }
     }
 
-    fn written(&self) -> u64 {
+    fn messages_written(&self) -> u64 {
         let out = self.0.out.borrow().values().filter(|out| out.may_run.get()).count();
         self.0.written.get() + out as u64
     }
 
-    fn out(&self) -> usize {
+    fn attempts_in_flight(&self) -> usize {
         self.0.out.borrow().len()
     }
 
@@ -215,24 +215,24 @@
         self.0.busy.get() + self.0.idle.borrow().values().map(Vec::len).sum::<usize>()
     }
 
-    fn set_connections(&self, most: usize) {
+    fn set_max_connections(&self, most: usize) {
         self.set_most(most);
         self.0.make_room();
     }
 
-    fn outs(&self) -> Vec<(MessageId, u16, EndpointId)> {
+    fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)> {
         let out = self.0.out.borrow();
         out.iter().map(|((message, attempt), out)| (*message, *attempt, out.endpoint)).collect()
     }
 
-    fn start(&self, (route, endpoint): (RouteId, EndpointId), parts: Vec<Part>, pace: Pace) {
+    fn start(&self, (route, endpoint): (RouteId, EndpointId), parts: Vec<CallMessage>, pace: WriteOptions) {
         let shared = self.0.clone();
         // An endpoint without a place was never listed here, or is forgotten: it can't be connected to.
         let Some(line) = shared.line(endpoint) else {
-            let over = |part: &Part| {
+            let over = |part: &CallMessage| {
                 AttemptOver::unsent(part.message, part.attempt, endpoint, Outcome::ConnectFailed)
             };
-            let _ = shared.inbound.send(Inbound::CallOver(parts.iter().map(over).collect()));
+            let _ = shared.inbound.send(Inbound::CallCompleted(parts.iter().map(over).collect()));
             return;
         };
         let (off, called_off) = oneshot::channel();
@@ -244,7 +244,7 @@
         }
         tokio::task::spawn_local(async move {
             let begun = Instant::now();
-            let until = parts.iter().map(|part| part.until).max().unwrap_or(begun);
+            let until = parts.iter().map(|part| part.answer_deadline).max().unwrap_or(begun);
             let over = |outcome| {
                 let ends = (0..parts.len()).map(|at| (progress.outcome_of(at, outcome), false)).collect();
                 let answered = Answered { ends, report: vec![], wait: None, rest: None };
@@ -303,8 +303,9 @@
             let asked = async {
                 let request = request.body(Bytes::new()).map_err(|_| Outcome::ConnectFailed)?;
                 let request = || Some((request.clone(), until));
-                let (mut conn, answer, new) =
-                    shared.exchange((None, line), &request, until, Pace::default(), &progress).await?;
+                let (mut conn, answer, new) = shared
+                    .exchange((None, line), &request, until, WriteOptions::default(), &progress)
+                    .await?;
                 let (head, body) = answer.into_parts();
                 let body = conn.0.body(body).await.map_err(|()| Outcome::InvalidResponse)?;
                 shared.keep(line, conn).await;
@@ -446,12 +447,12 @@
         (route, line): (Option<RouteId>, Line),
         request: impl Fn() -> Option<(Request<Bytes>, Instant)>,
         until: Instant,
-        pace: Pace,
+        pace: WriteOptions,
         progress: &Progress,
     ) -> Result<(Busy, Response<Incoming>, bool), Outcome> {
-        let hold = Duration::from_micros(pace.hold);
-        let mut may_reuse = !pace.fresh;
-        if pace.fresh {
+        let hold = Duration::from_micros(pace.last_byte_delay);
+        let mut may_reuse = !pace.new_connection;
+        if pace.new_connection {
             // The endpoint's table has no room for both.
             self.take_idle(line);
         }
@@ -497,19 +498,19 @@
     async fn call(
         self: &Rc<Self>,
         (route, line): (RouteId, Line),
-        parts: &[Part],
+        parts: &[CallMessage],
         until: Instant,
-        pace: Pace,
+        pace: WriteOptions,
         progress: &Progress,
     ) -> Result<Answered, Outcome> {
         let request = || {
             // Guards the one final answer: at a message's end the module has answered for it, though it travels with others
             // which have more time, and its connection came up late. And the effect: a repeat that leaves once its key may be
             // forgotten takes effect again.
-            let last_byte = Instant::now() + Duration::from_micros(pace.hold);
-            let sent: Vec<bool> = parts.iter().map(|part| last_byte < part.leave).collect();
+            let last_byte = Instant::now() + Duration::from_micros(pace.last_byte_delay);
+            let sent: Vec<bool> = parts.iter().map(|part| last_byte < part.send_deadline).collect();
             let with = chosen(parts, &sent);
-            let last = with.iter().map(|part| part.leave).min();
+            let last = with.iter().map(|part| part.send_deadline).min();
             let request = write(line, &with, until).zip(last);
             progress.sent.replace(sent);
             request
@@ -537,7 +538,7 @@
             let told: Vec<BatchEnd> = serde_json::from_slice(&body).map_err(|_| Outcome::InvalidResponse)?;
             let states: HashMap<&str, &str> =
                 told.iter().map(|end| (end.id.as_str(), end.state.as_str())).collect();
-            let end = |p: &&Part| match states.get(p.id.as_str()).copied() {
+            let end = |p: &&CallMessage| match states.get(p.id.as_str()).copied() {
                 Some("ok") => (Outcome::Delivered, false),
                 Some("later") => (Outcome::Rejected(wait), false),
                 Some("gone") => (Outcome::NotSent { no_slot: false }, true),
@@ -558,7 +559,7 @@
         Ok(Answered { ends: all(vec![end; parts.len()]), report, wait, rest: Some((conn, None)) })
     }
 
-    fn report_ends(&self, line: Line, parts: &[Part], begun: Instant, answered: &Answered) {
+    fn report_ends(&self, line: Line, parts: &[CallMessage], begun: Instant, answered: &Answered) {
         let took = begun.elapsed().as_micros() as Micros;
         let endpoint = line.endpoint;
         let mut over = Vec::with_capacity(parts.len());
@@ -582,7 +583,7 @@
         if let Some(wait) = answered.wait {
             let _ = self.inbound.send(Inbound::Event(Event::RetryAfter { endpoint, wait }));
         }
-        let _ = self.inbound.send(Inbound::CallOver(over));
+        let _ = self.inbound.send(Inbound::CallCompleted(over));
     }
 
     /// Reads what is left of an answer, so that its connection can be used again.
@@ -633,12 +634,12 @@
 }
 
 /// Those of a call's messages that it is written with.
-fn chosen<'a>(parts: &'a [Part], sent: &[bool]) -> Vec<&'a Part> {
+fn chosen<'a>(parts: &'a [CallMessage], sent: &[bool]) -> Vec<&'a CallMessage> {
     parts.iter().zip(sent).filter(|(_, sent)| **sent).map(|(part, _)| part).collect()
 }
 
 /// A call with these messages; none with none. Ids and keys came as header values, so that they can go as such.
-fn write(line: Line, parts: &[&Part], until: Instant) -> Option<Request<Bytes>> {
+fn write(line: Line, parts: &[&CallMessage], until: Instant) -> Option<Request<Bytes>> {
     let left = until.saturating_duration_since(Instant::now()).as_millis().max(1);
     let request = Request::builder()
         .method(Method::POST)
--- a/crates/sender/src/http/conn.rs
+++ b/crates/sender/src/http/conn.rs
@@ -22,7 +22,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use crate::ports::BODY_LIMIT;
+use crate::ports::MAX_BODY_BYTES;
 
 /// A head of an answer that has more bytes is spoilt.
 const HEAD_LIMIT: usize = 16 * 1024;
@@ -334,7 +334,7 @@
     /// # Errors
     /// Fails when it breaks off, is too long or does not come.
     pub async fn body(&mut self, body: Incoming) -> Result<Bytes, ()> {
-        self.body_within(body, BODY_LIMIT, REST_OF_ANSWER).await
+        self.body_within(body, MAX_BODY_BYTES, REST_OF_ANSWER).await
     }
 
     /// Reads the rest of an answer that may be so long and take so long.
--- a/crates/sender/src/http/intake.rs
+++ b/crates/sender/src/http/intake.rs
@@ -26,10 +26,10 @@
 use tokio::time::{Instant, timeout};
 
 use journal::AcceptedMessage;
-use ops::door::Door;
+use ops::door::AdmissionGate;
 
 use crate::cores::{Post, Say};
-use crate::ports::{Answer, BODY_LIMIT, Clock, Front, HandedIn, Inbound};
+use crate::ports::{Answer, Clock, Frontend, Inbound, MAX_BODY_BYTES, Submission};
 use crate::pulse;
 
 /// Guards the places for clients: a connection that brings no request for so long is closed.
@@ -73,7 +73,7 @@
     inbound: UnboundedSender<Inbound>,
     /// The way to other cores, which get their part of the connections and what is theirs of the messages.
     post: Option<Rc<Post>>,
-    door: watch::Receiver<Door>,
+    door: watch::Receiver<AdmissionGate>,
     /// The platform's own listening socket, until it is listened on.
     inherited: Cell<Option<std::net::TcpListener>>,
     places: RefCell<HashMap<u64, Rc<Place>>>,
@@ -136,7 +136,7 @@
     request: u64,
     destination: u16,
     /// Whom the message was handed to: guards a withdrawal against overtaking its message.
-    to: Option<cores::Core>,
+    to: Option<cores::ShardId>,
     intake: &'a Intake,
 }
 
@@ -199,8 +199,8 @@
     headers.get(name)?.to_str().ok().map(str::trim).filter(|text| !text.is_empty())
 }
 
-impl Front for Intake {
-    fn begin(self: Rc<Self>) -> io::Result<SocketAddr> {
+impl Frontend for Intake {
+    fn start(self: Rc<Self>) -> io::Result<SocketAddr> {
         if let Some(listener) = self.inherited.take() {
             listener.set_nonblocking(true)?;
             let listener = TcpListener::from_std(listener)?;
@@ -221,11 +221,11 @@
         self.requests.get()
     }
 
-    fn open(&self) -> usize {
+    fn open_connections(&self) -> usize {
         self.places.borrow().len()
     }
 
-    fn set_places(&self, most: usize) {
+    fn set_max_clients(&self, most: usize) {
         self.set_most(most);
     }
 
@@ -233,7 +233,7 @@
         match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
             Ok(stream) => {
                 // As where it is listened: one that is idle makes way.
-                if self.open() >= self.most.get() {
+                if self.open_connections() >= self.most.get() {
                     self.free_place();
                 }
                 self.place(stream);
@@ -252,7 +252,7 @@
         classes: Vec<(Arc<str>, Micros)>,
         inbound: UnboundedSender<Inbound>,
         post: Option<Rc<Post>>,
-        door: watch::Receiver<Door>,
+        door: watch::Receiver<AdmissionGate>,
     ) -> Self {
         let (places, freed) = (RefCell::default(), Notify::new());
         let (connections, requests) = (Cell::new(0), Cell::new(0));
@@ -276,7 +276,7 @@
     /// So many connections at a time, from now on; of those there are too many, idle ones are closed.
     pub fn set_most(&self, most: usize) {
         self.most.set(most);
-        (most..self.open()).for_each(|_| self.free_place());
+        (most..self.open_connections()).for_each(|_| self.free_place());
     }
 
     /// Requests are counted on from there.
@@ -288,7 +288,7 @@
     async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut door = self.door.clone();
         loop {
-            while self.open() >= self.most.get() {
+            while self.open_connections() >= self.most.get() {
                 self.free_place();
                 let _ = timeout(PLACE_WITHIN, self.freed.notified()).await;
             }
@@ -353,8 +353,8 @@
     }
 
     /// Hands a message to the core that owns its destination, as the owners are now; tells which, if it is another.
-    fn hand_on(&self, message: HandedIn) -> Option<cores::Core> {
-        let other = self.post.as_ref().map(|post| (post, post.team().owner(message.taken.destination)));
+    fn hand_on(&self, message: Submission) -> Option<cores::ShardId> {
+        let other = self.post.as_ref().map(|post| (post, post.team().owner(message.message.destination)));
         match other.filter(|(post, owner)| *owner != post.me()) {
             Some((post, owner)) => {
                 if let Err(Say::HandedIn(message)) = post.try_say(owner, Say::HandedIn(message)) {
@@ -363,7 +363,7 @@
                 Some(owner)
             }
             None => {
-                let _ = self.inbound.send(Inbound::HandedIn(message));
+                let _ = self.inbound.send(Inbound::Submitted(message));
                 None
             }
         }
@@ -414,10 +414,10 @@
                     // answer, for they need the time to go elsewhere.
                     idle_until = now.close_idle_at().map(|at| at.max(came + ops::door::LINGER));
                     match now {
-                        Door::Closing if asked => connection.as_mut().graceful_shutdown(),
+                        AdmissionGate::Closing if asked => connection.as_mut().graceful_shutdown(),
                         // Guards the first request on a new connection, which may be on its way or lie unread, and one of
                         // which a part was read: the library would close those without a look. Its answer is the last.
-                        Door::Closing => idle_until = Some(self.clock.now() + ops::door::LINGER),
+                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + ops::door::LINGER),
                         _ => {}
                     }
                 }
@@ -462,7 +462,7 @@
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return bad("a body comes with Content-Length alone\n");
         }
-        if body.size_hint().lower() > BODY_LIMIT as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return told_off(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
         }
         let Some(id) = text(&head.headers, "req-id") else { return bad("Req-Id is missing\n") };
@@ -489,7 +489,7 @@
             None => None,
         };
         let id = id.to_owned();
-        let Ok(Ok(body)) = timeout(BODY_WITHIN, Limited::new(body, BODY_LIMIT).collect()).await else {
+        let Ok(Ok(body)) = timeout(BODY_WITHIN, Limited::new(body, MAX_BODY_BYTES).collect()).await else {
             return bad("the body can't be read, or not in time\n");
         };
         let deadline = came + left;
@@ -499,7 +499,7 @@
             Arc::new(AcceptedMessage { id: id.clone(), key, class: class_name, destination, deadline, body });
         let request = next(&self.requests);
         let (answer, answered) = oneshot::channel();
-        let to = self.hand_on(HandedIn { taken, class, request, answer });
+        let to = self.hand_on(Submission { message: taken, class, request, answer });
         let mut withdrawal = Withdrawal { id: Some(id), request, destination, to, intake: self };
         let answered = answered.await;
         withdrawal.id = None;
--- a/crates/sender/src/http/ops.rs
+++ b/crates/sender/src/http/ops.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 use tokio::task::AbortHandle;
 
-use crate::ports::{Inbound, Told};
+use crate::ports::{AdminResponse, Inbound};
 
 /// Callers at a time: guards descriptors, and everybody else, against callers that connect and finish no call. The
 /// one that has been there longest makes way; it hurts a caller slower than so many others after it.
@@ -83,10 +83,10 @@
     let told = match ops::call::read(request.method().as_str(), uri.path(), uri.query()) {
         Ok(call) => {
             let (answer, answered) = oneshot::channel();
-            let _ = inbound.send(Inbound::Ops(call, answer));
-            answered.await.unwrap_or(Told { status: 503, text: "ending\n".into() })
+            let _ = inbound.send(Inbound::AdminRequest(call, answer));
+            answered.await.unwrap_or(AdminResponse { status: 503, text: "ending\n".into() })
         }
-        Err(none) => Told { status: none.status(), text: none.text().into() },
+        Err(none) => AdminResponse { status: none.status(), text: none.text().into() },
     };
     let mut response = Response::new(Full::new(Bytes::from(told.text)));
     *response.status_mut() = StatusCode::from_u16(told.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/sender/src/kept.rs
+++ b/crates/sender/src/kept.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::Path;
 
-use ops::held_out::HeldOut;
+use ops::held_out::Ejections;
 
 const FILE: &str = "held-out";
 const NEW: &str = "held-out.new";
@@ -17,10 +17,10 @@
 ///
 /// # Errors
 /// Fails when the file can't be read.
-pub fn read(state: &Path) -> io::Result<HeldOut> {
+pub fn read(state: &Path) -> io::Result<Ejections> {
     match fs::read_to_string(state.join(FILE)) {
-        Ok(text) => Ok(HeldOut::read(&text, ROOM)),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(HeldOut::new(ROOM)),
+        Ok(text) => Ok(Ejections::read(&text, ROOM)),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Ejections::new(ROOM)),
         Err(e) => Err(e),
     }
 }
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// Fails when it can't be written; then the old one holds.
-pub fn write(state: &Path, held_out: &HeldOut) -> io::Result<()> {
+pub fn write(state: &Path, held_out: &Ejections) -> io::Result<()> {
     fs::write(state.join(NEW), held_out.text())?;
     fs::rename(state.join(NEW), state.join(FILE))
 }
--- a/crates/sender/src/known.rs
+++ b/crates/sender/src/known.rs
@@ -6,10 +6,10 @@
 use decision::interface::{DestinationId, Micros};
 use decision::policy::Policy;
 use journal::disk::Folder;
-use known::belief::{self, Belief, Law, Start};
-use known::stamp::{Boot, Stamp};
+use known::belief::{self, Config, RestoreTime, RestoredState};
+use known::stamp::{Boot, Timestamp};
 use known::store::{Options, Source, Store};
-use known::{Kept, Listed, Status, keep};
+use known::{DestinationRecord, EndpointStatus, ListedEndpoint, keep};
 use operators::{KnownClock, KnownTable};
 
 use crate::directory::Directory;
@@ -29,7 +29,7 @@
     options: Options,
     clock: KnownClock,
     /// What is believed of it at a start.
-    pub law: Law,
+    pub law: Config,
 }
 
 impl Keeping {
@@ -40,7 +40,11 @@
         }
         let size = table.size.map_or(disk / PART_OF_DISK, |size| size.bytes.min(disk));
         let span = table.span.map_or(SPAN, |span| span.micros);
-        Some(Self { options: Options { size, sync }, clock: table.clock, law: Law { span, aim } })
+        Some(Self {
+            options: Options { size, sync },
+            clock: table.clock,
+            law: Config { span, latency_objective: aim },
+        })
     }
 }
 
@@ -57,8 +61,8 @@
 }
 
 /// The moment by the system's clocks.
-pub fn stamp(clock: KnownClock) -> Stamp {
-    Stamp { wall: Clock::new().now(), boot: boot(clock) }
+pub fn stamp(clock: KnownClock) -> Timestamp {
+    Timestamp { wall: Clock::new().now(), boot: boot(clock) }
 }
 
 /// The files of what is known, while this process has the journal.
@@ -81,9 +85,14 @@
 }
 
 /// What a process believes that starts with that snapshot and the list at that version.
-pub fn believe(snapshot: &known::replay::Snapshot, keeping: &Keeping, now: Micros, index: u64) -> Belief {
-    let start = Start { now, stamp: stamp(keeping.clock) };
-    belief::believe(snapshot, &start, index, &keeping.law)
+pub fn believe(
+    snapshot: &known::replay::Snapshot,
+    keeping: &Keeping,
+    now: Micros,
+    index: u64,
+) -> RestoredState {
+    let start = RestoreTime { now, stamp: stamp(keeping.clock) };
+    belief::restore(snapshot, &start, index, &keeping.law)
 }
 
 /// What the driver shows of what is known.
@@ -107,9 +116,9 @@
         all
     }
 
-    fn kept(&self, destination: u16) -> Option<Kept> {
+    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
         let id = DestinationId(destination);
-        let listed: Vec<Listed> = self
+        let listed: Vec<ListedEndpoint> = self
             .policy
             .endpoints(id)
             .into_iter()
@@ -129,7 +138,7 @@
             })
             .collect();
         let known = !listed.is_empty() || !routes.is_empty();
-        known.then_some(Kept { at: self.now, listed, routes })
+        known.then_some(DestinationRecord { at: self.now, listed, routes })
     }
 
     fn list(&self) -> (u64, Micros) {
@@ -168,7 +177,7 @@
         if self.store.next_due(view.now).is_none_or(|due| due > view.now) {
             return;
         }
-        let stamp = Stamp { wall: view.now, boot: boot(self.clock) };
+        let stamp = Timestamp { wall: view.now, boot: boot(self.clock) };
         if let Err(e) = self.store.slice(&stamp, room, view) {
             self.complain(view.now, &e);
         }
@@ -176,7 +185,7 @@
 
     /// Gives its room back to the journal.
     pub fn give_back(&mut self, now: Micros) {
-        if let Err(e) = self.store.give_back(now) {
+        if let Err(e) = self.store.release(now) {
             self.complain(now, &e);
         }
     }
@@ -191,7 +200,7 @@
 
 /// The list that a process begins with: what the snapshot has where that is newer, else the configuration's, with the drains
 /// that may have been told since. And the version to watch it from; none where the whole list is to be asked for.
-pub fn first_list(known: ListBody, belief: &mut Belief) -> (ListBody, Option<u64>) {
+pub fn first_list(known: ListBody, belief: &mut RestoredState) -> (ListBody, Option<u64>) {
     if let Some((index, destinations)) = belief.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
             listed.into_iter().map(move |listed| Listing {
@@ -214,15 +223,15 @@
     }
     let mut list = known;
     for listing in list.endpoints.iter_mut().filter(|listing| drains.contains(&listing.name)) {
-        listing.status = status(Status::Leaving).to_owned();
+        listing.status = status(EndpointStatus::Draining).to_owned();
     }
     (list, None)
 }
 
-fn status(status: Status) -> &'static str {
+fn status(status: EndpointStatus) -> &'static str {
     match status {
-        Status::Active => "active",
-        Status::Leaving => "leaving",
-        Status::Left => "left",
+        EndpointStatus::Active => "active",
+        EndpointStatus::Draining => "leaving",
+        EndpointStatus::Removed => "left",
     }
 }
--- a/crates/sender/src/platform.rs
+++ b/crates/sender/src/platform.rs
@@ -20,7 +20,7 @@
 use crate::again::{Again, Unanswered};
 use crate::http::conn::Conn;
 use crate::list::{ListBody, Listed};
-use crate::ports::{BODY_LIMIT, Inbound};
+use crate::ports::{Inbound, MAX_BODY_BYTES};
 
 /// How long a watch may be held open.
 const HOLD: Duration = Duration::from_secs(20);
@@ -143,7 +143,7 @@
             Ok(list) => {
                 again.answered();
                 from = Some(list.index);
-                Inbound::Listed(Listed(Arc::new(list)))
+                Inbound::EndpointsUpdated(Listed(Arc::new(list)))
             }
             Err(how) => {
                 conn = None;
@@ -208,7 +208,7 @@
         }
         let (mut body, mut told) = (Vec::new(), Vec::new());
         for (message, line) in owed.iter().take(most) {
-            if !body.is_empty() && body.len() + line.len() > BODY_LIMIT {
+            if !body.is_empty() && body.len() + line.len() > MAX_BODY_BYTES {
                 break;
             }
             body.extend(line);
@@ -240,7 +240,7 @@
             Ok(Ok((StatusCode::NO_CONTENT, _))) => {
                 owed.retain(|message, _| !told.contains(message));
                 most = usize::MAX;
-                if inbound.send(Inbound::NoticesKept(told)).is_err() {
+                if inbound.send(Inbound::NotificationsAcknowledged(told)).is_err() {
                     return;
                 }
             }
@@ -249,7 +249,7 @@
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
                 eprintln!("the platform does not read a notice; dropped");
                 owed.retain(|message, _| !told.contains(message));
-                let _ = inbound.send(Inbound::NoticesKept(told));
+                let _ = inbound.send(Inbound::NotificationsAcknowledged(told));
             }
             _ => {
                 conn = None;
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -18,31 +18,31 @@
 
 /// Takes messages on from clients. What it is handed goes to the driver as [`Inbound::HandedIn`], and a client that
 /// goes away before its answer as [`Inbound::Withdrawn`]; it answers nobody before the driver has.
-pub trait Front {
+pub trait Frontend {
     /// Begins to listen, once, when what an earlier process left has been taken up. Tells where.
     ///
     /// # Errors
     /// Fails when the address is not to be had.
-    fn begin(self: Rc<Self>) -> io::Result<SocketAddr>;
+    fn start(self: Rc<Self>) -> io::Result<SocketAddr>;
 
     /// Requests so far.
     fn requests(&self) -> u64;
 
     /// Clients' connections that are open.
-    fn open(&self) -> usize;
+    fn open_connections(&self) -> usize;
 
     /// So many clients' connections at a time from now on.
-    fn set_places(&self, most: usize);
+    fn set_max_clients(&self, most: usize);
 
     /// Serves a connection that another core took.
     fn adopt(self: Rc<Self>, stream: std::net::TcpStream);
 }
 
 /// Makes calls to endpoints. It never decides to make one, nor to make one again.
-pub trait Carrier {
+pub trait Transport {
     /// Takes note of where an endpoint is, from the list's text. False where the text names no place of this carrier's,
     /// which then knows the endpoint no more than before.
-    fn place(&self, endpoint: EndpointId, address: &str) -> bool;
+    fn set_address(&self, endpoint: EndpointId, address: &str) -> bool;
 
     /// Where an endpoint is, in the list's text, if it was placed here.
     fn address(&self, endpoint: EndpointId) -> Option<String>;
@@ -51,11 +51,11 @@
     fn forget(&self, endpoint: EndpointId);
 
     /// Whether an endpoint takes what is new. Calls on their way to one that no longer does, of which nothing has left, stay.
-    fn set_open(&self, _endpoint: EndpointId, _open: bool) {}
+    fn set_accepting(&self, _endpoint: EndpointId, _open: bool) {}
 
     /// Starts a call with one message or several, each begun in the journal; its end comes as [`Inbound::CallOver`]. Nothing of
     /// it leaves while a wait runs that its route told.
-    fn start(&self, at: (RouteId, EndpointId), parts: Vec<Part>, pace: Pace);
+    fn start(&self, at: (RouteId, EndpointId), parts: Vec<CallMessage>, pace: WriteOptions);
 
     /// Calls an attempt off so that the endpoint notices, with all that travel along.
     fn cancel(&self, message: MessageId, attempt: u16);
@@ -67,10 +67,10 @@
     fn close_idle(&self, endpoint: EndpointId);
 
     /// Messages written whole to endpoints so far, counted once for each attempt.
-    fn written(&self) -> u64;
+    fn messages_written(&self) -> u64;
 
     /// How many attempts are out.
-    fn out(&self) -> usize;
+    fn attempts_in_flight(&self) -> usize;
 
     /// Connections, idle ones counted.
     fn connections(&self) -> usize {
@@ -78,20 +78,20 @@
     }
 
     /// So many connections at most from now on, idle ones counted.
-    fn set_connections(&self, _most: usize) {}
+    fn set_max_connections(&self, _most: usize) {}
 
     /// The attempts that are out on connections of this process, and where.
-    fn outs(&self) -> Vec<(MessageId, u16, EndpointId)>;
+    fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)>;
 }
 
 /// Bodies hold at most so much.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// What the socket tasks tell the driver.
 #[derive(Debug)]
 pub enum Inbound {
     /// A client hands in a message.
-    HandedIn(HandedIn),
+    Submitted(Submission),
     /// A client closed before this request of its was answered: a message that came by it counts for nothing.
     Withdrawn {
         /// The message's `Req-Id`.
@@ -102,15 +102,15 @@
         destination: u16,
     },
     /// Attempts ended that travelled as one call.
-    CallOver(Vec<AttemptOver>),
+    CallCompleted(Vec<AttemptOver>),
     /// Goes to the module as it is.
     Event(Event),
     /// Discovery told of endpoints.
-    Listed(Listed),
+    EndpointsUpdated(Listed),
     /// The platform has these notices.
-    NoticesKept(Vec<MessageId>),
+    NotificationsAcknowledged(Vec<MessageId>),
     /// On-call staff ask for something.
-    Ops(ops::call::Call, oneshot::Sender<Told>),
+    AdminRequest(ops::call::AdminRequest, oneshot::Sender<AdminResponse>),
     /// A process that was started beside this one asks to take over.
     Successor(Link),
     /// A line on the state is to be written to the log.
@@ -123,7 +123,7 @@
 
 /// What on-call staff are told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct AdminResponse {
     /// The answer's status: 2xx for yes, anything else for no.
     pub status: u16,
     /// Its text.
@@ -132,9 +132,9 @@
 
 /// A message that a client hands in, and where its answer goes.
 #[derive(Debug)]
-pub struct HandedIn {
+pub struct Submission {
     /// The message.
-    pub taken: Arc<AcceptedMessage>,
+    pub message: Arc<AcceptedMessage>,
     /// Its class's position in the settings.
     pub class: usize,
     /// The request's number, from 1.
@@ -145,7 +145,7 @@
 
 /// A message of a call.
 #[derive(Debug, Clone)]
-pub struct Part {
+pub struct CallMessage {
     /// The message.
     pub message: MessageId,
     /// The attempt's number.
@@ -157,25 +157,28 @@
     /// Its body.
     pub body: Bytes,
     /// No answer to it is waited for from then on.
-    pub until: tokio::time::Instant,
+    pub answer_deadline: tokio::time::Instant,
     /// Nothing of it leaves from then on, which is no later. Messages that travel together each have their own.
-    pub leave: tokio::time::Instant,
+    pub send_deadline: tokio::time::Instant,
 }
 
 /// How carefully a call is written.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Pace {
+pub struct WriteOptions {
     /// Its last byte goes so long after the others.
-    pub hold: Micros,
+    pub last_byte_delay: Micros,
     /// Over a new connection.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
-impl Pace {
+impl WriteOptions {
     /// What suits both of two messages that travel along.
     #[must_use]
     pub fn stricter(self, other: Self) -> Self {
-        Self { hold: self.hold.max(other.hold), fresh: self.fresh || other.fresh }
+        Self {
+            last_byte_delay: self.last_byte_delay.max(other.last_byte_delay),
+            new_connection: self.new_connection || other.new_connection,
+        }
     }
 }
 
