--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -5,17 +5,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ::known::belief::Belief;
-use cores::{Core, Owners, Pool};
+use ::known::belief::RestoredState;
+use cores::{LeasePool, OwnershipMap, ShardId};
 use decision::interface::{EndpointId, Idempotency, MessageId, Micros, Settings};
 use decision::policy::Policy;
 use handover::HandoverState;
 use handover::step::{self, After, Found, Start};
 use journal::{Journal, JournalPart, OpenError};
 use operators::Operators;
-use ops::door::Door;
-use ops::figures::Ends;
-use ops::held_out::HeldOut;
+use ops::door::AdmissionGate;
+use ops::figures::OutcomeCounts;
+use ops::held_out::Ejections;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::watch;
 
@@ -31,7 +31,7 @@
 use crate::link::Link;
 use crate::meanings::{self, Meanings};
 use crate::peers::Peers;
-use crate::ports::{Carrier, Clock, Front, Inbound};
+use crate::ports::{Clock, Frontend, Inbound, Transport};
 use crate::pulse;
 use crate::store::Store;
 
@@ -156,7 +156,7 @@
     clock: Clock,
     intake: Rc<Intake>,
     calls: Calls,
-    door: watch::Sender<Door>,
+    door: watch::Sender<AdmissionGate>,
     /// Connections of either side.
     most: usize,
 }
@@ -169,7 +169,7 @@
         inherited: Option<TcpListener>,
         inbound: &UnboundedSender<Inbound>,
         post: Option<Rc<Post>>,
-        door: watch::Sender<Door>,
+        door: watch::Sender<AdmissionGate>,
     ) -> Self {
         let cores = post.as_ref().map_or(1, |post| post.team().count());
         let most = (places(config, cores) / cores).max(1);
@@ -187,11 +187,11 @@
         Self { clock, intake: Rc::new(intake), calls, door, most }
     }
 
-    fn fronts(&self) -> Vec<Rc<dyn Front>> {
+    fn fronts(&self) -> Vec<Rc<dyn Frontend>> {
         vec![self.intake.clone()]
     }
 
-    fn carriers(&self) -> Vec<Rc<dyn Carrier>> {
+    fn carriers(&self) -> Vec<Rc<dyn Transport>> {
         vec![Rc::new(self.calls.clone())]
     }
 }
@@ -228,26 +228,27 @@
     }
     let settings = &config.settings;
     let room = Room {
-        slots: Pool::new(settings.max_calls, count),
-        held: Pool::new(settings.max_messages, count),
-        connections: Pool::new(places(config, count) / if taken_over { PART } else { 1 }, count),
+        slots: LeasePool::new(settings.max_calls, count),
+        held: LeasePool::new(settings.max_messages, count),
+        connections: LeasePool::new(places(config, count) / if taken_over { PART } else { 1 }, count),
     };
     // What must arrive is bounded by what is out, held and open; as much again can be turned away.
     let queue =
         2 * (settings.max_calls * 2 + settings.max_messages.min(16_384) + places(config, count)).max(1024);
-    let owners = if taken_over { Owners::all_on(count, Core(0)) } else { Owners::spread(count) };
+    let owners =
+        if taken_over { OwnershipMap::all_on(count, ShardId(0)) } else { OwnershipMap::hashed(count) };
     Ok(Some(Team::new(owners, room, queue)))
 }
 
 /// What one core beside the first is started with.
 struct Beside {
-    core: Core,
+    core: ShardId,
     team: Arc<Team>,
     config: Config,
     clock: Clock,
     part: JournalPart,
-    held_out: HeldOut,
-    door: watch::Sender<Door>,
+    held_out: Ejections,
+    door: watch::Sender<AdmissionGate>,
     waits: Vec<(String, Micros)>,
     set_back: bool,
     /// Its requests are counted from there.
@@ -295,7 +296,7 @@
                 ends: None,
                 set_back: self.set_back,
                 memory: None,
-                belief: Belief::default(),
+                belief: RestoredState::default(),
                 meanings: self.meanings,
             };
             driver::run(&self.config, parts, inbound, &mut events).await.map(drop)
@@ -328,8 +329,8 @@
     }
     let team = team(&config, operators, told.is_some())?;
     divide(&mut config.settings, team.as_ref().map_or(1, |team| team.count()));
-    let post = team.clone().map(|team| Rc::new(Post::new(Core(0), team)));
-    let door = watch::Sender::new(Door::default());
+    let post = team.clone().map(|team| Rc::new(Post::new(ShardId(0), team)));
+    let door = watch::Sender::new(AdmissionGate::default());
     let sides = Sides::new(&config, clock, inherited, &inbound, post.clone(), door);
     let (mut taken_over, mut before, mut waits) = (None, None, Vec::new());
     if let Some((mut other, state)) = told {
@@ -339,7 +340,7 @@
             .map_err(|e| format!("the process before breaks off: {e}"))?;
         sides.intake.count_from(state.requests.saturating_add(REQUESTS_APART));
         if let Some(since) = state.standby {
-            sides.door.send_replace(Door::Standby(since));
+            sides.door.send_replace(AdmissionGate::Standby(since));
         }
         let out = if policy.is_some() { state.attempts_in_flight.clone() } else { Vec::new() };
         before = Some(share_with(&sides, &config, other, out, &inbound, post.clone()));
@@ -348,15 +349,15 @@
             None => waits = state.waits,
         }
     }
-    let (mut begun, mut ends): (bool, Option<Ends>) = (false, None);
+    let (mut begun, mut ends): (bool, Option<OutcomeCounts>) = (false, None);
     let mut journal = match &team {
         None => Store::Whole(Box::new(journal)),
         Some(team) => {
             let owners = team.owners();
             let mut parts =
-                journal.share(team.count(), |destination| owners.of(destination).index()).into_iter();
+                journal.share(team.count(), |destination| owners.owner(destination).index()).into_iter();
             let first = parts.next().ok_or("no core has the journal")?;
-            for (core, part) in (1..).map(Core).zip(parts) {
+            for (core, part) in (1..).map(ShardId).zip(parts) {
                 let held_out = kept::read(&config.state);
                 let beside = Beside {
                     core,
@@ -382,7 +383,7 @@
         if memory.is_none() {
             memory = keeping.and_then(|keeping| known::open(&config.state, &config.name, &keeping));
         }
-        let mut belief = Belief::default();
+        let mut belief = RestoredState::default();
         let memory = memory.take().zip(keeping).map(|((mut memory, snapshot), keeping)| {
             let believed = known::believe(&snapshot, &keeping, clock.now(), config.known.index);
             memory.moved_by(believed.shift);
@@ -399,7 +400,7 @@
         };
         let peers = Peers::open(&config, inbound.clone()).await.map_err(|e| format!("peer_listen: {e}"))?;
         let mut carriers = sides.carriers();
-        carriers.extend(before.clone().map(|before| before as Rc<dyn Carrier>));
+        carriers.extend(before.clone().map(|before| before as Rc<dyn Transport>));
         let parts = Parts {
             clock,
             journal,
@@ -440,7 +441,7 @@
                 sides.intake.set_most(sides.most / PART);
                 let (mut fronts, mut carriers) = (sides.fronts(), sides.carriers());
                 if let Some(left) = left {
-                    left.elsewhere.set_places(sides.most / PART);
+                    left.elsewhere.set_max_clients(sides.most / PART);
                     left.elsewhere.clone().follow(inbound.clone());
                     fronts.push(left.elsewhere.clone());
                     carriers.push(left.elsewhere);
--- a/crates/sender/src/program.rs
+++ b/crates/sender/src/program.rs
@@ -201,7 +201,14 @@
     let run = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as u32);
     let bytes = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64));
     let (broadcast, lends) = (config.peers_all.is_some(), table.lends);
-    Ok(Some(GossipConfig { me, run, senders, broadcast, bytes, lends }))
+    Ok(Some(GossipConfig {
+        member: me,
+        incarnation: run,
+        senders,
+        broadcast,
+        byte_budget: bytes,
+        quota_transfer: lends,
+    }))
 }
 
 fn dormant(table: &DormantTable) -> Option<IdlePolicy> {
--- a/crates/sender/src/show_known.rs
+++ b/crates/sender/src/show_known.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use journal::disk::Folder;
-use known::belief::{Belief, Believed, Law, Reason, Start, believe};
+use known::belief::{Config, Reason, RestoreTime, RestoredRoute, RestoredState, restore};
 use known::replay::Snapshot;
-use known::{Micros, Status};
+use known::{EndpointStatus, Micros};
 use operators::KnownClock;
 
 use crate::known::stamp;
@@ -19,7 +19,7 @@
 /// An aim as the platform's classes have it; answer times depend on it alone.
 const AIM: Micros = 4_000_000;
 
-fn read(folder: &Path) -> Result<(Snapshot, Belief), String> {
+fn read(folder: &Path) -> Result<(Snapshot, RestoredState), String> {
     // Guards against a mistyped name that would pass for a folder in which nothing is known.
     if !folder.is_dir() {
         return Err(format!("{}: there is no such folder", folder.display()));
@@ -29,19 +29,19 @@
     let owner = known::store::owner(&mut disk).map_err(told)?.unwrap_or_default();
     let snapshot = known::store::load(&mut disk, &owner).map_err(told)?;
     let clock = if snapshot.stamp.boot.is_some() { KnownClock::Boot } else { KnownClock::Wall };
-    let start = Start { now: Clock::after(snapshot.stamp.wall).0.now(), stamp: stamp(clock) };
-    let belief = believe(&snapshot, &start, 0, &Law { span: SPAN, aim: AIM });
+    let start = RestoreTime { now: Clock::after(snapshot.stamp.wall).0.now(), stamp: stamp(clock) };
+    let belief = restore(&snapshot, &start, 0, &Config { span: SPAN, latency_objective: AIM });
     Ok((snapshot, belief))
 }
 
-fn place(believed: &Believed) -> String {
+fn place(believed: &RestoredRoute) -> String {
     match &believed.endpoint {
         Some(endpoint) => format!("destination {} at {}", believed.destination, printed(endpoint)),
         None => format!("destination {}", believed.destination),
     }
 }
 
-fn age(believed: &Believed) -> String {
+fn age(believed: &RestoredRoute) -> String {
     believed.age.map_or_else(|| "of an age not known".to_owned(), |age| format!("{} s old", seconds(age)))
 }
 
@@ -55,7 +55,7 @@
 /// `known show`
 pub fn show(folder: &Path) -> Result<Vec<String>, String> {
     let (snapshot, belief) = read(folder)?;
-    let mut lines: Vec<_> = belief.told.iter().map(|told| printed(told)).collect();
+    let mut lines: Vec<_> = belief.warnings.iter().map(|told| printed(told)).collect();
     if !snapshot.found {
         lines.push("nothing is known: a start now begins with what the list says".to_owned());
         return Ok(lines);
@@ -64,7 +64,7 @@
         lines.push(format!("{}, {}: {}", place(believed), age(believed), because(&believed.reasons)));
     }
     let endpoints = snapshot.destinations.values().flat_map(|kept| &kept.listed);
-    let drains: Vec<_> = endpoints.clone().filter(|listed| listed.status != Status::Active).collect();
+    let drains: Vec<_> = endpoints.clone().filter(|listed| listed.status != EndpointStatus::Active).collect();
     let mut list = match snapshot.list {
         Some((index, _)) => format!("the list at version {index}"),
         None => "the list at no version that is sure".to_owned(),
@@ -83,7 +83,7 @@
 
 /// `known diff`
 pub fn diff(folder: &Path, other: &Path) -> Result<Vec<String>, String> {
-    let by_place = |belief: &Belief| -> BTreeMap<_, _> {
+    let by_place = |belief: &RestoredState| -> BTreeMap<_, _> {
         let all = belief.routes.iter().map(|believed| {
             let key = (believed.destination, believed.endpoint.clone());
             (key, (place(believed), because(&believed.reasons)))
--- a/crates/shared/src/counts.rs
+++ b/crates/shared/src/counts.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Micros, Rank};
+use crate::{MemberIndex, Micros};
 
 /// Counts are of so long a span.
 pub const SPAN: Micros = 2_000_000;
@@ -63,7 +63,7 @@
     /// The slot that counts now, and since when.
     slot: usize,
     slot_at: Micros,
-    others: BTreeMap<u16, BTreeMap<Rank, (Micros, Count)>>,
+    others: BTreeMap<u16, BTreeMap<MemberIndex, (Micros, Count)>>,
 }
 
 impl Counts {
@@ -104,7 +104,7 @@
     }
 
     /// Another told its counts, of so long ago.
-    pub fn heard(&mut self, from: Rank, destination: u16, count: Count, age: Micros, now: Micros) {
+    pub fn heard(&mut self, from: MemberIndex, destination: u16, count: Count, age: Micros, now: Micros) {
         if self.others.len() >= DESTINATIONS && !self.others.contains_key(&destination) {
             return;
         }
--- a/crates/shared/src/judgement.rs
+++ b/crates/shared/src/judgement.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Rank};
+use crate::{MemberIndex, Micros};
 
 /// Numbers evidence of one sender: its run in the upper half, a count in the lower. The higher is the newer.
 pub type Number = u64;
@@ -26,7 +26,7 @@
 
 /// What a destination did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum FailureKind {
     /// No connection was made, or it broke.
     Unreachable,
     /// It answered with errors.
@@ -39,18 +39,18 @@
 
 /// One sender's evidence against a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad {
+pub struct Failure {
     /// The sender's number of it.
     pub number: Number,
     /// When its last call failed, by the local clock; never earlier than it did.
     pub at: Micros,
     /// How.
-    pub kind: Kind,
+    pub kind: FailureKind,
     /// Calls that failed in a row.
     pub calls: u8,
 }
 
-impl Bad {
+impl Failure {
     fn join(self, other: Self) -> Self {
         match self.number.cmp(&other.number) {
             std::cmp::Ordering::Less => other,
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// Whose report, and its number there.
-    pub origin: Rank,
+    pub origin: MemberIndex,
     /// That sender's number of it.
     pub number: Number,
     /// When it was told, by the local clock; never earlier than it was.
@@ -105,9 +105,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Judgement {
     /// By sender. At most [`KEPT`], the newest.
-    bads: BTreeMap<Rank, Bad>,
+    bads: BTreeMap<MemberIndex, Failure>,
     /// Evidence of each sender up to that number is outranked; and when that was last said.
-    cleared: BTreeMap<Rank, (Number, Micros)>,
+    cleared: BTreeMap<MemberIndex, (Number, Micros)>,
     limit: Option<Limit>,
     /// A wait that a sender was told, until then.
     wait_until: Micros,
@@ -117,7 +117,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Belief {
     /// Others hold evidence enough that it is ill: since when the newest of it is.
-    pub ill: Option<(Micros, Kind)>,
+    pub unhealthy: Option<(Micros, FailureKind)>,
     /// Calls a second of its limit, and when that was told.
     pub limit: Option<(f32, Micros)>,
     /// A wait that another was told.
@@ -126,11 +126,11 @@
 
 /// Something that can be joined into what is known: what notes carry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Item {
+pub enum Evidence {
     /// A sender's evidence.
-    Bad(Rank, Bad),
+    Failure(MemberIndex, Failure),
     /// A sender's evidence up to that number is outranked, as was said then.
-    Cleared(Rank, Number, Micros),
+    Cleared(MemberIndex, Number, Micros),
     /// A limit.
     Limit(Limit),
     /// A wait that runs until then.
@@ -139,10 +139,10 @@
 
 impl Judgement {
     /// Joins one item. Tells whether anything is different now.
-    pub fn join(&mut self, item: Item) -> bool {
+    pub fn join(&mut self, item: Evidence) -> bool {
         match item {
-            Item::Bad(origin, bad) => self.bad(origin, bad),
-            Item::Cleared(origin, number, at) => {
+            Evidence::Failure(origin, bad) => self.bad(origin, bad),
+            Evidence::Cleared(origin, number, at) => {
                 let before = self.cleared.get(&origin).copied();
                 let cleared = before.map_or((number, at), |before| match before.0.cmp(&number) {
                     std::cmp::Ordering::Less => (number, at),
@@ -158,12 +158,12 @@
                 }
                 self.cleared.get(&origin).copied() != before
             }
-            Item::Limit(limit) => {
+            Evidence::Limit(limit) => {
                 let before = self.limit;
                 self.limit = Some(before.map_or(limit, |before| before.join(limit)));
                 self.limit != before
             }
-            Item::Wait(until) => {
+            Evidence::Wait(until) => {
                 let longer = until > self.wait_until;
                 self.wait_until = self.wait_until.max(until);
                 longer
@@ -171,7 +171,7 @@
         }
     }
 
-    fn bad(&mut self, origin: Rank, bad: Bad) -> bool {
+    fn bad(&mut self, origin: MemberIndex, bad: Failure) -> bool {
         let before = self.bads.get(&origin).copied();
         self.bads.insert(origin, before.map_or(bad, |before| before.join(bad)));
         while self.bads.len() > KEPT {
@@ -188,16 +188,17 @@
     }
 
     /// All that is known, piece by piece; what is outranked goes as its clearance alone.
-    pub fn items(&self) -> impl Iterator<Item = Item> + '_ {
-        let bads = self.bads.iter().map(|(origin, bad)| Item::Bad(*origin, *bad));
-        let cleared = self.cleared.iter().map(|(origin, (number, at))| Item::Cleared(*origin, *number, *at));
-        let wait = (self.wait_until > 0).then_some(Item::Wait(self.wait_until));
-        bads.chain(cleared).chain(self.limit.map(Item::Limit)).chain(wait)
+    pub fn items(&self) -> impl Iterator<Item = Evidence> + '_ {
+        let bads = self.bads.iter().map(|(origin, bad)| Evidence::Failure(*origin, *bad));
+        let cleared =
+            self.cleared.iter().map(|(origin, (number, at))| Evidence::Cleared(*origin, *number, *at));
+        let wait = (self.wait_until > 0).then_some(Evidence::Wait(self.wait_until));
+        bads.chain(cleared).chain(self.limit.map(Evidence::Limit)).chain(wait)
     }
 
     /// Evidence that counts: not outranked, not faded, with its weight.
-    fn counting(&self, now: Micros) -> impl Iterator<Item = (Rank, &Bad, u32)> {
-        let counts = move |(origin, bad): (&Rank, &Bad)| {
+    fn counting(&self, now: Micros) -> impl Iterator<Item = (MemberIndex, &Failure, u32)> {
+        let counts = move |(origin, bad): (&MemberIndex, &Failure)| {
             let outranked = self.cleared.get(origin).is_some_and(|cleared| cleared.0 >= bad.number);
             (!outranked && bad.weight(now) > 0).then(|| bad.weight(now))
         };
@@ -210,19 +211,19 @@
         let weight: u32 = self.counting(now).map(|(_, _, weight)| weight).sum();
         let newest = self.counting(now).map(|(_, bad, _)| (bad.at, bad.kind)).max();
         Belief {
-            ill: newest.filter(|_| weight >= BELIEVED),
+            unhealthy: newest.filter(|_| weight >= BELIEVED),
             limit: self.limit.map(|limit| (limit.rate, limit.at)),
             wait_until: self.wait_until,
         }
     }
 
     /// What a call that is begun now, by one who knows this, outranks if it goes well.
-    pub fn known_bads(&self) -> Vec<(Rank, Number)> {
+    pub fn known_bads(&self) -> Vec<(MemberIndex, Number)> {
         self.bads.iter().map(|(origin, bad)| (*origin, bad.number)).collect()
     }
 
     /// Whether evidence up to these numbers still counts: then it is worth saying that it is outranked.
-    pub fn would_clear(&self, known: &[(Rank, Number)], now: Micros) -> bool {
+    pub fn would_clear(&self, known: &[(MemberIndex, Number)], now: Micros) -> bool {
         self.counting(now).any(|(origin, bad, _)| known.iter().any(|k| k.0 == origin && k.1 >= bad.number))
     }
 
@@ -247,7 +248,7 @@
     /// A number by which two senders find out whether they believe the same; 0 where there is nothing. Evidence itself is not in
     /// it: which of it is kept, and since when, differs with the way that it took.
     pub fn digest(&self, now: Micros) -> u32 {
-        let Belief { ill, limit, wait_until } = self.belief(now);
+        let Belief { unhealthy: ill, limit, wait_until } = self.belief(now);
         let limit = limit.map_or(0, |limit| limit.0.to_bits());
         let flags = u32::from(ill.is_some()) | u32::from(wait_until > now) << 1;
         if flags == 0 && limit == 0 { 0 } else { limit.rotate_left(7) ^ (flags + 1) }
--- a/crates/shared/src/lib.rs
+++ b/crates/shared/src/lib.rs
@@ -16,36 +16,40 @@
 mod state;
 pub mod view;
 
-pub use judgement::{Belief, Kind};
+pub use judgement::{Belief, FailureKind};
 pub use note::Rejected;
-pub use state::{Seen, Shared, Shown};
+pub use state::{DestinationReport, Gossip, Observation};
 
 use serde::{Deserialize, Serialize};
 
-use judgement::{Item, Judgement, Number};
+use judgement::{Evidence, Judgement, Number};
 
 /// A point in time or a span, in microseconds on the clock of whoever calls.
 pub type Micros = u64;
 /// A sender's place among the fleet's.
-pub type Rank = u16;
+pub type MemberIndex = u16;
 /// Bytes of a note at most.
 pub const NOTE_LIMIT: usize = 256;
 
 /// How much is said, and to whom.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Law {
+pub struct Config {
     /// This sender's rank.
-    pub me: Rank,
+    #[serde(rename = "me")]
+    pub member: MemberIndex,
     /// This process's run: higher than those before it, as far as is known here. Others raise it where they know better.
-    pub run: u32,
+    #[serde(rename = "run")]
+    pub incarnation: u32,
     /// Senders of the fleet.
-    pub senders: Rank,
+    pub senders: MemberIndex,
     /// A note can be sent to all at once.
     pub broadcast: bool,
     /// Bytes that others receive from this sender, for each message that is handed in here; and a second beside.
-    pub bytes: (f64, f64),
+    #[serde(rename = "bytes")]
+    pub byte_budget: (f64, f64),
     /// Parts of limits are lent and borrowed.
-    pub lends: bool,
+    #[serde(rename = "lends")]
+    pub quota_transfer: bool,
 }
 
 /// From the first news until nothing is said any more.
@@ -63,9 +67,9 @@
 
 /// News that is to be told.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct News {
+struct Update {
     destination: u16,
-    item: Item,
+    item: Evidence,
     /// Rounds that it is still told in.
     rounds: u8,
 }
@@ -73,17 +77,17 @@
 /// What waits to be told, the dearest first.
 #[derive(Clone, Debug, Default)]
 struct Outbox {
-    news: VecDeque<News>,
+    news: VecDeque<Update>,
 }
 
 impl Outbox {
     /// News at most; the oldest goes.
     const MOST: usize = 256;
 
-    fn tell(&mut self, destination: u16, item: Item, rounds: u8) {
-        let same = |news: &News| news.destination == destination && supersedes(&item, &news.item);
+    fn tell(&mut self, destination: u16, item: Evidence, rounds: u8) {
+        let same = |news: &Update| news.destination == destination && supersedes(&item, &news.item);
         self.news.retain(|news| !same(news));
-        self.news.push_back(News { destination, item, rounds });
+        self.news.push_back(Update { destination, item, rounds });
         // What is dear goes first: outages and waits, then what ends them, then limits.
         self.news.make_contiguous().sort_by_key(|news| dearness(&news.item));
         self.news.truncate(Self::MOST);
@@ -91,40 +95,40 @@
 }
 
 /// The lower goes first.
-fn dearness(item: &Item) -> u8 {
+fn dearness(item: &Evidence) -> u8 {
     match item {
-        Item::Bad(..) | Item::Wait(_) => 0,
-        Item::Cleared(..) => 1,
-        Item::Limit(_) => 2,
+        Evidence::Failure(..) | Evidence::Wait(_) => 0,
+        Evidence::Cleared(..) => 1,
+        Evidence::Limit(_) => 2,
     }
 }
 
 /// Whether news makes other news of the same destination pointless.
-fn supersedes(new: &Item, old: &Item) -> bool {
+fn supersedes(new: &Evidence, old: &Evidence) -> bool {
     match (new, old) {
-        (Item::Bad(a, new), Item::Bad(b, old)) => a == b && new.number >= old.number,
-        (Item::Cleared(a, new, _), Item::Cleared(b, old, _)) => a == b && new >= old,
-        (Item::Cleared(a, new, _), Item::Bad(b, old)) => a == b && *new >= old.number,
-        (Item::Limit(_), Item::Limit(_)) => true,
-        (Item::Wait(new), Item::Wait(old)) => new >= old,
+        (Evidence::Failure(a, new), Evidence::Failure(b, old)) => a == b && new.number >= old.number,
+        (Evidence::Cleared(a, new, _), Evidence::Cleared(b, old, _)) => a == b && new >= old,
+        (Evidence::Cleared(a, new, _), Evidence::Failure(b, old)) => a == b && *new >= old.number,
+        (Evidence::Limit(_), Evidence::Limit(_)) => true,
+        (Evidence::Wait(new), Evidence::Wait(old)) => new >= old,
         _ => false,
     }
 }
 
 /// Bytes that may be said: so many a second and for each message, and some at a time.
 #[derive(Clone, Debug)]
-struct Purse {
+struct TokenBucket {
     has: f64,
     at: Micros,
     most: f64,
     a_second: f64,
 }
 
-impl Purse {
-    fn new(law: &Law, now: Micros) -> Self {
+impl TokenBucket {
+    fn new(law: &Config, now: Micros) -> Self {
         // Enough for a note of an outage to all, twice.
         let most = 2.0 * 64.0 * f64::from(law.senders.max(4));
-        Self { has: most, at: now, most, a_second: law.bytes.1 }
+        Self { has: most, at: now, most, a_second: law.byte_budget.1 }
     }
 
     fn earn(&mut self, bytes: f64) {
@@ -153,7 +157,7 @@
 
 /// What is known of all destinations.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct Judgements {
     judgements: BTreeMap<u16, Judgement>,
     /// Beliefs as they were last told.
     told: BTreeMap<u16, Belief>,
@@ -161,8 +165,8 @@
     touched: BTreeSet<u16>,
 }
 
-impl Known {
-    fn join(&mut self, destination: u16, item: Item) -> bool {
+impl Judgements {
+    fn join(&mut self, destination: u16, item: Evidence) -> bool {
         if self.judgements.len() >= DESTINATIONS && !self.judgements.contains_key(&destination) {
             return false;
         }
--- a/crates/shared/src/links.rs
+++ b/crates/shared/src/links.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Rank};
+use crate::{MemberIndex, Micros};
 
 /// A note that was held up for longer counts for nothing.
 pub const STALE: Micros = 1_000_000;
@@ -21,7 +21,7 @@
 
 /// The ways from other senders.
 #[derive(Clone, Debug, Default)]
-pub struct Links(BTreeMap<Rank, Link>);
+pub struct Links(BTreeMap<MemberIndex, Link>);
 
 /// What a note's time on the way came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
 impl Links {
     /// A note came that was sent at that time by its sender's clock, in milliseconds, which run over.
-    pub fn came(&mut self, from: Rank, run: u32, sent_ms: u32, now: Micros) -> Way {
+    pub fn came(&mut self, from: MemberIndex, run: u32, sent_ms: u32, now: Micros) -> Way {
         let now_ms = (now / 1_000) as u32;
         let difference = i64::from(now_ms.wrapping_sub(sent_ms) as i32) * 1_000;
         let link = self.0.get(&from).copied().filter(|link| link.run == run);
--- a/crates/shared/src/note.rs
+++ b/crates/shared/src/note.rs
@@ -15,9 +15,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::counts::Count;
-use crate::judgement::{Bad, Item, Kind, Limit, Number};
+use crate::judgement::{Evidence, Failure, FailureKind, Limit, Number};
 use crate::view::State;
-use crate::{Micros, NOTE_LIMIT, Rank};
+use crate::{MemberIndex, Micros, NOTE_LIMIT};
 
 /// The version of notes that this package writes and reads.
 pub const VERSION: u8 = 1;
@@ -31,15 +31,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Part {
     /// Something known of a destination.
-    Known(u16, Item),
+    Known(u16, Evidence),
     /// Asks whether the receiver is there, with what the asker knows in a number.
     Ask(u32, u32),
     /// Answers that ask, with what the answerer knows in a number.
     Answer(u32, u32),
     /// Asks the receiver to ask that sender, and to pass on the answer to that ask.
-    AskFor(Rank, u32),
+    AskFor(MemberIndex, u32),
     /// A sender's state in one run of it.
-    Member(Rank, u32, State),
+    Member(MemberIndex, u32, State),
     /// Asks to be lent units of a destination's limit.
     Borrow(u16, u32, u32),
     /// Lends units as that ask wanted.
@@ -51,15 +51,16 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct BadBytes(u16, Rank, Number, u32, u8, u8);
+struct BadBytes(u16, MemberIndex, Number, u32, u8, u8);
 #[derive(Serialize, Deserialize)]
-struct ClearedBytes(u16, Rank, Number, u32);
+struct ClearedBytes(u16, MemberIndex, Number, u32);
 #[derive(Serialize, Deserialize)]
-struct LimitBytes(u16, Rank, Number, u32, f32);
+struct LimitBytes(u16, MemberIndex, Number, u32, f32);
 #[derive(Serialize, Deserialize)]
 struct WaitBytes(u16, u32);
 
-const KINDS: [Kind; 4] = [Kind::Unreachable, Kind::Failing, Kind::Silent, Kind::Shut];
+const KINDS: [FailureKind; 4] =
+    [FailureKind::Unreachable, FailureKind::Failing, FailureKind::Silent, FailureKind::Shut];
 const STATES: [State; 3] = [State::Alive, State::Suspected, State::Gone];
 
 /// Why a note is used for nothing.
@@ -124,7 +125,7 @@
     pub fn add(&mut self, part: &Part) -> bool {
         let now = self.now;
         let encoded = match part {
-            Part::Known(dest, Item::Bad(origin, bad)) if now.saturating_sub(bad.at) < OLDEST => {
+            Part::Known(dest, Evidence::Failure(origin, bad)) if now.saturating_sub(bad.at) < OLDEST => {
                 let kind = KINDS.iter().position(|kind| *kind == bad.kind).unwrap_or_default() as u8;
                 (
                     1,
@@ -138,15 +139,15 @@
                     )),
                 )
             }
-            Part::Known(dest, Item::Cleared(origin, number, at)) if now.saturating_sub(*at) < OLDEST => {
+            Part::Known(dest, Evidence::Cleared(origin, number, at)) if now.saturating_sub(*at) < OLDEST => {
                 (2, postcard::to_stdvec(&ClearedBytes(*dest, *origin, *number, steps(now, *at))))
             }
-            Part::Known(dest, Item::Limit(limit)) if now.saturating_sub(limit.at) < OLDEST => {
+            Part::Known(dest, Evidence::Limit(limit)) if now.saturating_sub(limit.at) < OLDEST => {
                 let age = steps(now, limit.at);
                 (3, postcard::to_stdvec(&LimitBytes(*dest, limit.origin, limit.number, age, limit.rate)))
             }
             // What is left is rounded up.
-            Part::Known(dest, Item::Wait(until)) if *until > now => {
+            Part::Known(dest, Evidence::Wait(until)) if *until > now => {
                 (4, postcard::to_stdvec(&WaitBytes(*dest, steps(*until + STEP - 1, now))))
             }
             Part::Known(..) => return false,
@@ -186,7 +187,7 @@
 
 /// A note that came whole.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Note {
+pub struct Message {
     /// Its sender's run.
     pub run: u32,
     /// When it was sent, by its sender's clock.
@@ -194,7 +195,7 @@
     parts: Vec<(u8, Vec<u8>)>,
 }
 
-impl Note {
+impl Message {
     /// Reads what holds whatever the parts are.
     ///
     /// # Errors
@@ -252,18 +253,18 @@
             if calls == 0 {
                 return None;
             }
-            Part::Known(dest, Item::Bad(origin, Bad { number, at: at(age)?, kind, calls }))
+            Part::Known(dest, Evidence::Failure(origin, Failure { number, at: at(age)?, kind, calls }))
         }
         2 => {
             let ClearedBytes(dest, origin, number, age) = whole(bytes)?;
-            Part::Known(dest, Item::Cleared(origin, number, at(age)?))
+            Part::Known(dest, Evidence::Cleared(origin, number, at(age)?))
         }
         3 => {
             let LimitBytes(dest, origin, number, age, rate) = whole(bytes)?;
             if !(rate.is_finite() && rate > 0.0) {
                 return None;
             }
-            Part::Known(dest, Item::Limit(Limit { origin, number, at: at(age)?, rate }))
+            Part::Known(dest, Evidence::Limit(Limit { origin, number, at: at(age)?, rate }))
         }
         4 => {
             let WaitBytes(dest, left) = whole(bytes)?;
@@ -271,13 +272,13 @@
             if left > OLDEST {
                 return None;
             }
-            Part::Known(dest, Item::Wait(now + left))
+            Part::Known(dest, Evidence::Wait(now + left))
         }
         5 => whole(bytes).map(|(number, digest)| Part::Ask(number, digest))?,
         6 => whole(bytes).map(|(number, digest)| Part::Answer(number, digest))?,
         7 => whole(bytes).map(|(target, number)| Part::AskFor(target, number))?,
         8 => {
-            let (rank, run, state): (Rank, u32, u8) = whole(bytes)?;
+            let (rank, run, state): (MemberIndex, u32, u8) = whole(bytes)?;
             Part::Member(rank, run, *STATES.get(usize::from(state))?)
         }
         9 => whole(bytes).map(|(dest, ask, units)| Part::Borrow(dest, ask, units))?,
--- a/crates/shared/src/rights.rs
+++ b/crates/shared/src/rights.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Rank};
+use crate::{MemberIndex, Micros};
 
 /// Units of an even part.
 pub const EVEN: u32 = 1_024;
@@ -32,7 +32,7 @@
 struct Lent {
     until: Micros,
     units: u32,
-    to: Rank,
+    to: MemberIndex,
     ask: AskId,
 }
 
@@ -41,7 +41,7 @@
 struct Held {
     until: Micros,
     units: u32,
-    from: Rank,
+    from: MemberIndex,
     ask: AskId,
 }
 
@@ -53,16 +53,16 @@
 
 /// The parts of one sender, by destination.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Rights {
+pub struct QuotaEscrow {
     accounts: BTreeMap<u16, Account>,
     /// Asks that may still be granted: destination, when asked, units wanted, and who granted it already.
-    asks: BTreeMap<AskId, (u16, Micros, u32, Vec<Rank>)>,
+    asks: BTreeMap<AskId, (u16, Micros, u32, Vec<MemberIndex>)>,
     next: AskId,
     /// What an earlier process of this sender lent is out until then at the latest.
     unsure_until: Micros,
 }
 
-impl Rights {
+impl QuotaEscrow {
     /// Of a process that begins now. What the one before it lent is not known, so that what could be lent counts as lent.
     /// Asks are numbered from `first` on: a grant to the process before must fit none of this one's.
     pub fn new(now: Micros, first: AskId) -> Self {
@@ -79,7 +79,7 @@
     }
 
     /// What is borrowed of a destination's limit, and what is lent.
-    pub fn borrowed_and_lent(&self, destination: u16, now: Micros) -> (u32, u32) {
+    pub fn borrowed_and_granted(&self, destination: u16, now: Micros) -> (u32, u32) {
         let account = self.accounts.get(&destination);
         let held = account.into_iter().flat_map(|a| &a.held).filter(|held| held.until > now);
         let lent = account.into_iter().flat_map(|a| &a.lent).filter(|lent| lent.until > now);
@@ -89,7 +89,7 @@
     /// Asks for so many units. None where it has as much as it may, or too much is asked already.
     pub fn ask(&mut self, destination: u16, units: u32, now: Micros) -> Option<AskId> {
         self.tidy(now);
-        let room = MOST.saturating_sub(self.borrowed_and_lent(destination, now).0);
+        let room = MOST.saturating_sub(self.borrowed_and_granted(destination, now).0);
         let open: u32 = self.asks.values().filter(|ask| ask.0 == destination).map(|ask| ask.2).sum();
         let units = units.min(room.saturating_sub(open));
         if units == 0 || self.asks.len() >= OPEN {
@@ -109,7 +109,7 @@
     /// was granted is not granted again: a doubled one gets what it got.
     pub fn lend(
         &mut self,
-        to: Rank,
+        to: MemberIndex,
         destination: u16,
         ask: AskId,
         wanted: u32,
@@ -137,7 +137,7 @@
 
     /// Another lent these units. False where it counts for nothing: nobody asked, the ask is too old, or the lender granted it
     /// already.
-    pub fn granted(&mut self, from: Rank, ask: AskId, units: u32, now: Micros) -> bool {
+    pub fn granted(&mut self, from: MemberIndex, ask: AskId, units: u32, now: Micros) -> bool {
         self.tidy(now);
         let Some((destination, asked, wanted, lenders)) = self.asks.get_mut(&ask) else { return false };
         // Guards against a grant that came twice.
@@ -167,7 +167,7 @@
     }
 
     /// Loans and what is borrowed, for operators: destination, the other's rank, units, until when, and whether it is lent.
-    pub fn loans(&self, now: Micros) -> Vec<(u16, Rank, u32, Micros, bool)> {
+    pub fn loans(&self, now: Micros) -> Vec<(u16, MemberIndex, u32, Micros, bool)> {
         let of = |(destination, account): (&u16, &Account)| {
             let lent = account.lent.iter().map(|l| (*destination, l.to, l.units, l.until, true));
             let held = account.held.iter().map(|h| (*destination, h.from, h.units, h.until, false));
@@ -182,13 +182,13 @@
     use super::*;
 
     /// Two senders, and the units that both may use at a time.
-    fn both(a: &Rights, b: &Rights, now: Micros) -> u32 {
+    fn both(a: &QuotaEscrow, b: &QuotaEscrow, now: Micros) -> u32 {
         a.may_use(7, now) + b.may_use(7, now)
     }
 
     #[test]
     fn what_is_lent_is_used_by_one_of_the_two_at_most() {
-        let (mut a, mut b) = (Rights::new(0, 0), Rights::new(0, 0));
+        let (mut a, mut b) = (QuotaEscrow::new(0, 0), QuotaEscrow::new(0, 0));
         let now = SPAN;
         let ask = a.ask(7, 300, now).unwrap();
         let units = b.lend(0, 7, ask, 300, EVEN, now + 10).unwrap();
@@ -204,7 +204,7 @@
     /// The note with the grant is held up until the lender has its units back.
     #[test]
     fn a_grant_that_is_held_up_counts_for_nothing() {
-        let (mut a, mut b) = (Rights::new(0, 0), Rights::new(0, 0));
+        let (mut a, mut b) = (QuotaEscrow::new(0, 0), QuotaEscrow::new(0, 0));
         let ask = a.ask(7, 300, SPAN).unwrap();
         let units = b.lend(0, 7, ask, 300, EVEN, SPAN).unwrap();
         let late = 2 * SPAN;
@@ -215,7 +215,7 @@
 
     #[test]
     fn asks_and_grants_that_come_twice_count_once() {
-        let (mut a, mut b) = (Rights::new(0, 0), Rights::new(0, 0));
+        let (mut a, mut b) = (QuotaEscrow::new(0, 0), QuotaEscrow::new(0, 0));
         let ask = a.ask(7, 300, SPAN).unwrap();
         assert_eq!(b.lend(0, 7, ask, 300, EVEN, SPAN), Some(300));
         assert_eq!(b.lend(0, 7, ask, 300, EVEN, SPAN + 5), Some(300));
@@ -227,15 +227,15 @@
 
     #[test]
     fn a_new_process_counts_what_the_one_before_may_have_lent() {
-        let new = Rights::new(9 * SPAN, 0);
+        let new = QuotaEscrow::new(9 * SPAN, 0);
         assert_eq!(new.may_use(7, 9 * SPAN), KEPT);
         assert_eq!(new.may_use(7, 10 * SPAN), EVEN);
-        assert_eq!(Rights::new(9 * SPAN, 0).lend(1, 7, 1, 5, EVEN, 9 * SPAN), None);
+        assert_eq!(QuotaEscrow::new(9 * SPAN, 0).lend(1, 7, 1, 5, EVEN, 9 * SPAN), None);
     }
 
     #[test]
     fn nobody_lends_or_borrows_without_bound() {
-        let mut a = Rights::new(0, 0);
+        let mut a = QuotaEscrow::new(0, 0);
         for to in 0..20 {
             a.lend(to, 7, 1, 100, EVEN, SPAN);
         }
@@ -246,6 +246,6 @@
             a.granted(30, ask, EVEN, SPAN);
             assert!(!a.granted(31, ask, EVEN + 1, SPAN), "more than was asked for");
         }
-        assert!(a.borrowed_and_lent(7, SPAN).0 <= MOST);
+        assert!(a.borrowed_and_granted(7, SPAN).0 <= MOST);
     }
 }
--- a/crates/shared/src/state.rs
+++ b/crates/shared/src/state.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::counts::{Count, Counts, Estimate};
-use crate::judgement::{Bad, Belief, Item, Kind, Limit, Number};
+use crate::judgement::{Belief, Evidence, Failure, FailureKind, Limit, Number};
 use crate::links::{Links, Way};
-use crate::note::{Note, Part, Rejected, Writer};
-use crate::rights::{EVEN, Rights};
-use crate::view::{Do, Heard, State, View};
+use crate::note::{Message, Part, Rejected, Writer};
+use crate::rights::{EVEN, QuotaEscrow};
+use crate::view::{Membership, Ping, SenderStatus, State};
 use crate::*;
 
 /// Counts told along with an ask or its answer.
@@ -23,20 +23,20 @@
 
 /// What a sender saw of a destination by a call of its own.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// It went well, and was begun then.
-    Well(Micros),
+    Success(Micros),
     /// It failed, after so many that did in a row, itself counted.
-    Bad(Kind, u32),
+    Failure(FailureKind, u32),
     /// It was turned away at a limit: no evidence of an outage.
-    Refused,
+    Rejected,
 }
 
 /// What this sender knows itself of a destination.
 #[derive(Clone, Debug, Default)]
 struct Own {
     /// Evidence that was known, and when, by which calls that were begun later may outrank it.
-    known: Vec<(Micros, Rank, Number)>,
+    known: Vec<(Micros, MemberIndex, Number)>,
     /// Limit that it told last, and when it said something.
     limit: Option<f32>,
     limit_told: Micros,
@@ -49,13 +49,13 @@
 
 /// What is shown to operators of one destination.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct DestinationReport {
     /// The destination.
     pub destination: u16,
     /// What is believed.
     pub belief: Belief,
     /// Everything that it follows from.
-    pub items: Vec<Item>,
+    pub items: Vec<Evidence>,
     /// Units of an even part that may be used, and of them borrowed; and those that are lent.
     pub may_use: u32,
     /// Borrowed.
@@ -66,27 +66,27 @@
 
 /// What one sender shares with the others.
 #[derive(Clone, Debug)]
-pub struct Shared {
-    law: Law,
+pub struct Gossip {
+    law: Config,
     rng: fastrand::Rng,
-    view: View,
+    view: Membership,
     links: Links,
-    known: Known,
+    known: Judgements,
     own: BTreeMap<u16, Own>,
-    rights: Rights,
+    rights: QuotaEscrow,
     counts: Counts,
     outbox: Outbox,
-    purse: Purse,
+    purse: TokenBucket,
     count: u32,
     /// Until when others are asked what they know.
     warm_until: Micros,
     ask_at: Micros,
     /// Notes to single senders that are ready.
-    ready: Vec<(Rank, Vec<Part>)>,
+    ready: Vec<(MemberIndex, Vec<Part>)>,
     /// Asks that came through another: who wants to hear of the answer, and that one's number.
-    passed_on: BTreeMap<u32, (Rank, u32)>,
+    passed_on: BTreeMap<u32, (MemberIndex, u32)>,
     /// Members to tell of along with the next notes.
-    members: Vec<(Rank, u32, State, u8)>,
+    members: Vec<(MemberIndex, u32, State, u8)>,
     /// A new process asks others for everything, so often still.
     wants_everything: u8,
     /// Notes that were used for nothing, and of them told.
@@ -95,20 +95,20 @@
     said: u64,
 }
 
-impl Shared {
+impl Gossip {
     /// A process that begins now.
-    pub fn new(law: Law, seed: u64, now: Micros) -> Self {
+    pub fn new(law: Config, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5AED);
         let first_ask = rng.u32(..);
         Self {
-            view: View::new(law.me, law.senders, law.run, now),
+            view: Membership::new(law.member, law.senders, law.incarnation, now),
             links: Links::default(),
-            known: Known::default(),
+            known: Judgements::default(),
             own: BTreeMap::new(),
-            rights: Rights::new(now, first_ask),
+            rights: QuotaEscrow::new(now, first_ask),
             counts: Counts::default(),
             outbox: Outbox::default(),
-            purse: Purse::new(&law, now),
+            purse: TokenBucket::new(&law, now),
             count: 0,
             warm_until: 0,
             ask_at: now,
@@ -124,18 +124,19 @@
     }
 
     /// A message was handed in here: it pays for what is said.
-    pub fn handed_in(&mut self) {
-        self.purse.earn(self.law.bytes.0);
+    pub fn message_accepted(&mut self) {
+        self.purse.earn(self.law.byte_budget.0);
     }
 
     /// What a call of this sender showed of a destination.
-    pub fn saw(&mut self, destination: u16, seen: Seen, now: Micros) {
-        let (refused, failed) = (u32::from(seen == Seen::Refused), u32::from(matches!(seen, Seen::Bad(..))));
+    pub fn observe(&mut self, destination: u16, seen: Observation, now: Micros) {
+        let (refused, failed) =
+            (u32::from(seen == Observation::Rejected), u32::from(matches!(seen, Observation::Failure(..))));
         self.counts.note(destination, Count { calls: 1, refused, failed, ..Count::default() }, now);
         match seen {
-            Seen::Well(begun) => self.saw_well(destination, begun, now),
-            Seen::Bad(kind, calls) => self.saw_bad(destination, kind, calls, now),
-            Seen::Refused => {}
+            Observation::Success(begun) => self.saw_well(destination, begun, now),
+            Observation::Failure(kind, calls) => self.saw_bad(destination, kind, calls, now),
+            Observation::Rejected => {}
         }
     }
 
@@ -148,11 +149,11 @@
         if !judgement.would_clear(&outranked, now) || now < own.clear_told + TELL_EVERY {
             return;
         }
-        let was_ill = judgement.belief(now).ill.is_some();
+        let was_ill = judgement.belief(now).unhealthy.is_some();
         own.clear_told = now;
         own.known.retain(|known| known.0 > begun);
         for (origin, number) in outranked {
-            let item = Item::Cleared(origin, number, now);
+            let item = Evidence::Cleared(origin, number, now);
             self.known.join(destination, item);
             // Single failures that nobody believed fade by themselves: nothing need be said.
             if was_ill {
@@ -162,22 +163,22 @@
         self.warm(now);
     }
 
-    fn saw_bad(&mut self, destination: u16, kind: Kind, calls: u32, now: Micros) {
+    fn saw_bad(&mut self, destination: u16, kind: FailureKind, calls: u32, now: Micros) {
         if !self.room_for(destination) {
             return;
         }
         let before = self.known.belief(destination, now);
         // What is believed already gains nothing by one more's evidence, unless that is about to fade.
-        if before.ill.is_some_and(|(at, _)| now < at + judgement::ONE_FADES / 2) {
+        if before.unhealthy.is_some_and(|(at, _)| now < at + judgement::ONE_FADES / 2) {
             return;
         }
         self.count += 1;
-        let number = number(self.view.run(), self.count);
+        let number = number(self.view.incarnation(), self.count);
         let calls = calls.clamp(1, 255) as u8;
-        let item = Item::Bad(self.law.me, Bad { number, at: now, kind, calls });
+        let item = Evidence::Failure(self.law.member, Failure { number, at: now, kind, calls });
         self.known.join(destination, item);
         let own = self.own.entry(destination).or_default();
-        let me = self.law.me;
+        let me = self.law.member;
         own.known.retain(|known| known.1 != me);
         own.known.push((now, me, number));
         let rounds = self.rounds();
@@ -186,7 +187,7 @@
     }
 
     /// A report told a limit of that many calls a second.
-    pub fn saw_limit(&mut self, destination: u16, rate: f32, now: Micros) {
+    pub fn observe_limit(&mut self, destination: u16, rate: f32, now: Micros) {
         if !(rate.is_finite() && rate > 0.0 && self.room_for(destination)) {
             return;
         }
@@ -205,26 +206,31 @@
         }
         own.limit_told = now;
         self.count += 1;
-        let limit = Limit { origin: self.law.me, number: number(self.view.run(), self.count), at: now, rate };
-        self.known.join(destination, Item::Limit(limit));
+        let limit = Limit {
+            origin: self.law.member,
+            number: number(self.view.incarnation(), self.count),
+            at: now,
+            rate,
+        };
+        self.known.join(destination, Evidence::Limit(limit));
         if news {
             let rounds = self.rounds();
-            self.outbox.tell(destination, Item::Limit(limit), rounds);
+            self.outbox.tell(destination, Evidence::Limit(limit), rounds);
             self.warm(now);
         }
     }
 
     /// A destination told this sender a wait until then.
-    pub fn saw_wait(&mut self, destination: u16, until: Micros, now: Micros) {
-        if self.room_for(destination) && self.known.join(destination, Item::Wait(until)) {
+    pub fn observe_wait(&mut self, destination: u16, until: Micros, now: Micros) {
+        if self.room_for(destination) && self.known.join(destination, Evidence::Wait(until)) {
             let rounds = self.rounds();
-            self.outbox.tell(destination, Item::Wait(until), rounds);
+            self.outbox.tell(destination, Evidence::Wait(until), rounds);
             self.warm(now);
         }
     }
 
     /// A message is tried for a second time or more.
-    pub fn repeats(&mut self, destination: u16, now: Micros) {
+    pub fn count_retry(&mut self, destination: u16, now: Micros) {
         self.counts.note(destination, Count { repeats: 1, ..Count::default() }, now);
     }
 
@@ -248,7 +254,7 @@
     ///
     /// # Errors
     /// Fails where it is used for nothing.
-    pub fn hear(&mut self, from: Rank, bytes: &[u8], now: Micros) -> Result<(), Rejected> {
+    pub fn receive(&mut self, from: MemberIndex, bytes: &[u8], now: Micros) -> Result<(), Rejected> {
         let heard = self.understand(from, bytes, now);
         self.rejected += u64::from(heard.is_err());
         let parts = heard?;
@@ -256,30 +262,30 @@
         Ok(())
     }
 
-    fn understand(&mut self, from: Rank, bytes: &[u8], now: Micros) -> Result<Vec<Part>, Rejected> {
-        if from == self.law.me || from >= self.law.senders {
+    fn understand(&mut self, from: MemberIndex, bytes: &[u8], now: Micros) -> Result<Vec<Part>, Rejected> {
+        if from == self.law.member || from >= self.law.senders {
             return Err(Rejected::Unknown);
         }
-        let note = Note::read(bytes)?;
+        let note = Message::read(bytes)?;
         let longer = match self.links.came(from, note.run, note.sent_ms, now) {
             Way::Stale => return Err(Rejected::Stale),
             Way::Longer(longer) => longer,
             Way::Unknown => 0,
         };
         let parts = note.parts(now, longer)?;
-        match self.view.heard(from, note.run, now) {
-            Heard::AsBelieved => {}
-            Heard::Back => self.warm(now),
+        match self.view.message_received(from, note.run, now) {
+            SenderStatus::AsBelieved => {}
+            SenderStatus::Back => self.warm(now),
             // A new process that forgot its runs: its evidence would count for less than that of the one before.
-            Heard::Behind => {
-                let run = self.view.run_of(from);
+            SenderStatus::Behind => {
+                let run = self.view.incarnation_of(from);
                 self.ready.push((from, vec![Part::Member(from, run, State::Gone)]));
             }
         }
         Ok(parts)
     }
 
-    fn take(&mut self, from: Rank, part: Part, now: Micros) {
+    fn take(&mut self, from: MemberIndex, part: Part, now: Micros) {
         match part {
             Part::Known(destination, item) => self.take_known(destination, item, now),
             Part::Ask(number, digest) => {
@@ -291,7 +297,7 @@
                     self.ready.push((asker, vec![Part::Answer(their_number, self.known.digest(now))]));
                     return;
                 }
-                if self.view.answered(number, now) && digest != self.known.digest(now) {
+                if self.view.ack_received(number, now) && digest != self.known.digest(now) {
                     self.tell_all_to(from, 1, now);
                 }
             }
@@ -305,9 +311,9 @@
                 self.ready.push((target, vec![Part::Ask(own, self.known.digest(now))]));
             }
             Part::Member(rank, run, state) => {
-                if self.view.told(rank, run, state, now) {
-                    let news = if rank == self.law.me {
-                        (rank, self.view.run(), State::Alive, self.rounds() + 2)
+                if self.view.update_received(rank, run, state, now) {
+                    let news = if rank == self.law.member {
+                        (rank, self.view.incarnation(), State::Alive, self.rounds() + 2)
                     } else {
                         (rank, run, state, 2)
                     };
@@ -325,9 +331,9 @@
         }
     }
 
-    fn take_known(&mut self, destination: u16, item: Item, now: Micros) {
+    fn take_known(&mut self, destination: u16, item: Evidence, now: Micros) {
         // Evidence of this sender's, from a run of it that is over or not: what it knows itself is in `own`.
-        if matches!(item, Item::Bad(origin, bad) if origin == self.law.me && bad.number >> 32 >= self.view.run().into())
+        if matches!(item, Evidence::Failure(origin, bad) if origin == self.law.member && bad.number >> 32 >= self.view.incarnation().into())
         {
             return;
         }
@@ -336,7 +342,7 @@
             return;
         }
         let own = self.own.entry(destination).or_default();
-        if let Item::Bad(origin, bad) = item {
+        if let Evidence::Failure(origin, bad) = item {
             own.known.retain(|known| known.1 != origin);
             own.known.push((now, origin, bad.number));
             if own.known.len() > judgement::KEPT + 1 {
@@ -345,9 +351,9 @@
         }
         let after = self.known.belief(destination, now);
         // What changes nothing that is believed is not passed on.
-        let news = before.ill.is_some() != after.ill.is_some()
+        let news = before.unhealthy.is_some() != after.unhealthy.is_some()
             || before.limit.map(|l| l.0) != after.limit.map(|l| l.0)
-            || matches!(item, Item::Bad(..)) && after.ill.is_none();
+            || matches!(item, Evidence::Failure(..)) && after.unhealthy.is_none();
         if news {
             if !self.law.broadcast {
                 let rounds = self.rounds();
@@ -358,7 +364,7 @@
     }
 
     /// Answers, along with what this sender knows where the other knows something else.
-    fn reply(&mut self, to: Rank, answer: Part, digest: u32, now: Micros) {
+    fn reply(&mut self, to: MemberIndex, answer: Part, digest: u32, now: Micros) {
         let mut parts = vec![answer];
         if digest != self.known.digest(now) {
             parts.extend(self.dearest(now));
@@ -374,11 +380,11 @@
         for (destination, judgement) in &self.known.judgements {
             for item in judgement.items() {
                 let at = match item {
-                    Item::Bad(_, bad) => bad.at,
-                    Item::Cleared(_, _, at) => at,
-                    Item::Limit(limit) => limit.at,
-                    Item::Wait(until) if until > now => now,
-                    Item::Wait(_) => continue,
+                    Evidence::Failure(_, bad) => bad.at,
+                    Evidence::Cleared(_, _, at) => at,
+                    Evidence::Limit(limit) => limit.at,
+                    Evidence::Wait(until) if until > now => now,
+                    Evidence::Wait(_) => continue,
                 };
                 items.push((dearness(&item), now.saturating_sub(at), Part::Known(*destination, item)));
             }
@@ -387,7 +393,7 @@
         items.into_iter().map(|item| item.2).collect()
     }
 
-    fn tell_all_to(&mut self, to: Rank, notes: usize, now: Micros) {
+    fn tell_all_to(&mut self, to: MemberIndex, notes: usize, now: Micros) {
         let parts = self.dearest(now);
         // Some 13 of them fit into a note.
         for parts in parts.chunks(12).take(notes) {
@@ -402,8 +408,8 @@
 
     /// What this sender needs of its even part of a destination's limit, as a share of it: more than one where it has more to
     /// send than its part allows. It borrows where it is short and the limit too, and lends what it does not need.
-    pub fn needs(&mut self, destination: u16, share: f64, short: bool, now: Micros) {
-        if !self.law.lends || !self.room_for(destination) {
+    pub fn report_demand(&mut self, destination: u16, share: f64, short: bool, now: Micros) {
+        if !self.law.quota_transfer || !self.room_for(destination) {
             return;
         }
         let may_use = self.rights.may_use(destination, now);
@@ -422,13 +428,13 @@
         }
     }
 
-    fn lend(&mut self, to: Rank, destination: u16, ask: u32, wanted: u32, now: Micros) {
+    fn lend(&mut self, to: MemberIndex, destination: u16, ask: u32, wanted: u32, now: Micros) {
         // One that was never asked for here has all of its part to spare; one that this sender needs was told of a moment ago.
         let spare = match self.own.get(&destination) {
             Some(own) if now < own.spare_at + 2 * BORROW_EVERY => own.spare,
             _ => EVEN,
         };
-        if !self.law.lends || self.view.alone(now) {
+        if !self.law.quota_transfer || self.view.alone(now) {
             return;
         }
         if let Some(units) = self.rights.lend(to, destination, ask, wanted, spare, now) {
@@ -437,11 +443,11 @@
     }
 
     /// Others that are believed to be there, by chance.
-    fn pick(&mut self, count: usize) -> Vec<Rank> {
+    fn pick(&mut self, count: usize) -> Vec<MemberIndex> {
         let mut picked = BTreeSet::new();
         for _ in 0..4 * count {
             let rank = self.rng.u16(0..self.law.senders.max(1));
-            if rank != self.law.me && self.view.state(rank) != State::Gone {
+            if rank != self.law.member && self.view.state(rank) != State::Gone {
                 picked.insert(rank);
             }
             if picked.len() == count {
@@ -452,7 +458,7 @@
     }
 
     /// What is to be said now: to one, or to all.
-    pub fn speak(&mut self, now: Micros) -> Vec<(Option<Rank>, Vec<u8>)> {
+    pub fn publish(&mut self, now: Micros) -> Vec<(Option<MemberIndex>, Vec<u8>)> {
         self.purse.turn(now);
         let mut notes = Vec::new();
         if self.wants_everything > 0 && self.law.senders > 1 {
@@ -461,14 +467,14 @@
                 self.ready.push((to, vec![Part::Everything]));
             }
         }
-        let (todo, members) = self.view.look(now, &mut self.rng);
+        let (todo, members) = self.view.check_timeouts(now, &mut self.rng);
         for (rank, run, state) in members {
             self.members.push((rank, run, state, self.rounds() + 2));
         }
         todo.into_iter().for_each(|todo| self.ask(todo, now));
         if now < self.warm_until && now >= self.ask_at {
             self.ask_at = now + PERIOD;
-            if let Some(todo) = self.view.ask_next(now, &mut self.rng) {
+            if let Some(todo) = self.view.ping_next(now, &mut self.rng) {
                 self.ask(todo, now);
             }
         }
@@ -479,9 +485,9 @@
         notes
     }
 
-    fn ask(&mut self, todo: Do, now: Micros) {
+    fn ask(&mut self, todo: Ping, now: Micros) {
         match todo {
-            Do::Ask(to, number) => {
+            Ping::Direct(to, number) => {
                 let mut parts = vec![Part::Ask(number, self.known.digest(now))];
                 for (rank, run, state, left) in &mut self.members {
                     *left = left.saturating_sub(1);
@@ -489,25 +495,26 @@
                 }
                 // Whoever is asked hears what is said of it, so that it can answer for itself.
                 if self.view.state(to) != State::Alive {
-                    let run = self.view.missing().find(|m| m.0 == to).map_or(0, |_| self.view.run_of(to));
+                    let run =
+                        self.view.missing().find(|m| m.0 == to).map_or(0, |_| self.view.incarnation_of(to));
                     parts.push(Part::Member(to, run, self.view.state(to)));
                 }
                 self.members.retain(|member| member.3 > 0);
                 parts.extend(self.counts_to_tell(now));
                 self.ready.push((to, parts));
             }
-            Do::AskFor(to, target, number) => self.ready.push((to, vec![Part::AskFor(target, number)])),
+            Ping::Indirect(to, target, number) => self.ready.push((to, vec![Part::AskFor(target, number)])),
         }
     }
 
     /// News goes to all where that can be and there are bytes for it, else to a few who pass it on.
-    fn tell_news(&mut self, now: Micros, notes: &mut Vec<(Option<Rank>, Vec<u8>)>) {
+    fn tell_news(&mut self, now: Micros, notes: &mut Vec<(Option<MemberIndex>, Vec<u8>)>) {
         if self.outbox.news.is_empty() {
             return;
         }
         let parts: Vec<Part> =
             self.outbox.news.iter().map(|news| Part::Known(news.destination, news.item)).collect();
-        let mut writer = Writer::new(self.view.run(), now);
+        let mut writer = Writer::new(self.view.incarnation(), now);
         let told = parts.iter().take_while(|part| writer.add(part)).count().max(1);
         let empty = writer.is_empty();
         let bytes = writer.finish();
@@ -535,17 +542,17 @@
     /// Writes a note with as many of the parts as fit, if there are bytes for it.
     fn write(
         &mut self,
-        to: Option<Rank>,
+        to: Option<MemberIndex>,
         parts: Vec<Part>,
         now: Micros,
-        notes: &mut Vec<(Option<Rank>, Vec<u8>)>,
+        notes: &mut Vec<(Option<MemberIndex>, Vec<u8>)>,
     ) {
         // Who is there is asked and answered whatever it costs, which is bounded by the period: a sender that says nothing for
         // want of bytes would be taken for gone. All else has to be paid for.
         let must = |part: &&Part| {
             matches!(part, Part::Ask(..) | Part::Answer(..) | Part::AskFor(..) | Part::Member(..))
         };
-        let mut writer = Writer::new(self.view.run(), now);
+        let mut writer = Writer::new(self.view.incarnation(), now);
         let paid = self.purse.has >= NOTE_LIMIT as f64;
         let (first, more): (Vec<&Part>, Vec<&Part>) = parts.iter().partition(must);
         for part in first.into_iter().chain(more.into_iter().filter(|_| paid)) {
@@ -562,7 +569,7 @@
     }
 
     /// Destinations that may be believed otherwise than was last asked, with what is believed now.
-    pub fn changed(&mut self, now: Micros) -> Vec<(u16, Belief)> {
+    pub fn take_changes(&mut self, now: Micros) -> Vec<(u16, Belief)> {
         let fallen_due: Vec<u16> = self
             .known
             .told
@@ -598,8 +605,8 @@
     }
 
     /// What may be used of a destination's limit, in even parts.
-    pub fn part(&self, destination: u16, now: Micros) -> f64 {
-        if !self.law.lends {
+    pub fn quota_share(&self, destination: u16, now: Micros) -> f64 {
+        if !self.law.quota_transfer {
             return 1.0;
         }
         f64::from(self.rights.may_use(destination, now)) / f64::from(EVEN)
@@ -621,17 +628,17 @@
     }
 
     /// Hears nobody, as far as it can tell.
-    pub fn alone(&self, now: Micros) -> bool {
+    pub fn is_isolated(&self, now: Micros) -> bool {
         self.view.alone(now)
     }
 
     /// Who is there.
-    pub fn view(&self) -> &View {
+    pub fn membership(&self) -> &Membership {
         &self.view
     }
 
     /// Loans of units of limits.
-    pub fn rights(&self) -> &Rights {
+    pub fn escrow(&self) -> &QuotaEscrow {
         &self.rights
     }
 
@@ -641,7 +648,7 @@
     }
 
     /// All that is known, for operators.
-    pub fn show(&self, now: Micros) -> Vec<Shown> {
+    pub fn inspect(&self, now: Micros) -> Vec<DestinationReport> {
         let all: BTreeSet<u16> = self
             .known
             .judgements
@@ -650,11 +657,11 @@
             .chain(self.rights.loans(now).into_iter().map(|loan| loan.0))
             .collect();
         let shown = |destination| {
-            let (borrowed, lent) = self.rights.borrowed_and_lent(destination, now);
+            let (borrowed, lent) = self.rights.borrowed_and_granted(destination, now);
             let items = self.known.judgements.get(&destination).map_or(vec![], |j| j.items().collect());
             let belief = self.belief(destination, now);
             let may_use = self.rights.may_use(destination, now);
-            Shown { destination, belief, items, may_use, borrowed, lent }
+            DestinationReport { destination, belief, items, may_use, borrowed, lent }
         };
         all.into_iter().map(shown).collect()
     }
--- a/crates/shared/src/view.rs
+++ b/crates/shared/src/view.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Rank};
+use crate::{MemberIndex, Micros};
 
 /// Until two others are asked to ask.
 pub const ANSWERS_WITHIN: Micros = 300_000;
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Ask {
-    target: Rank,
+    target: MemberIndex,
     at: Micros,
     others_asked: bool,
     /// Of one that is suspected already: no answer says nothing more.
@@ -55,7 +55,7 @@
 
 /// What a note shows of its sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum SenderStatus {
     /// It was taken to be there.
     AsBelieved,
     /// It was not.
@@ -66,47 +66,47 @@
 
 /// What is to be asked of whom.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum Ping {
     /// Ask this one.
-    Ask(Rank, u32),
+    Direct(MemberIndex, u32),
     /// Ask the first to ask the second.
-    AskFor(Rank, Rank, u32),
+    Indirect(MemberIndex, MemberIndex, u32),
 }
 
 /// Who is there.
 #[derive(Clone, Debug)]
-pub struct View {
-    me: Rank,
-    senders: Rank,
+pub struct Membership {
+    me: MemberIndex,
+    senders: MemberIndex,
     run: u32,
-    members: BTreeMap<Rank, Member>,
+    members: BTreeMap<MemberIndex, Member>,
     asks: BTreeMap<u32, Ask>,
     asked: u32,
     /// Those still to be asked in this round, each once.
-    order: Vec<Rank>,
+    order: Vec<MemberIndex>,
     unanswered: u32,
     heard_at: Micros,
 }
 
-impl View {
+impl Membership {
     /// All are taken to be there until something is known.
-    pub fn new(me: Rank, senders: Rank, run: u32, now: Micros) -> Self {
+    pub fn new(me: MemberIndex, senders: MemberIndex, run: u32, now: Micros) -> Self {
         let (members, asks, order) = (BTreeMap::new(), BTreeMap::new(), Vec::new());
         Self { me, senders, run, members, asks, asked: 0, order, unanswered: 0, heard_at: now }
     }
 
     /// This process's run.
-    pub fn run(&self) -> u32 {
+    pub fn incarnation(&self) -> u32 {
         self.run
     }
 
     /// What is believed of a sender.
-    pub fn state(&self, rank: Rank) -> State {
+    pub fn state(&self, rank: MemberIndex) -> State {
         self.members.get(&rank).map_or(State::Alive, |member| member.state)
     }
 
     /// The run in which a sender was last known.
-    pub fn run_of(&self, rank: Rank) -> u32 {
+    pub fn incarnation_of(&self, rank: MemberIndex) -> u32 {
         self.members.get(&rank).map_or(0, |member| member.run)
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Those not believed to be there, with since when.
-    pub fn missing(&self) -> impl Iterator<Item = (Rank, State, Micros)> + '_ {
+    pub fn missing(&self) -> impl Iterator<Item = (MemberIndex, State, Micros)> + '_ {
         let missing = self.members.iter().filter(|(_, member)| member.state != State::Alive);
         missing.map(|(rank, member)| (*rank, member.state, member.since))
     }
@@ -128,24 +128,24 @@
     }
 
     /// A note came from a sender in that run.
-    pub fn heard(&mut self, from: Rank, run: u32, now: Micros) -> Heard {
+    pub fn message_received(&mut self, from: MemberIndex, run: u32, now: Micros) -> SenderStatus {
         (self.heard_at, self.unanswered) = (now, 0);
         let before = self.members.get(&from).copied();
         // What was said of an earlier run, or of this one by others, its own note outranks here; what others say again of
         // this run it has to answer by a higher one.
         if before.is_some_and(|before| before.run > run) {
-            return Heard::Behind;
+            return SenderStatus::Behind;
         }
         self.members.insert(from, Member { run, state: State::Alive, since: now, asked_at: 0 });
         if before.is_some_and(|before| before.state != State::Alive) {
-            Heard::Back
+            SenderStatus::Back
         } else {
-            Heard::AsBelieved
+            SenderStatus::AsBelieved
         }
     }
 
     /// Another says that of a sender. True where it is news. Of itself it hears no worse than that it is there.
-    pub fn told(&mut self, rank: Rank, run: u32, state: State, now: Micros) -> bool {
+    pub fn update_received(&mut self, rank: MemberIndex, run: u32, state: State, now: Micros) -> bool {
         if rank == self.me {
             let raised = run >= self.run && (state != State::Alive || run > self.run);
             if raised {
@@ -167,7 +167,7 @@
     }
 
     /// The next to be asked: each once in a round, in an order that is drawn anew.
-    fn next_target(&mut self, rng: &mut fastrand::Rng) -> Option<Rank> {
+    fn next_target(&mut self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
         if self.order.is_empty() {
             self.order = (0..self.senders).filter(|rank| *rank != self.me).collect();
             rng.shuffle(&mut self.order);
@@ -178,23 +178,27 @@
     }
 
     /// Asks the next.
-    pub fn ask_next(&mut self, now: Micros, rng: &mut fastrand::Rng) -> Option<Do> {
+    pub fn ping_next(&mut self, now: Micros, rng: &mut fastrand::Rng) -> Option<Ping> {
         let target = self.next_target(rng)?;
         self.asked = self.asked.wrapping_add(1);
         self.asks.insert(self.asked, Ask { target, at: now, others_asked: false, again: false });
-        Some(Do::Ask(target, self.asked))
+        Some(Ping::Direct(target, self.asked))
     }
 
     /// Somebody answered that ask, itself or through another.
-    pub fn answered(&mut self, ask: u32, now: Micros) -> bool {
+    pub fn ack_received(&mut self, ask: u32, now: Micros) -> bool {
         let Some(ask) = self.asks.remove(&ask) else { return false };
         let run = self.members.get(&ask.target).map_or(0, |member| member.run);
-        self.heard(ask.target, run, now);
+        self.message_received(ask.target, run, now);
         true
     }
 
     /// What asks that nobody answers come to: others to ask, and those who are suspected or gone now.
-    pub fn look(&mut self, now: Micros, rng: &mut fastrand::Rng) -> (Vec<Do>, Vec<(Rank, u32, State)>) {
+    pub fn check_timeouts(
+        &mut self,
+        now: Micros,
+        rng: &mut fastrand::Rng,
+    ) -> (Vec<Ping>, Vec<(MemberIndex, u32, State)>) {
         let (mut todo, mut news) = (Vec::new(), Vec::new());
         let due: Vec<u32> =
             self.asks.iter().filter(|(_, ask)| ask.at + ANSWERS_WITHIN <= now).map(|a| *a.0).collect();
@@ -208,14 +212,14 @@
                     .filter(|rank| ![self.me, target].contains(rank) && self.state(*rank) == State::Alive)
                     .collect();
                 let picked = rng.choose_multiple(others, 2);
-                todo.extend(picked.into_iter().map(|other| Do::AskFor(other, target, number)));
+                todo.extend(picked.into_iter().map(|other| Ping::Indirect(other, target, number)));
             } else if ask.at + ASK_LASTS <= now {
                 let target = ask.target;
                 self.asks.remove(&number);
                 self.unanswered += 1;
                 let run = self.members.get(&target).map_or(0, |member| member.run);
                 if !self.alone(now) && self.unanswered < ALONE_AFTER.0 {
-                    self.told(target, run, State::Suspected, now);
+                    self.update_received(target, run, State::Suspected, now);
                 }
             }
         }
@@ -236,7 +240,7 @@
                 self.asked = self.asked.wrapping_add(1);
                 self.asks
                     .insert(self.asked, Ask { target: *rank, at: now, others_asked: false, again: true });
-                todo.push(Do::Ask(*rank, self.asked));
+                todo.push(Ping::Direct(*rank, self.asked));
             }
         }
         (todo, news)
--- a/crates/shared/tests/escrow.rs
+++ b/crates/shared/tests/escrow.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use shared::rights::{EVEN, Rights, SPAN};
+use shared::rights::{EVEN, QuotaEscrow, SPAN};
 use stateright::{Checker, Model, Property};
 
 const SENDERS: usize = 3;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
-    rights: Vec<Rights>,
+    rights: Vec<QuotaEscrow>,
     /// Notes that were sent: each may come any number of times, at any time, or never.
     network: BTreeSet<Note>,
     asks: usize,
@@ -48,7 +48,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let rights = (0..SENDERS).map(|n| Rights::new(0, 1_000 * n as u32)).collect();
+        let rights = (0..SENDERS).map(|n| QuotaEscrow::new(0, 1_000 * n as u32)).collect();
         vec![World { now: BEGIN, rights, network: BTreeSet::new(), asks: 0, killed: false, notes: 0 }]
     }
 
@@ -91,7 +91,7 @@
             }
             Step::Killed(sender) => {
                 world.killed = true;
-                world.rights[sender] = Rights::new(world.now, 100_000);
+                world.rights[sender] = QuotaEscrow::new(world.now, 100_000);
             }
         }
         Some(world)
--- a/crates/shared/tests/joins.rs
+++ b/crates/shared/tests/joins.rs
@@ -1,27 +1,28 @@
 //! What is judged is a lattice: evidence joined in any order, any number of times and over any ways comes to the same.
 
 use proptest::prelude::*;
-use shared::judgement::{BELIEVED, Bad, FADES, Item, Judgement, KEPT, Kind, Limit, ONE_FADES};
+use shared::judgement::{BELIEVED, Evidence, FADES, Failure, FailureKind, Judgement, KEPT, Limit, ONE_FADES};
 
 const SECOND: u64 = 1_000_000;
 
 /// Evidence as honest senders number it: the higher number of one sender is the later.
-fn item() -> impl Strategy<Value = Item> {
-    let kind = prop_oneof![Just(Kind::Unreachable), Just(Kind::Silent), Just(Kind::Failing)];
+fn item() -> impl Strategy<Value = Evidence> {
+    let kind =
+        prop_oneof![Just(FailureKind::Unreachable), Just(FailureKind::Silent), Just(FailureKind::Failing)];
     prop_oneof![
         4 => (0..6u16, 1..9u64, kind).prop_map(|(origin, number, kind)| {
             let at = number * SECOND + u64::from(origin);
-            Item::Bad(origin, Bad { number, at, kind, calls: (number % 3 + 1) as u8 })
+            Evidence::Failure(origin, Failure { number, at, kind, calls: (number % 3 + 1) as u8 })
         }),
-        3 => (0..6u16, 1..9u64).prop_map(|(origin, number)| Item::Cleared(origin, number, number * SECOND)),
+        3 => (0..6u16, 1..9u64).prop_map(|(origin, number)| Evidence::Cleared(origin, number, number * SECOND)),
         1 => (0..3u16, 1..9u64).prop_map(|(origin, number)| {
-            Item::Limit(Limit { origin, number, at: number * SECOND, rate: number as f32 })
+            Evidence::Limit(Limit { origin, number, at: number * SECOND, rate: number as f32 })
         }),
-        1 => (1..20u64).prop_map(|s| Item::Wait(s * SECOND)),
+        1 => (1..20u64).prop_map(|s| Evidence::Wait(s * SECOND)),
     ]
 }
 
-fn all(items: &[Item]) -> Judgement {
+fn all(items: &[Evidence]) -> Judgement {
     let mut judgement = Judgement::default();
     for item in items {
         judgement.join(*item);
@@ -32,7 +33,7 @@
 /// What counts of two states: evidence that is outranked may be kept by one and have made way at the other.
 fn counts(judgement: &Judgement, now: u64) -> (bool, Option<f32>, u64) {
     let belief = judgement.belief(now);
-    (belief.ill.is_some(), belief.limit.map(|limit| limit.0), belief.wait_until)
+    (belief.unhealthy.is_some(), belief.limit.map(|limit| limit.0), belief.wait_until)
 }
 
 proptest! {
@@ -82,46 +83,46 @@
     #[test]
     fn every_judgement_ends(items in prop::collection::vec(item(), 0..14)) {
         let judgement = all(&items);
-        prop_assert!(judgement.belief(9 * SECOND + FADES).ill.is_none());
+        prop_assert!(judgement.belief(9 * SECOND + FADES).unhealthy.is_none());
     }
 
     /// However much one sender says, and whatever number it gives, it alone is not believed.
     #[test]
     fn one_sender_alone_is_never_believed(numbers in prop::collection::vec((1..90u64, 1..255u8), 1..30)) {
         let bad = |(number, calls): &(u64, u8)| {
-            Item::Bad(3, Bad { number: *number, at: 90 * SECOND, kind: Kind::Unreachable, calls: *calls })
+            Evidence::Failure(3, Failure { number: *number, at: 90 * SECOND, kind: FailureKind::Unreachable, calls: *calls })
         };
         let judgement = all(&numbers.iter().map(bad).collect::<Vec<_>>());
-        prop_assert!(judgement.belief(90 * SECOND).ill.is_none());
+        prop_assert!(judgement.belief(90 * SECOND).unhealthy.is_none());
     }
 }
 
-fn bad(origin: u16, number: u64, at: u64, calls: u8) -> Item {
-    Item::Bad(origin, Bad { number, at, kind: Kind::Unreachable, calls })
+fn bad(origin: u16, number: u64, at: u64, calls: u8) -> Evidence {
+    Evidence::Failure(origin, Failure { number, at, kind: FailureKind::Unreachable, calls })
 }
 
 #[test]
 fn two_that_saw_a_run_or_three_that_saw_one_are_believed() {
     let mut judgement = all(&[bad(1, 1, SECOND, 2)]);
-    assert!(judgement.belief(SECOND).ill.is_none());
+    assert!(judgement.belief(SECOND).unhealthy.is_none());
     judgement.join(bad(2, 1, SECOND, 1));
-    assert!(judgement.belief(SECOND).ill.is_some(), "{BELIEVED} in weight");
+    assert!(judgement.belief(SECOND).unhealthy.is_some(), "{BELIEVED} in weight");
     let three = all(&[bad(1, 1, SECOND, 1), bad(2, 1, SECOND, 1), bad(3, 1, SECOND, 1)]);
-    assert!(three.belief(SECOND).ill.is_some());
-    assert!(three.belief(SECOND + ONE_FADES).ill.is_none());
+    assert!(three.belief(SECOND).unhealthy.is_some());
+    assert!(three.belief(SECOND + ONE_FADES).unhealthy.is_none());
 }
 
 /// Good news outranks what was known to whoever called, and nothing else, however late either comes.
 #[test]
 fn a_call_that_went_well_outranks_what_was_known_when_it_began() {
     let mut judgement = all(&[bad(1, 5, SECOND, 3), bad(2, 7, SECOND, 3)]);
-    judgement.join(Item::Cleared(1, 5, SECOND));
-    judgement.join(Item::Cleared(2, 6, SECOND));
-    assert!(judgement.belief(SECOND).ill.is_none(), "one is left, which alone is not believed");
+    judgement.join(Evidence::Cleared(1, 5, SECOND));
+    judgement.join(Evidence::Cleared(2, 6, SECOND));
+    assert!(judgement.belief(SECOND).unhealthy.is_none(), "one is left, which alone is not believed");
     judgement.join(bad(1, 5, SECOND, 3));
-    assert!(judgement.belief(SECOND).ill.is_none(), "what is outranked does not rise again");
+    assert!(judgement.belief(SECOND).unhealthy.is_none(), "what is outranked does not rise again");
     judgement.join(bad(1, 6, SECOND, 3));
-    assert!(judgement.belief(SECOND).ill.is_some(), "what came after does");
+    assert!(judgement.belief(SECOND).unhealthy.is_some(), "what came after does");
 }
 
 #[test]
@@ -129,7 +130,7 @@
     let mut judgement = Judgement::default();
     for origin in 0..500 {
         judgement.join(bad(origin, 1, SECOND + u64::from(origin), 3));
-        judgement.join(Item::Cleared(origin, 1, SECOND));
+        judgement.join(Evidence::Cleared(origin, 1, SECOND));
     }
     assert!(judgement.items().count() <= 3 * KEPT);
 }
--- a/crates/shared/tests/network/main.rs
+++ b/crates/shared/tests/network/main.rs
@@ -4,7 +4,7 @@
 
 use net::{Calls, FAIR, Net, SECOND, Weather};
 use shared::view::State;
-use shared::{Kind, Rank, Seen};
+use shared::{FailureKind, MemberIndex, Observation};
 
 const DEST: u16 = 7;
 
@@ -19,7 +19,7 @@
 }
 
 /// Seconds from the first failure until so many know; and bytes for each sender.
-fn until_known(senders: Rank, broadcast: bool, loss: f64, seed: u64) -> ([f64; 3], f64) {
+fn until_known(senders: MemberIndex, broadcast: bool, loss: f64, seed: u64) -> ([f64; 3], f64) {
     let mut net = Net::new(senders, broadcast, seed);
     net.weather = lossy(loss);
     net.run(2 * SECOND, |_| {});
@@ -71,11 +71,11 @@
         net.run(10 * SECOND, |net| {
             calls.turn(net, |rank| rank == 3, 0.0, true);
             for dest in 20..40 {
-                net.saw(3, dest, Seen::Bad(Kind::Unreachable, 9));
+                net.saw(3, dest, Observation::Failure(FailureKind::Unreachable, 9));
             }
             for dest in std::iter::once(DEST).chain(20..40) {
                 for rank in (0..24).filter(|rank| *rank != 3) {
-                    assert!(net.belief(rank, dest).ill.is_none(), "seed {seed}");
+                    assert!(net.belief(rank, dest).unhealthy.is_none(), "seed {seed}");
                 }
             }
         });
@@ -108,7 +108,7 @@
 fn a_judgement_that_nobody_renews_ends() {
     let mut net = Net::new(24, true, 1);
     for rank in 0..3 {
-        net.saw(rank, DEST, Seen::Bad(Kind::Silent, 4));
+        net.saw(rank, DEST, Observation::Failure(FailureKind::Silent, 4));
     }
     net.run(2 * SECOND, |_| {});
     assert!(net.knowing(DEST) > 0.9);
@@ -122,7 +122,7 @@
     for seed in seeds(3) {
         let mut net = Net::new(30, true, seed);
         let mut calls = Calls::new(DEST, 2.0);
-        let ill = |rank: Rank| rank < 10;
+        let ill = |rank: MemberIndex| rank < 10;
         let (mut kept, mut turns) = (0u32, 0u32);
         net.run(20 * SECOND, |net| {
             calls.turn(net, ill, 0.0, true);
@@ -136,7 +136,7 @@
 }
 
 /// What is done to a fleet while parts of limits are lent: at no moment do all use more than the whole.
-fn in_use(senders: Rank, seed: u64, mut faults: impl FnMut(&mut Net, u64)) -> (f64, f64) {
+fn in_use(senders: MemberIndex, seed: u64, mut faults: impl FnMut(&mut Net, u64)) -> (f64, f64) {
     let mut net = Net::new(senders, true, seed);
     net.weather = Weather { loss: 0.1, doubles: 0.2, way: (4_000, 300_000) };
     net.watched = vec![DEST];
@@ -148,9 +148,9 @@
         for rank in 0..senders {
             // A third has much to send, the others little.
             let share = if rank % 3 == 0 { 4.0 } else { 0.1 };
-            net.with(rank, |shared, now| shared.needs(DEST, share, rank % 3 == 0, now));
+            net.with(rank, |shared, now| shared.report_demand(DEST, share, rank % 3 == 0, now));
         }
-        best = best.max(net.shared(0).part(DEST, net.clock(0)));
+        best = best.max(net.shared(0).quota_share(DEST, net.clock(0)));
     });
     (net.most_in_use, best)
 }
@@ -168,7 +168,7 @@
 fn nor_with_partitions_pauses_and_kills() {
     for seed in seeds(6) {
         let (most, _) = in_use(12, seed, |net, turn| {
-            let rank = (turn * 7 % 12) as Rank;
+            let rank = (turn * 7 % 12) as MemberIndex;
             match turn % 97 {
                 0 => net.kill(rank),
                 20 => (0..12).for_each(|rank| {
@@ -219,13 +219,13 @@
     // All have heard of each other, so that the way is known.
     net.run(6 * SECOND, |net| calls.turn(net, |_| net_ill(), 0.02, true));
     for rank in 0..3 {
-        net.saw(rank, DEST, Seen::Bad(Kind::Silent, 5));
+        net.saw(rank, DEST, Observation::Failure(FailureKind::Silent, 5));
     }
     net.pause(5, 20 * SECOND);
     net.run(15 * SECOND, |net| calls.turn(net, |_| false, 0.0, true));
     assert_eq!(net.knowing(DEST), 0.0);
     net.run(6 * SECOND, |net| calls.turn(net, |_| false, 0.0, true));
-    assert!(net.belief(5, DEST).ill.is_none());
+    assert!(net.belief(5, DEST).unhealthy.is_none());
 }
 
 fn net_ill() -> bool {
@@ -233,7 +233,7 @@
 }
 
 /// A fleet in which something always happens, so that all ask one another.
-fn busy(senders: Rank, seed: u64, loss: f64) -> Net {
+fn busy(senders: MemberIndex, seed: u64, loss: f64) -> Net {
     let mut net = Net::new(senders, true, seed);
     net.weather = lossy(loss);
     net.run(5 * SECOND, stir);
@@ -245,7 +245,7 @@
     let rank = net.rng.u16(0..net.senders());
     if net.rng.u8(..50) == 0 {
         let rate = 10.0 + f32::from(net.rng.u8(..100));
-        net.with(rank, |shared, now| shared.saw_limit(99, rate, now));
+        net.with(rank, |shared, now| shared.observe_limit(99, rate, now));
     }
 }
 
@@ -256,7 +256,7 @@
         net.kill(4);
         net.run(60 * SECOND, stir);
         for rank in (0..24).filter(|rank| *rank != 4) {
-            let view = net.shared(rank).view();
+            let view = net.shared(rank).membership();
             assert_eq!(view.state(4), State::Gone, "seed {seed}: to {rank}");
             let wrong: Vec<_> = view.missing().filter(|m| m.0 != 4 && m.1 == State::Gone).collect();
             assert!(wrong.is_empty(), "seed {seed}: {rank} takes {wrong:?} for gone");
@@ -264,7 +264,7 @@
         // It comes back, in a run that it does not know to be old.
         net.start(4);
         net.run(20 * SECOND, stir);
-        let back = (0..24).filter(|rank| net.shared(*rank).view().state(4) == State::Alive).count();
+        let back = (0..24).filter(|rank| net.shared(*rank).membership().state(4) == State::Alive).count();
         assert!(back >= 22, "seed {seed}: {back} of 24 know that it is back");
     }
 }
@@ -276,15 +276,15 @@
         let mut net = busy(12, 3, 0.0);
         net.cut = Box::new(move |from, to| to == 5 || (!one_way && from == 5));
         // It has something to say, and so asks who is there.
-        net.with(5, |shared, now| shared.saw_wait(98, now + 5 * SECOND, now));
+        net.with(5, |shared, now| shared.observe_wait(98, now + 5 * SECOND, now));
         net.run(15 * SECOND, stir);
-        assert!(net.shared(5).alone(net.clock(5)));
-        let gone = net.shared(5).view().missing().filter(|m| m.1 == State::Gone).count();
+        assert!(net.shared(5).is_isolated(net.clock(5)));
+        let gone = net.shared(5).membership().missing().filter(|m| m.1 == State::Gone).count();
         assert!(gone <= 1, "one way {one_way}: it takes {gone} for gone");
-        assert!(!net.shared(6).alone(net.clock(6)));
+        assert!(!net.shared(6).is_isolated(net.clock(6)));
         net.cut = Box::new(|_, _| false);
         net.run(5 * SECOND, stir);
-        assert!(!net.shared(5).alone(net.clock(5)));
+        assert!(!net.shared(5).is_isolated(net.clock(5)));
     }
 }
 
@@ -293,14 +293,14 @@
     for seed in seeds(3) {
         let mut net = Net::new(50, true, seed);
         for rank in 0..4 {
-            net.saw(rank, DEST, Seen::Bad(Kind::Unreachable, 4));
+            net.saw(rank, DEST, Observation::Failure(FailureKind::Unreachable, 4));
         }
         net.run(SECOND, |_| {});
         net.kill(30);
         net.run(SECOND / 2, |_| {});
         net.start(30);
         net.run(SECOND, |_| {});
-        assert!(net.belief(30, DEST).ill.is_some(), "seed {seed}");
+        assert!(net.belief(30, DEST).unhealthy.is_some(), "seed {seed}");
     }
 }
 
@@ -322,18 +322,23 @@
     let mut net = Net::new(4, true, 2);
     let whole = {
         let mut writer = shared::note::Writer::new(1, net.clock(0));
-        let bad = shared::judgement::Bad { number: 1 << 32, at: net.clock(0), kind: Kind::Silent, calls: 3 };
-        assert!(writer.add(&shared::note::Part::Known(DEST, shared::judgement::Item::Bad(0, bad))));
+        let bad = shared::judgement::Failure {
+            number: 1 << 32,
+            at: net.clock(0),
+            kind: FailureKind::Silent,
+            calls: 3,
+        };
+        assert!(writer.add(&shared::note::Part::Known(DEST, shared::judgement::Evidence::Failure(0, bad))));
         writer.finish()
     };
     for _ in 0..20_000 {
         let mut note = whole.clone();
         let at = rng.usize(..note.len());
         note[at] ^= 1 << rng.u8(..8);
-        assert!(net.with(1, |shared, now| shared.hear(0, &note, now)).is_err());
+        assert!(net.with(1, |shared, now| shared.receive(0, &note, now)).is_err());
         let rubbish: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
-        assert!(net.with(1, |shared, now| shared.hear(0, &rubbish, now)).is_err());
+        assert!(net.with(1, |shared, now| shared.receive(0, &rubbish, now)).is_err());
     }
-    assert!(net.with(1, |shared, now| shared.hear(0, &whole, now)).is_ok());
-    assert!(net.with(1, |shared, now| shared.hear(9, &whole, now)).is_err(), "nobody's rank");
+    assert!(net.with(1, |shared, now| shared.receive(0, &whole, now)).is_ok());
+    assert!(net.with(1, |shared, now| shared.receive(9, &whole, now)).is_err(), "nobody's rank");
 }
--- a/crates/shared/tests/network/net.rs
+++ b/crates/shared/tests/network/net.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 
 use shared::rights::EVEN;
-use shared::{Belief, Kind, Law, Micros, Rank, Seen, Shared};
+use shared::{Belief, Config, FailureKind, Gossip, MemberIndex, Micros, Observation};
 
 pub const SECOND: Micros = 1_000_000;
 /// Senders are looked at so often.
@@ -24,7 +24,7 @@
 pub const FAIR: Weather = Weather { loss: 0.0, doubles: 0.0, way: (4_000, 32_000) };
 
 struct Node {
-    shared: Shared,
+    shared: Gossip,
     /// Its clock is ahead of the world's by so much.
     ahead: Micros,
     up: bool,
@@ -32,38 +32,38 @@
     paused_until: Micros,
 }
 
-type Flying = Reverse<(Micros, u64, Rank, Rank, Vec<u8>)>;
+type Flying = Reverse<(Micros, u64, MemberIndex, MemberIndex, Vec<u8>)>;
 
 pub struct Net {
     pub now: Micros,
     pub weather: Weather,
     pub bytes: u64,
     pub notes: u64,
-    law: Law,
+    law: Config,
     nodes: Vec<Node>,
     flying: BinaryHeap<Flying>,
     made: u64,
     pub rng: fastrand::Rng,
     /// Whether a note from the first can't reach the second.
-    pub cut: Box<dyn Fn(Rank, Rank) -> bool>,
+    pub cut: Box<dyn Fn(MemberIndex, MemberIndex) -> bool>,
     /// Most units in use of one destination, of all even parts together.
     pub most_in_use: f64,
     /// Destinations whose units are counted.
     pub watched: Vec<u16>,
 }
 
-pub fn law(senders: Rank, broadcast: bool) -> Law {
-    Law { me: 0, run: 1, senders, broadcast, bytes: (25.0, 100.0), lends: true }
+pub fn law(senders: MemberIndex, broadcast: bool) -> Config {
+    Config { member: 0, incarnation: 1, senders, broadcast, byte_budget: (25.0, 100.0), quota_transfer: true }
 }
 
 impl Net {
-    pub fn new(senders: Rank, broadcast: bool, seed: u64) -> Self {
+    pub fn new(senders: MemberIndex, broadcast: bool, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let law = law(senders, broadcast);
         let begin = 100 * SECOND;
-        let node = |me: Rank| {
+        let node = |me: MemberIndex| {
             let ahead = rng.u64(0..1_000 * SECOND);
-            let shared = Shared::new(Law { me, ..law }, rng.u64(..), begin + ahead);
+            let shared = Gossip::new(Config { member: me, ..law }, rng.u64(..), begin + ahead);
             Node { shared, ahead, up: true, paused_until: 0 }
         };
         let nodes = (0..senders).map(node).collect();
@@ -83,68 +83,69 @@
         }
     }
 
-    pub fn clock(&self, rank: Rank) -> Micros {
+    pub fn clock(&self, rank: MemberIndex) -> Micros {
         self.now + self.nodes[usize::from(rank)].ahead
     }
 
-    pub fn saw(&mut self, rank: Rank, destination: u16, seen: Seen) {
+    pub fn saw(&mut self, rank: MemberIndex, destination: u16, seen: Observation) {
         let now = self.clock(rank);
         let seen = match seen {
             // Told by the world's clock.
-            Seen::Well(begun) => Seen::Well(begun + self.nodes[usize::from(rank)].ahead),
+            Observation::Success(begun) => Observation::Success(begun + self.nodes[usize::from(rank)].ahead),
             other => other,
         };
         if self.runs(rank) {
-            self.nodes[usize::from(rank)].shared.saw(destination, seen, now);
+            self.nodes[usize::from(rank)].shared.observe(destination, seen, now);
         }
     }
 
-    pub fn with<T>(&mut self, rank: Rank, act: impl FnOnce(&mut Shared, Micros) -> T) -> T {
+    pub fn with<T>(&mut self, rank: MemberIndex, act: impl FnOnce(&mut Gossip, Micros) -> T) -> T {
         let now = self.clock(rank);
         act(&mut self.nodes[usize::from(rank)].shared, now)
     }
 
-    pub fn belief(&self, rank: Rank, destination: u16) -> Belief {
+    pub fn belief(&self, rank: MemberIndex, destination: u16) -> Belief {
         self.nodes[usize::from(rank)].shared.belief(destination, self.clock(rank))
     }
 
-    pub fn shared(&self, rank: Rank) -> &Shared {
+    pub fn shared(&self, rank: MemberIndex) -> &Gossip {
         &self.nodes[usize::from(rank)].shared
     }
 
-    pub fn senders(&self) -> Rank {
-        self.nodes.len() as Rank
+    pub fn senders(&self) -> MemberIndex {
+        self.nodes.len() as MemberIndex
     }
 
     /// The part of those that run that believe the destination to be ill.
     pub fn knowing(&self, destination: u16) -> f64 {
-        let up: Vec<Rank> = (0..self.senders()).filter(|rank| self.nodes[usize::from(*rank)].up).collect();
-        let ill = up.iter().filter(|rank| self.belief(**rank, destination).ill.is_some()).count();
+        let up: Vec<MemberIndex> =
+            (0..self.senders()).filter(|rank| self.nodes[usize::from(*rank)].up).collect();
+        let ill = up.iter().filter(|rank| self.belief(**rank, destination).unhealthy.is_some()).count();
         ill as f64 / up.len() as f64
     }
 
-    pub fn kill(&mut self, rank: Rank) {
+    pub fn kill(&mut self, rank: MemberIndex) {
         self.nodes[usize::from(rank)].up = false;
     }
 
-    pub fn start(&mut self, rank: Rank) {
-        let (law, seed) = (Law { me: rank, ..self.law }, self.rng.u64(..));
+    pub fn start(&mut self, rank: MemberIndex) {
+        let (law, seed) = (Config { member: rank, ..self.law }, self.rng.u64(..));
         let node = &mut self.nodes[usize::from(rank)];
         // A machine that forgot its runs: others raise it.
         node.up = true;
-        node.shared = Shared::new(law, seed, self.now + node.ahead);
+        node.shared = Gossip::new(law, seed, self.now + node.ahead);
     }
 
-    pub fn pause(&mut self, rank: Rank, span: Micros) {
+    pub fn pause(&mut self, rank: MemberIndex, span: Micros) {
         self.nodes[usize::from(rank)].paused_until = self.now + span;
     }
 
-    fn runs(&self, rank: Rank) -> bool {
+    fn runs(&self, rank: MemberIndex) -> bool {
         let node = &self.nodes[usize::from(rank)];
         node.up && node.paused_until <= self.now
     }
 
-    fn send(&mut self, from: Rank, to: Rank, note: &[u8]) {
+    fn send(&mut self, from: MemberIndex, to: MemberIndex, note: &[u8]) {
         let copies = 1 + usize::from(self.rng.f64() < self.weather.doubles);
         self.notes += 1;
         for _ in 0..copies {
@@ -172,7 +173,7 @@
                     put_off.push(Reverse((at.max(node.paused_until), number, from, to, note)));
                 } else if node.up {
                     let now = self.clock(to);
-                    let _ = self.nodes[usize::from(to)].shared.hear(from, &note, now);
+                    let _ = self.nodes[usize::from(to)].shared.receive(from, &note, now);
                 }
             }
             self.flying.extend(put_off);
@@ -183,8 +184,8 @@
                 }
                 let now = self.clock(rank);
                 let node = &mut self.nodes[usize::from(rank)];
-                node.shared.changed(now);
-                for (to, note) in node.shared.speak(now) {
+                node.shared.take_changes(now);
+                for (to, note) in node.shared.publish(now) {
                     assert!(note.len() <= shared::NOTE_LIMIT);
                     match to {
                         Some(to) => self.send(rank, to, &note),
@@ -203,7 +204,7 @@
         for destination in self.watched.clone() {
             let units: u64 = (0..self.senders())
                 .filter(|rank| self.nodes[usize::from(*rank)].up)
-                .map(|rank| u64::from(self.shared(rank).rights().may_use(destination, self.clock(rank))))
+                .map(|rank| u64::from(self.shared(rank).escrow().may_use(destination, self.clock(rank))))
                 .sum();
             let part = units as f64 / (f64::from(EVEN) * f64::from(self.senders()));
             self.most_in_use = self.most_in_use.max(part);
@@ -215,8 +216,8 @@
 pub struct Calls {
     pub destination: u16,
     pub a_second: f64,
-    failures: BTreeMap<Rank, u32>,
-    well_at: BTreeMap<Rank, Micros>,
+    failures: BTreeMap<MemberIndex, u32>,
+    well_at: BTreeMap<MemberIndex, Micros>,
     pub at_ill: u64,
 }
 
@@ -226,13 +227,13 @@
     }
 
     /// Whether a sender holds back: others say so, and its own calls have not gone well for three seconds, as the module has it.
-    pub fn holds_back(&self, net: &Net, rank: Rank) -> bool {
+    pub fn holds_back(&self, net: &Net, rank: MemberIndex) -> bool {
         let well = self.well_at.get(&rank).is_some_and(|at| net.now < at + 3 * SECOND);
-        !well && net.belief(rank, self.destination).ill.is_some()
+        !well && net.belief(rank, self.destination).unhealthy.is_some()
     }
 
     /// A turn of calls, at a destination that is ill for those that `ill` says. Those who believe it is ill call a tenth as often.
-    pub fn turn(&mut self, net: &mut Net, ill: impl Fn(Rank) -> bool, noise: f64, heeds: bool) {
+    pub fn turn(&mut self, net: &mut Net, ill: impl Fn(MemberIndex) -> bool, noise: f64, heeds: bool) {
         for rank in 0..net.senders() {
             let careful = heeds && self.holds_back(net, rank);
             let rate = self.a_second * if careful { 0.1 } else { 1.0 };
@@ -240,17 +241,17 @@
                 continue;
             }
             self.at_ill += u64::from(ill(rank));
-            net.with(rank, |shared, _| shared.handed_in());
+            net.with(rank, |shared, _| shared.message_accepted());
             if ill(rank) || net.rng.f64() < noise {
                 let failures = self.failures.entry(rank).or_default();
                 *failures += 1;
                 let failures = *failures;
-                net.saw(rank, self.destination, Seen::Bad(Kind::Unreachable, failures));
+                net.saw(rank, self.destination, Observation::Failure(FailureKind::Unreachable, failures));
             } else {
                 self.failures.remove(&rank);
                 self.well_at.insert(rank, net.now);
                 let begun = net.now;
-                net.saw(rank, self.destination, Seen::Well(begun));
+                net.saw(rank, self.destination, Observation::Success(begun));
             }
         }
     }
