--- a/crates/ops/tests/ops.rs
+++ b/crates/admin/tests/ops.rs
@@ -1,9 +1,9 @@
 //! The package's decisions, without a sender round them.
 
-use ops::call::{AdminRequest, ID_LIMIT, InvalidRequest, read};
-use ops::door::{AdmissionGate, LINGER};
-use ops::figures::{FinalOutcome, Gauges, OutcomeCounts};
-use ops::held_out::{EjectError, Ejections, RetiredNames};
+use admin::call::{AdminRequest, ID_LIMIT, InvalidRequest, read};
+use admin::door::{AdmissionGate, LINGER};
+use admin::figures::{FinalOutcome, Gauges, OutcomeCounts};
+use admin::held_out::{EjectError, Ejections, RetiredNames};
 use proptest::prelude::*;
 
 #[test]
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use dormant::Condition;
-pub use shared::Config as GossipConfig;
+pub use gossip::Config as GossipConfig;
+pub use idle_destinations::Condition;
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -12,7 +12,7 @@
 //! #   "family_info": {"calls_out": 8}, "limits": {"max_open": 100, "try_limit": 6}, "period_us": 5000,
 //! #   "obligations": {"answer_slack_us": 20000, "cold_share": 0.2, "warm_within_us": 14000000,
 //! #   "fall_multiple": 2, "overload_for_us": 3000000, "stop_sending_within_us": 2000000}}"#;
-//! let settings: Settings = wire::settings(json)?;
+//! let settings: Settings = simulator_adapter::settings(json)?;
 //! let mut now: Micros = 1_000_000;
 //! let mut policy = Policy::new(settings, 42, now);
 //!
@@ -43,7 +43,7 @@
 //! };
 //! policy.handle(now, &[answer], &mut actions);
 //! assert!(!actions.iter().any(|a| matches!(a, Action::Attempt { .. })));
-//! # Ok::<(), wire::WireError>(())
+//! # Ok::<(), simulator_adapter::WireError>(())
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -4,9 +4,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use dormant::ActivationLimiter;
+use gossip::Gossip;
+use idle_destinations::ActivationLimiter;
 use serde::{Deserialize, Serialize};
-use shared::Gossip;
 
 use crate::book::{Book, Held};
 use crate::calls::Calls;
--- a/crates/decision/src/policy/fold.rs
+++ b/crates/decision/src/policy/fold.rs
@@ -19,7 +19,7 @@
             match event {
                 Event::Accepted(message) => {
                     self.hold(message, None);
-                    self.shared.iter_mut().for_each(shared::Gossip::message_accepted);
+                    self.shared.iter_mut().for_each(gossip::Gossip::message_accepted);
                     self.taken_on(message, actions);
                     self.recall_hearsay(message.destination);
                 }
--- a/crates/decision/src/policy/hearsay.rs
+++ b/crates/decision/src/policy/hearsay.rs
@@ -1,7 +1,7 @@
 //! What this sender tells others of what it sees, and what it hears from them, put into the module's terms. Nothing is decided
 //! here: what hearsay counts for stands in `route.rs`, beside the guards that it adds to.
 
-use shared::{FailureKind, Gossip, Observation};
+use gossip::{FailureKind, Gossip, Observation};
 
 use super::Policy;
 use super::route::MAX_FAILURES;
--- a/crates/decision/src/policy/route.rs
+++ b/crates/decision/src/policy/route.rs
@@ -1,6 +1,6 @@
 //! Health and pace of what a breaker guards, as this sender saw it.
 
-use dormant::{Condition, RetainedHealth};
+use idle_destinations::{Condition, RetainedHealth};
 
 use serde::{Deserialize, Serialize};
 
@@ -364,7 +364,7 @@
     /// theirs do, and then cold; a limit counts where it was told after what reports told here; a wait as if
     /// it had been told here. Guards partners against senders that each find out alone. It costs a trial's
     /// time where a partner is ill for others alone.
-    pub(crate) fn heard(&mut self, belief: &shared::Belief, now: Micros) {
+    pub(crate) fn heard(&mut self, belief: &gossip::Belief, now: Micros) {
         let ill = belief.unhealthy.is_some();
         if self.heard_ill && !ill && self.cold_since.is_none_or(|since| since < self.well_at) {
             self.cold_since = Some(now);
--- a/crates/decision/src/policy/takeover.rs
+++ b/crates/decision/src/policy/takeover.rs
@@ -42,7 +42,7 @@
         policy
             .waking
             .reconfigure(settings.idle.map(|dormant| dormant.activations_per_second), settings.max_calls / 2);
-        policy.shared = settings.gossip.map(|law| shared::Gossip::new(law, seed, now));
+        policy.shared = settings.gossip.map(|law| gossip::Gossip::new(law, seed, now));
         let effects: Vec<_> = settings.classes.iter().map(|class| class.idempotency).collect();
         policy.book.bind(&effects);
         policy.settings = settings;
--- a/crates/decision/src/routes.rs
+++ b/crates/decision/src/routes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use dormant::{ActiveSet, IdleTable, RetainedHealth};
+use idle_destinations::{ActiveSet, IdleTable, RetainedHealth};
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -6,10 +6,10 @@
 use decision::interface::*;
 use decision::policy::Policy;
 
-use known::DestinationRecord;
-use known::belief::{Config, RestoreTime, restore};
-use known::replay::Snapshot;
-use known::stamp::Timestamp;
+use health_snapshot::DestinationRecord;
+use health_snapshot::belief::{Config, RestoreTime, restore};
+use health_snapshot::replay::Snapshot;
+use health_snapshot::stamp::Timestamp;
 
 use crate::partner::{Count, Partner};
 
@@ -468,7 +468,7 @@
         let stamp = Timestamp { wall: WALL + self.now, boot: None };
         let law = Config { span: 3_600 * SECOND, latency_objective: 4 * SECOND };
         let belief = restore(snapshot, &RestoreTime { now: self.now, stamp }, 0, &law);
-        let told = |believed: known::belief::RestoredRoute| Event::SnapshotRestored {
+        let told = |believed: health_snapshot::belief::RestoredRoute| Event::SnapshotRestored {
             route: (DestinationId(believed.destination), None),
             snapshot: believed.snapshot,
         };
--- a/crates/fleet/tests/known.rs
+++ b/crates/fleet-sim/tests/known.rs
@@ -1,6 +1,6 @@
 //! A release, with what was learnt and without, side by side. Several seeds; each failure names its own.
 
-use fleet::{Count, Partner, Verdicts, World};
+use fleet_sim::{Count, Partner, Verdicts, World};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet-sim/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Limits that a fleet uses together. Several seeds; each failure names its own.
 
-use fleet::{Count, Partner, Verdicts, World};
+use fleet_sim::{Count, Partner, Verdicts, World};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
--- a/crates/fleet/tests/mass.rs
+++ b/crates/fleet-sim/tests/mass.rs
@@ -1,7 +1,7 @@
 //! The whole fleet in small: 300 senders, 30 partners, the page's days as far as this world has them, and the gate's conditions
 //! as the judge. Each failure names its seed.
 
-use fleet::{Count, Partner, Verdicts, World};
+use fleet_sim::{Count, Partner, Verdicts, World};
 
 const SENDERS: usize = 300;
 /// What is asked of a partner, as a part of its limit.
--- a/crates/fleet/tests/outages.rs
+++ b/crates/fleet-sim/tests/outages.rs
@@ -1,6 +1,6 @@
 //! Outages and releases, as a hundred senders make them worse together. Several seeds; each failure names its own.
 
-use fleet::{Count, Partner, Verdicts, World};
+use fleet_sim::{Count, Partner, Verdicts, World};
 
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
 
--- a/crates/fleet/tests/shared.rs
+++ b/crates/fleet-sim/tests/shared.rs
@@ -1,6 +1,6 @@
 //! Senders that share, beside the same senders that don't: 300 of them, with little each.
 
-use fleet::{Count, Notes, Partner, Verdicts, World};
+use fleet_sim::{Count, Notes, Partner, Verdicts, World};
 
 const SENDERS: usize = 300;
 
--- a/crates/fleet/tests/small.rs
+++ b/crates/fleet-sim/tests/small.rs
@@ -1,6 +1,6 @@
 //! Many senders with little each, and partners with small limits. Several seeds; each failure names its own.
 
-use fleet::{Law, Partner, Verdicts, World};
+use fleet_sim::{Law, Partner, Verdicts, World};
 
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
 
--- a/crates/shared/tests/escrow.rs
+++ b/crates/gossip/tests/escrow.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use shared::rights::{EVEN, QuotaEscrow, SPAN};
+use gossip::rights::{EVEN, QuotaEscrow, SPAN};
 use stateright::{Checker, Model, Property};
 
 const SENDERS: usize = 3;
--- a/crates/shared/tests/joins.rs
+++ b/crates/gossip/tests/joins.rs
@@ -1,7 +1,7 @@
 //! What is judged is a lattice: evidence joined in any order, any number of times and over any ways comes to the same.
 
+use gossip::judgement::{BELIEVED, Evidence, FADES, Failure, FailureKind, Judgement, KEPT, Limit, ONE_FADES};
 use proptest::prelude::*;
-use shared::judgement::{BELIEVED, Evidence, FADES, Failure, FailureKind, Judgement, KEPT, Limit, ONE_FADES};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/shared/tests/network/main.rs
+++ b/crates/gossip/tests/network/main.rs
@@ -2,9 +2,9 @@
 
 mod net;
 
+use gossip::view::State;
+use gossip::{FailureKind, MemberIndex, Observation};
 use net::{Calls, FAIR, Net, SECOND, Weather};
-use shared::view::State;
-use shared::{FailureKind, MemberIndex, Observation};
 
 const DEST: u16 = 7;
 
@@ -321,14 +321,14 @@
     let mut rng = fastrand::Rng::with_seed(9);
     let mut net = Net::new(4, true, 2);
     let whole = {
-        let mut writer = shared::note::Writer::new(1, net.clock(0));
-        let bad = shared::judgement::Failure {
+        let mut writer = gossip::note::Writer::new(1, net.clock(0));
+        let bad = gossip::judgement::Failure {
             number: 1 << 32,
             at: net.clock(0),
             kind: FailureKind::Silent,
             calls: 3,
         };
-        assert!(writer.add(&shared::note::Part::Known(DEST, shared::judgement::Evidence::Failure(0, bad))));
+        assert!(writer.add(&gossip::note::Part::Known(DEST, gossip::judgement::Evidence::Failure(0, bad))));
         writer.finish()
     };
     for _ in 0..20_000 {
--- a/crates/shared/tests/network/net.rs
+++ b/crates/gossip/tests/network/net.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::collections::BinaryHeap;
 
-use shared::rights::EVEN;
-use shared::{Belief, Config, FailureKind, Gossip, MemberIndex, Micros, Observation};
+use gossip::rights::EVEN;
+use gossip::{Belief, Config, FailureKind, Gossip, MemberIndex, Micros, Observation};
 
 pub const SECOND: Micros = 1_000_000;
 /// Senders are looked at so often.
@@ -186,7 +186,7 @@
                 let node = &mut self.nodes[usize::from(rank)];
                 node.shared.take_changes(now);
                 for (to, note) in node.shared.publish(now) {
-                    assert!(note.len() <= shared::NOTE_LIMIT);
+                    assert!(note.len() <= gossip::NOTE_LIMIT);
                     match to {
                         Some(to) => self.send(rank, to, &note),
                         None => (0..self.senders())
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -90,7 +90,7 @@
         /// Under which the answer is awaited.
         number: u64,
         /// What is asked.
-        call: ops::call::AdminRequest,
+        call: admin::call::AdminRequest,
     },
 }
 
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -63,7 +63,7 @@
         ToSuccessor::CallCompleted(vec![over(1, 2)]),
         ToSuccessor::RetryAfter(HERE, 5),
         ToSuccessor::ConnectionReused { lost: true },
-        ToSuccessor::AdminRequest { number: 1, call: ops::call::AdminRequest::Eject("e".into()) },
+        ToSuccessor::AdminRequest { number: 1, call: admin::call::AdminRequest::Eject("e".into()) },
     ] {
         let written = frame::write(&message).unwrap();
         let length = frame::body_length(written[..4].try_into().unwrap()).unwrap();
--- a/crates/known/tests/belief.rs
+++ b/crates/health-snapshot/tests/belief.rs
@@ -1,10 +1,12 @@
 //! The one rule: what is kept may make a sender more careful, never bolder. Whatever the clocks show.
 
 use decision::interface::{Condition, RouteSnapshot};
-use known::belief::{Config, DOUBT, FADE, LIST_GOOD_FOR, Reason, RestoreTime, RestoredState, restore};
-use known::replay::{ReplayFault, Snapshot};
-use known::stamp::{Boot, Timestamp};
-use known::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
+use health_snapshot::belief::{
+    Config, DOUBT, FADE, LIST_GOOD_FOR, Reason, RestoreTime, RestoredState, restore,
+};
+use health_snapshot::replay::{ReplayFault, Snapshot};
+use health_snapshot::stamp::{Boot, Timestamp};
+use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
 use proptest::prelude::*;
 
 const SECOND: Micros = 1_000_000;
--- a/crates/known/tests/store.rs
+++ b/crates/health-snapshot/tests/store.rs
@@ -5,12 +5,12 @@
 use std::io;
 
 use decision::interface::{Condition, RouteSnapshot};
+use health_snapshot::replay::{ReplayFault, Snapshot};
+use health_snapshot::stamp::Timestamp;
+use health_snapshot::store::{Options, RELEASED_MARKER, Source, Store, load};
+use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
 use journal::disk::Disk;
 use journal::sim::{Fault, SimDisk};
-use known::replay::{ReplayFault, Snapshot};
-use known::stamp::Timestamp;
-use known::store::{Options, RELEASED_MARKER, Source, Store, load};
-use known::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_700_000_000 * SECOND;
@@ -377,7 +377,7 @@
         bytes.truncate(cut);
         bytes.extend(noise);
         let size = bytes.len();
-        let snapshot = known::replay::read("n1", &[("known-000000000001".to_owned(), bytes)]);
+        let snapshot = health_snapshot::replay::read("n1", &[("known-000000000001".to_owned(), bytes)]);
         prop_assert!(snapshot.destinations.len() <= size);
     });
 }
--- a/crates/dormant/tests/dormant.rs
+++ b/crates/idle-destinations/tests/dormant.rs
@@ -2,7 +2,9 @@
 
 use std::collections::HashMap;
 
-use dormant::{ActivationLimiter, ActiveSet, Condition, IdleTable, IdleTableFull, Micros, RetainedHealth};
+use idle_destinations::{
+    ActivationLimiter, ActiveSet, Condition, IdleTable, IdleTableFull, Micros, RetainedHealth,
+};
 
 const SECOND: Micros = 1_000_000;
 const DAY: Micros = 86_400 * SECOND;
@@ -73,7 +75,7 @@
                     let known = waiting.entry(key).or_default();
                     *known = until.max(*known);
                 }
-                Err(MemoryFull) => {
+                Err(IdleTableFull) => {
                     // Waits are rounded up to a tenth of a second.
                     let run = waiting.values().filter(|until| **until + SECOND > now).count();
                     assert!(run >= most, "seed {seed}: refused with {run} waits of {most}");
--- a/crates/rig/src/compaction_kills.rs
+++ b/crates/loadtest/src/compaction_kills.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use standins::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, listing};
+use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, listing};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
--- a/crates/rig/src/cores.rs
+++ b/crates/loadtest/src/cores.rs
@@ -8,7 +8,9 @@
 
 use hdrhistogram::Histogram;
 use serde_json::json;
-use standins::{Breach, Client, Mood, Node, Partner, Platform, Terms, handing_in_with, listing, wait_until};
+use test_doubles::{
+    Breach, Client, Mood, Node, Partner, Platform, Terms, handing_in_with, listing, wait_until,
+};
 
 use crate::scenario::{Options, Scenario, program};
 use crate::throughput::{cpu, proxy};
--- a/crates/rig/src/demo.rs
+++ b/crates/loadtest/src/demo.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use standins::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, listing};
+use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, listing};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
--- a/crates/rig/src/endings.rs
+++ b/crates/loadtest/src/endings.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use standins::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, leaving, listing};
+use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, leaving, listing};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
--- a/crates/rig/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use fleet::{Law, Partner};
+use fleet_sim::{Law, Partner};
 use serde_json::json;
-use standins::{HandedIn, Heard, Load, Node, Notices, Plan, Platform, listing};
+use test_doubles::{HandedIn, Heard, Load, Node, Notices, Plan, Platform, listing};
 
 use crate::limited::Limited;
 use crate::scenario::{Options, Scenario, program};
--- a/crates/rig/src/idle.rs
+++ b/crates/loadtest/src/idle.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use standins::{Client, Crowd, Node, Notices, Platform, Saw, Way, handing_in_with, listing, wait_until};
+use test_doubles::{Client, Crowd, Node, Notices, Platform, Saw, Way, handing_in_with, listing, wait_until};
 
 use crate::scenario::{Options, Scenario, program};
 
--- a/crates/rig/src/journal_bench.rs
+++ b/crates/loadtest/src/journal_bench.rs
@@ -103,7 +103,7 @@
     pages * 4096
 }
 
-/// The first argument with which the rig reads a journal and tells the memory that it takes.
+/// The first argument with which the program reads a journal and tells the memory that it takes.
 pub const READER: &str = "run-as-reader";
 
 /// Opens a folder's journal in a process that has done nothing else, and prints the bytes that this took.
@@ -117,8 +117,8 @@
 
 /// Bytes of memory for each message of a journal that was read back.
 fn memory(folder: &Path) -> Result<u64, String> {
-    let program = std::env::current_exe().map_err(ended("the rig"))?;
-    let output = Command::new(program).arg(READER).arg(folder).output().map_err(ended("the rig"))?;
+    let program = std::env::current_exe().map_err(ended("the load test"))?;
+    let output = Command::new(program).arg(READER).arg(folder).output().map_err(ended("the load test"))?;
     let text = String::from_utf8_lossy(&output.stdout);
     let mut numbers = text.split_whitespace().filter_map(|number| number.parse::<u64>().ok());
     numbers
--- a/crates/rig/src/known_cost.rs
+++ b/crates/loadtest/src/known_cost.rs
@@ -5,12 +5,12 @@
 use std::time::{Duration, Instant};
 
 use decision::interface::RouteSnapshot;
+use health_snapshot::stamp::Timestamp;
+use health_snapshot::store::{Options as Keep, Source, Store};
+use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
 use journal::Journal;
 use journal::disk::Folder;
-use known::stamp::Timestamp;
-use known::store::{Options as Keep, Source, Store};
-use known::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
-use standins::Platform;
+use test_doubles::Platform;
 
 use crate::scenario::{Options, Scenario, program};
 use crate::stream::{Stream, Times};
--- a/crates/rig/src/limited.rs
+++ b/crates/loadtest/src/limited.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use decision::interface::Outcome;
-use fleet::Partner;
+use fleet_sim::Partner;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
--- a/crates/rig/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -39,7 +39,7 @@
 
 /// Runs a measurement or a fault run by its name; `list` names them all.
 #[derive(Parser)]
-#[command(name = "rig", version)]
+#[command(name = "loadtest", version)]
 struct Arguments {
     /// Its name, or `list`.
     name: String,
@@ -62,7 +62,7 @@
             return run.map_or(ExitCode::FAILURE, |()| ExitCode::SUCCESS);
         }
     }
-    // The rig is the sender too, so that what it starts is always the code that it was built with.
+    // The program is the sender too, so that what it starts is always the code that it was built with.
     if arguments.nth(1).is_some_and(|first| first == scenario::SENDER) {
         return sender::program::main(std::iter::once("myrtleyard".into()).chain(arguments));
     }
@@ -74,12 +74,12 @@
         return ExitCode::SUCCESS;
     }
     let Some(scenario) = SCENARIOS.iter().find(|scenario| scenario.name == name) else {
-        println!("broken: there is no scenario {name}; `rig list` names them");
+        println!("broken: there is no scenario {name}; `loadtest list` names them");
         return ExitCode::FAILURE;
     };
     println!("{name}, seed {}", options.seed());
     let run = catch_unwind(AssertUnwindSafe(|| (scenario.run)(&options)));
-    match run.unwrap_or_else(|_| Err("the rig itself failed, as it said above".into())) {
+    match run.unwrap_or_else(|_| Err("the load test itself failed, as it said above".into())) {
         Ok(figures) => {
             println!("held: {figures}");
             ExitCode::SUCCESS
--- a/crates/rig/src/proxy.rs
+++ b/crates/loadtest/src/proxy.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// The first argument with which the rig is the proxy; the second is where it sends what it gets, in turn where there are
+/// The first argument with which the program is the proxy; the second is where it sends what it gets, in turn where there are
 /// several places, and a third how many cores it uses.
 pub const PROXY: &str = "run-as-proxy";
 
--- a/crates/rig/src/scenario.rs
+++ b/crates/loadtest/src/scenario.rs
@@ -4,9 +4,9 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use standins::{Effects, HandedIn, Heard, Program};
+use test_doubles::{Effects, HandedIn, Heard, Program};
 
-/// The first argument with which the rig is the sender.
+/// The first argument with which the program is the sender.
 pub const SENDER: &str = "run-as-sender";
 
 /// What the command line says.
@@ -54,9 +54,9 @@
     pub run: fn(&Options) -> Result<String, String>,
 }
 
-/// The sender that the rig was built with.
+/// The sender that the program was built with.
 pub fn program() -> Program {
-    Program::new(std::env::current_exe().expect("the rig's own file")).arg(SENDER)
+    Program::new(std::env::current_exe().expect("the program's own file")).arg(SENDER)
 }
 
 /// How the messages of a run ended.
--- a/crates/rig/src/throughput.rs
+++ b/crates/loadtest/src/throughput.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use standins::{Client, Mood, Node, Partner, Platform, Program, handing_in_with, listing};
+use test_doubles::{Client, Mood, Node, Partner, Platform, Program, handing_in_with, listing};
 
 use crate::proxy::PROXY;
 use crate::scenario::{Options, Scenario, program};
--- a/crates/rig/src/upgrade_kills.rs
+++ b/crates/loadtest/src/upgrade_kills.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use standins::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, Starting, listing};
+use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, Starting, listing};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
--- a/crates/rig/tests/short.rs
+++ b/crates/loadtest/tests/short.rs
@@ -19,7 +19,7 @@
 }
 
 fn run(arguments: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_rig")).args(arguments).output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_loadtest")).args(arguments).output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
     let last = text.lines().last().unwrap_or_default().to_owned();
     assert_eq!(output.status.success(), last.starts_with("held: "), "{text}");
@@ -35,7 +35,7 @@
 #[test]
 fn a_name_that_is_not_known_is_told() {
     let last = last_line(&["none"]);
-    assert!(last.starts_with("broken: ") && last.contains("rig list"), "{last}");
+    assert!(last.starts_with("broken: ") && last.contains("loadtest list"), "{last}");
 }
 
 #[test]
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -138,7 +138,7 @@
 fn parse(text: &[u8]) -> Result<Config, String> {
     let raw: Raw = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let settings = serde_json::to_vec(&raw.settings).map_err(|e| e.to_string())?;
-    let settings = wire::settings(&settings).map_err(|e| e.to_string())?;
+    let settings = simulator_adapter::settings(&settings).map_err(|e| e.to_string())?;
     let texts = |list: &serde_json::Value, field: Option<&str>| {
         let entries = list.as_array().map(Vec::as_slice).unwrap_or_default();
         let name = |e: &serde_json::Value| {
--- a/crates/sender/src/cores/elsewhere.rs
+++ b/crates/sender/src/cores/elsewhere.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use cores::ShardId;
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
+use sharding::ShardId;
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::post::{Post, Say};
--- a/crates/sender/src/cores/post.rs
+++ b/crates/sender/src/cores/post.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use cores::{Attempt, ShardId};
+use admin::held_out::Ejections;
 use crossbeam_queue::ArrayQueue;
 use decision::interface::{EndpointId, MessageId, Micros};
 use decision::policy::moving::Parcel;
 use journal::PendingMessage;
-use ops::held_out::Ejections;
+use sharding::{Attempt, ShardId};
 use tokio::sync::{Notify, oneshot};
 
 use super::Team;
--- a/crates/sender/src/cores/team.rs
+++ b/crates/sender/src/cores/team.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
+use admin::figures::{Gauges, OutcomeCounts};
 use arc_swap::ArcSwap;
-use cores::{LeasePool, OwnershipMap, ShardId};
-use ops::figures::{Gauges, OutcomeCounts};
+use sharding::{LeasePool, OwnershipMap, ShardId};
 
 use super::post::Mailbox;
 
--- a/crates/sender/src/directory.rs
+++ b/crates/sender/src/directory.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use admin::held_out::{EjectError, Ejections, RetiredNames};
 use decision::interface::*;
-use ops::held_out::{EjectError, Ejections, RetiredNames};
 
 use crate::config::Names;
 use crate::list::{ListBody, Listing as Listed};
@@ -193,20 +193,20 @@
     }
 
     /// An endpoint as the list has it, whatever is held out by hand.
-    pub fn describe(&self, endpoint: EndpointId) -> Option<known::ListedEndpoint> {
+    pub fn describe(&self, endpoint: EndpointId) -> Option<health_snapshot::ListedEndpoint> {
         let known = self.endpoints.get(&endpoint)?;
         let text = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
         let address = known.carrier.as_ref().and_then(|carrier| carrier.address(endpoint));
-        Some(known::ListedEndpoint {
+        Some(health_snapshot::ListedEndpoint {
             name: known.name.to_string(),
             address: address.unwrap_or_default(),
             zone: text(&self.names.zones, known.zone.into()),
             kind: text(&self.names.kinds, known.kind),
             status: match known.listing {
-                _ if known.gone => known::EndpointStatus::Removed,
-                Listing::Ready => known::EndpointStatus::Active,
-                Listing::Draining => known::EndpointStatus::Draining,
-                Listing::Gone => known::EndpointStatus::Removed,
+                _ if known.gone => health_snapshot::EndpointStatus::Removed,
+                Listing::Ready => health_snapshot::EndpointStatus::Active,
+                Listing::Draining => health_snapshot::EndpointStatus::Draining,
+                Listing::Gone => health_snapshot::EndpointStatus::Removed,
             },
             weight: known.weight,
         })
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use admin::door::AdmissionGate;
+use admin::figures::{FinalOutcome, OutcomeCounts};
+use admin::held_out::Ejections;
 use decision::interface::*;
 use decision::policy::Policy;
 use handover::HandoverState;
+use health_snapshot::belief::RestoredState;
 use journal::{Abandonment, AcceptedMessage, Record};
-use known::belief::RestoredState;
-use ops::door::AdmissionGate;
-use ops::figures::{FinalOutcome, OutcomeCounts};
-use ops::held_out::Ejections;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, oneshot, watch};
 
@@ -233,7 +233,7 @@
     } = parts;
     let (from, before, waits, ends) = (parts.taken_over, parts.before, parts.waits, parts.ends);
     let mut belief = parts.belief;
-    let me = member.as_ref().map_or(cores::ShardId(0), Member::me);
+    let me = member.as_ref().map_or(sharding::ShardId(0), Member::me);
     let new = || Policy::new(config.settings.clone(), config.seed.wrapping_add(me.0.into()), clock.now());
     let (from, mut policy) = from.map_or_else(|| (None, new()), |(state, policy)| (Some(state), policy));
     policy.count_calls_from(u64::from(me.0) << 48);
@@ -300,10 +300,10 @@
     let again = Again::new(config.settings.senders, grace, config.seed);
     let good_for = Duration::from_micros(belief.list.good_for);
     // One core watches the list for all.
-    let watch = (me == cores::ShardId(0)).then(|| {
+    let watch = (me == sharding::ShardId(0)).then(|| {
         tokio::task::spawn_local(platform::watch(found, from, whole_list, again, good_for, inbound))
     });
-    if me == cores::ShardId(0) {
+    if me == sharding::ShardId(0) {
         driver.say_ready(&config.name, &places);
     }
 
--- a/crates/sender/src/driver/begin.rs
+++ b/crates/sender/src/driver/begin.rs
@@ -2,11 +2,11 @@
 
 use std::collections::{BTreeSet, HashMap};
 
+use admin::door::AdmissionGate;
 use decision::interface::*;
 use handover::HandoverState;
+use health_snapshot::belief::{LIST_GOOD_FOR, RestoredState};
 use journal::{Abandonment, PendingMessage, Record};
-use known::belief::{LIST_GOOD_FOR, RestoredState};
-use ops::door::AdmissionGate;
 
 use super::left::Without;
 use super::{Driver, NO_REQUEST, message};
--- a/crates/sender/src/driver/duty.rs
+++ b/crates/sender/src/driver/duty.rs
@@ -1,11 +1,11 @@
 //! What on-call staff ask of the driver.
 
+use admin::call::AdminRequest;
+use admin::door::AdmissionGate;
+use admin::figures::Gauges;
 use decision::interface::Event;
-use ops::call::AdminRequest;
-use ops::door::AdmissionGate;
-use ops::figures::Gauges;
-use shared::judgement::Evidence;
-use shared::{Gossip, Micros};
+use gossip::judgement::Evidence;
+use gossip::{Gossip, Micros};
 
 use std::fmt::Write as _;
 
@@ -86,7 +86,7 @@
         let _ = writeln!(text, "sender {rank}: {state:?} for {:.1} s", age(since));
     }
     for shown in shared.inspect(now) {
-        let part = f64::from(shown.may_use) / f64::from(shared::rights::EVEN);
+        let part = f64::from(shown.may_use) / f64::from(gossip::rights::EVEN);
         let ill = shown.belief.unhealthy.map_or("well, as far as others say".to_owned(), |(at, kind)| {
             format!("ill ({kind:?}, {:.1} s ago)", age(at))
         });
--- a/crates/sender/src/driver/taking.rs
+++ b/crates/sender/src/driver/taking.rs
@@ -1,8 +1,8 @@
 //! What becomes of a message between its client and its end: handed in, withdrawn, an attempt's outcome, over.
 
+use admin::figures::FinalOutcome;
 use decision::interface::*;
 use journal::{Abandonment, LedgerEntry, Record};
-use ops::figures::FinalOutcome;
 
 use super::{Driver, Fresh, NO_REQUEST, NO_ROOM_AGAIN, UNLISTED_AGAIN, message};
 use crate::ports::{Answer, AttemptOver, Submission};
--- a/crates/sender/src/driver/team.rs
+++ b/crates/sender/src/driver/team.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cores::{AttemptRouter, DestinationLoad, OwnershipMap, Plan, Planner, ShardId};
+use admin::call::AdminRequest;
+use admin::figures::{Gauges, OutcomeCounts};
+use admin::held_out::Ejections;
 use decision::interface::*;
-use ops::call::AdminRequest;
-use ops::figures::{Gauges, OutcomeCounts};
-use ops::held_out::Ejections;
+use sharding::{AttemptRouter, DestinationLoad, OwnershipMap, Plan, Planner, ShardId};
 use tokio::sync::oneshot;
 
 use super::Driver;
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use admin::call::AdminRequest;
+use admin::door::AdmissionGate;
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
 use handover::{Answer, HandoverState, OutstandingAttempts, ToPredecessor, ToSuccessor, step};
-use ops::call::AdminRequest;
-use ops::door::AdmissionGate;
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch};
@@ -125,7 +125,7 @@
     /// Tells the fronts whether clients may come.
     pub door: watch::Sender<AdmissionGate>,
     /// The figures as they were.
-    pub ends: ops::figures::OutcomeCounts,
+    pub ends: admin::figures::OutcomeCounts,
 }
 
 impl Carried {
@@ -194,7 +194,7 @@
                     }
                     Some(Inbound::AdminRequest(AdminRequest::Metrics, answer)) => {
                         let relayed = carried.carriers.iter().map(|carrier| carrier.messages_written()).sum();
-                        let now = ops::figures::Gauges { relayed, ..Default::default() };
+                        let now = admin::figures::Gauges { relayed, ..Default::default() };
                         let _ = answer.send(AdminResponse { status: 200, text: carried.ends.text(now) });
                         continue;
                     }
--- a/crates/sender/src/http/intake.rs
+++ b/crates/sender/src/http/intake.rs
@@ -25,8 +25,8 @@
 use tokio::sync::{Notify, mpsc::UnboundedSender, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
+use admin::door::AdmissionGate;
 use journal::AcceptedMessage;
-use ops::door::AdmissionGate;
 
 use crate::cores::{Post, Say};
 use crate::ports::{Answer, Clock, Frontend, Inbound, MAX_BODY_BYTES, Submission};
@@ -136,7 +136,7 @@
     request: u64,
     destination: u16,
     /// Whom the message was handed to: guards a withdrawal against overtaking its message.
-    to: Option<cores::ShardId>,
+    to: Option<sharding::ShardId>,
     intake: &'a Intake,
 }
 
@@ -353,7 +353,7 @@
     }
 
     /// Hands a message to the core that owns its destination, as the owners are now; tells which, if it is another.
-    fn hand_on(&self, message: Submission) -> Option<cores::ShardId> {
+    fn hand_on(&self, message: Submission) -> Option<sharding::ShardId> {
         let other = self.post.as_ref().map(|post| (post, post.team().owner(message.message.destination)));
         match other.filter(|(post, owner)| *owner != post.me()) {
             Some((post, owner)) => {
@@ -412,12 +412,12 @@
                     let asked = place.asking.get() || place.answered.get() > 0 && !half_read;
                     // A connection that comes late has its moment too: while clients are sent away a new one gets one
                     // answer, for they need the time to go elsewhere.
-                    idle_until = now.close_idle_at().map(|at| at.max(came + ops::door::LINGER));
+                    idle_until = now.close_idle_at().map(|at| at.max(came + admin::door::LINGER));
                     match now {
                         AdmissionGate::Closing if asked => connection.as_mut().graceful_shutdown(),
                         // Guards the first request on a new connection, which may be on its way or lie unread, and one of
                         // which a part was read: the library would close those without a look. Its answer is the last.
-                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + ops::door::LINGER),
+                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + admin::door::LINGER),
                         _ => {}
                     }
                 }
--- a/crates/sender/src/http/ops.rs
+++ b/crates/sender/src/http/ops.rs
@@ -80,7 +80,7 @@
     inbound: &UnboundedSender<Inbound>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let uri = request.uri();
-    let told = match ops::call::read(request.method().as_str(), uri.path(), uri.query()) {
+    let told = match admin::call::read(request.method().as_str(), uri.path(), uri.query()) {
         Ok(call) => {
             let (answer, answered) = oneshot::channel();
             let _ = inbound.send(Inbound::AdminRequest(call, answer));
--- a/crates/sender/src/known.rs
+++ b/crates/sender/src/known.rs
@@ -5,12 +5,12 @@
 
 use decision::interface::{DestinationId, Micros};
 use decision::policy::Policy;
+use health_snapshot::belief::{self, Config, RestoreTime, RestoredState};
+use health_snapshot::stamp::{Boot, Timestamp};
+use health_snapshot::store::{Options, Source, Store};
+use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, keep};
 use journal::disk::Folder;
-use known::belief::{self, Config, RestoreTime, RestoredState};
-use known::stamp::{Boot, Timestamp};
-use known::store::{Options, Source, Store};
-use known::{DestinationRecord, EndpointStatus, ListedEndpoint, keep};
-use operators::{KnownClock, KnownTable};
+use operator_config::{KnownClock, KnownTable};
 
 use crate::directory::Directory;
 use crate::list::{ListBody, Listing};
@@ -73,7 +73,11 @@
 }
 
 /// Opens what an earlier process kept. What can't be opened is done without, and told.
-pub fn open(state: &Path, owner: &str, keeping: &Keeping) -> Option<(Memory, known::replay::Snapshot)> {
+pub fn open(
+    state: &Path,
+    owner: &str,
+    keeping: &Keeping,
+) -> Option<(Memory, health_snapshot::replay::Snapshot)> {
     let disk = Box::new(Folder::beside(state));
     match Store::open(disk, owner, keeping.options) {
         Ok((store, snapshot)) => Some((Memory { store, clock: keeping.clock, complain_at: 0 }, snapshot)),
@@ -86,7 +90,7 @@
 
 /// What a process believes that starts with that snapshot and the list at that version.
 pub fn believe(
-    snapshot: &known::replay::Snapshot,
+    snapshot: &health_snapshot::replay::Snapshot,
     keeping: &Keeping,
     now: Micros,
     index: u64,
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -110,7 +110,7 @@
     /// The platform has these notices.
     NotificationsAcknowledged(Vec<MessageId>),
     /// On-call staff ask for something.
-    AdminRequest(ops::call::AdminRequest, oneshot::Sender<AdminResponse>),
+    AdminRequest(admin::call::AdminRequest, oneshot::Sender<AdminResponse>),
     /// A process that was started beside this one asks to take over.
     Successor(Link),
     /// A line on the state is to be written to the log.
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -5,17 +5,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ::known::belief::RestoredState;
-use cores::{LeasePool, OwnershipMap, ShardId};
+use admin::door::AdmissionGate;
+use admin::figures::OutcomeCounts;
+use admin::held_out::Ejections;
 use decision::interface::{EndpointId, Idempotency, MessageId, Micros, Settings};
 use decision::policy::Policy;
 use handover::HandoverState;
 use handover::step::{self, After, Found, Start};
+use health_snapshot::belief::RestoredState;
 use journal::{Journal, JournalPart, OpenError};
-use operators::Operators;
-use ops::door::AdmissionGate;
-use ops::figures::OutcomeCounts;
-use ops::held_out::Ejections;
+use operator_config::Operators;
+use sharding::{LeasePool, OwnershipMap, ShardId};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::watch;
 
@@ -59,15 +59,15 @@
         }
     });
     let damage = match table.damage {
-        operators::Damage::Refuse => journal::Damage::Refuse,
-        operators::Damage::Suspect => journal::Damage::Suspect,
+        operator_config::Damage::Refuse => journal::Damage::Refuse,
+        operator_config::Damage::Suspect => journal::Damage::Suspect,
     };
     journal::Options {
         limit: config
             .disk
             .saturating_sub(if config.ops.is_some() { kept::RESERVED } else { 0 })
             .saturating_sub(meanings::reserved(config.names.classes.iter().map(String::as_str))),
-        sync: table.sync == operators::Sync::Group,
+        sync: table.sync == operator_config::Sync::Group,
         damage,
         retain,
         segment: None,
@@ -318,7 +318,7 @@
     let (journal, told) = begin(&config, operators, beside).await?;
     let meanings = Arc::new(meanings(&config, &journal));
     let aim = config.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
-    let sync = operators.journal.sync == operators::Sync::Group;
+    let sync = operators.journal.sync == operator_config::Sync::Group;
     let keeping = Keeping::of(&operators.known, config.disk, sync, aim);
     let mut memory = keeping.and_then(|keeping| known::open(&config.state, &config.name, &keeping));
     let written = memory.as_ref().map_or(0, |(_, snapshot)| snapshot.stamp.wall);
--- a/crates/sender/src/program.rs
+++ b/crates/sender/src/program.rs
@@ -8,7 +8,7 @@
 
 use clap::{Parser, Subcommand};
 use decision::interface::{GossipConfig, IdlePolicy, Micros, RouteId};
-use operators::{BYTES_EACH, DormantTable, Operators, SharedTable};
+use operator_config::{BYTES_EACH, DormantTable, Operators, SharedTable};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
@@ -214,7 +214,8 @@
 fn dormant(table: &DormantTable) -> Option<IdlePolicy> {
     let after = table.after?.micros;
     let memory = table.memory.map_or(MEMORY, |size| size.bytes);
-    let most = usize::try_from(memory / dormant::bytes_per_entry::<RouteId>() as u64).unwrap_or(usize::MAX);
+    let most = usize::try_from(memory / idle_destinations::bytes_per_entry::<RouteId>() as u64)
+        .unwrap_or(usize::MAX);
     Some(IdlePolicy {
         idle_after: after,
         retain_for: table.remember.map_or(REMEMBER, |span| span.micros).max(after),
--- a/crates/sender/src/show_known.rs
+++ b/crates/sender/src/show_known.rs
@@ -4,11 +4,11 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
+use health_snapshot::belief::{Config, Reason, RestoreTime, RestoredRoute, RestoredState, restore};
+use health_snapshot::replay::Snapshot;
+use health_snapshot::{EndpointStatus, Micros};
 use journal::disk::Folder;
-use known::belief::{Config, Reason, RestoreTime, RestoredRoute, RestoredState, restore};
-use known::replay::Snapshot;
-use known::{EndpointStatus, Micros};
-use operators::KnownClock;
+use operator_config::KnownClock;
 
 use crate::known::stamp;
 use crate::look::{printed, seconds};
@@ -26,8 +26,8 @@
     }
     let mut disk = Folder::reader(folder);
     let told = |e: std::io::Error| format!("{}: {e}", folder.display());
-    let owner = known::store::owner(&mut disk).map_err(told)?.unwrap_or_default();
-    let snapshot = known::store::load(&mut disk, &owner).map_err(told)?;
+    let owner = health_snapshot::store::owner(&mut disk).map_err(told)?.unwrap_or_default();
+    let snapshot = health_snapshot::store::load(&mut disk, &owner).map_err(told)?;
     let clock = if snapshot.stamp.boot.is_some() { KnownClock::Boot } else { KnownClock::Wall };
     let start = RestoreTime { now: Clock::after(snapshot.stamp.wall).0.now(), stamp: stamp(clock) };
     let belief = restore(&snapshot, &start, 0, &Config { span: SPAN, latency_objective: AIM });
--- a/crates/sender/tests/node/bad.rs
+++ b/crates/sender/tests/node/bad.rs
@@ -1,6 +1,6 @@
 //! What can't be meant as a message: told so, with nothing taken on, and no other request harmed.
 
-use standins::*;
+use test_doubles::*;
 
 use super::program;
 
--- a/crates/sender/tests/node/cores.rs
+++ b/crates/sender/tests/node/cores.rs
@@ -1,7 +1,7 @@
 //! Several cores of one sender: nothing is lost, doubled or sent too soon by any of them.
 
 use super::program;
-use standins::*;
+use test_doubles::*;
 
 /// Starts a sender with so many cores.
 fn start(platform: &Platform, endpoints: &[serde_json::Value], cores: u32) -> (Node, tempfile::TempDir) {
--- a/crates/sender/tests/node/crowded.rs
+++ b/crates/sender/tests/node/crowded.rs
@@ -2,7 +2,7 @@
 
 use super::program;
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 /// Guards against taking an endpoint that has no place for a further connection for one at its limit, or ill: it says
 /// so in the answer to the first call on a new connection, with which it closes, and without a report. What comes next
--- a/crates/sender/tests/node/duty.rs
+++ b/crates/sender/tests/node/duty.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 use super::program;
 
--- a/crates/sender/tests/node/endings.rs
+++ b/crates/sender/tests/node/endings.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::{ids, program};
-use standins::*;
+use test_doubles::*;
 
 /// Guards a message's end against the answer that comes between what its client and what the sender take for its time:
 /// the platform takes such an answer for no end, and no notice came. A call is waited for no longer than to a good while
--- a/crates/sender/tests/node/kept.rs
+++ b/crates/sender/tests/node/kept.rs
@@ -2,7 +2,7 @@
 
 use super::program;
 use serde_json::{Value, json};
-use standins::*;
+use test_doubles::*;
 
 /// Starts a sender whose operators' file says so.
 fn start(platform: &Platform, endpoints: &[Value], operators: &str) -> (Node, tempfile::TempDir) {
--- a/crates/sender/tests/node/known.rs
+++ b/crates/sender/tests/node/known.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use standins::*;
 use tempfile::TempDir;
+use test_doubles::*;
 
 use super::program;
 
--- a/crates/sender/tests/node/lost.rs
+++ b/crates/sender/tests/node/lost.rs
@@ -5,7 +5,7 @@
 
 use super::program;
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 fn hand_in(node: &Node, id: &str, class: &str) {
     assert_eq!(node.hand_in(id, class, 7, 20_000).status(), 202);
--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -18,7 +18,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 fn program() -> Program {
     Program::new(env!("CARGO_BIN_EXE_myrtleyard"))
--- a/crates/sender/tests/node/rough.rs
+++ b/crates/sender/tests/node/rough.rs
@@ -3,7 +3,7 @@
 
 use super::program;
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 fn orders(node: &Node, id: &str, dest: u16) -> u16 {
     node.hand_in(id, "order", dest, 20_000).status()
--- a/crates/sender/tests/node/shared.rs
+++ b/crates/sender/tests/node/shared.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 
 use serde_json::{Value, json};
-use standins::*;
+use test_doubles::*;
 
 use super::program;
 
--- a/crates/sender/tests/node/upgrade.rs
+++ b/crates/sender/tests/node/upgrade.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 use super::program;
 
--- a/crates/sender/tests/node/waits.rs
+++ b/crates/sender/tests/node/waits.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 use super::program;
 
--- a/crates/sender/tests/program.rs
+++ b/crates/sender/tests/program.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-use standins::{Node, Platform, Program, leaving};
+use test_doubles::{Node, Platform, Program, leaving};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_myrtleyard");
 
@@ -35,8 +35,8 @@
 /// The file that is shipped says what holds without it.
 #[test]
 fn the_shipped_file_is_the_default() {
-    let shipped = operators::Operators::parse(include_str!("../../../deploy/myrtleyard.toml")).unwrap();
-    assert_eq!(shipped, operators::Operators::default());
+    let shipped = operator_config::Operators::parse(include_str!("../../../deploy/myrtleyard.toml")).unwrap();
+    assert_eq!(shipped, operator_config::Operators::default());
 }
 
 #[test]
@@ -58,5 +58,7 @@
     let program = Program::new(PROGRAM).arg("--operators").arg(&file);
     let node = Node::start(&program, &platform, &[leaving("e0", 7)], |_| {});
     assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
-    standins::wait_until(|| node.log().iter().any(|line| line == "status held=1 awake=1 asleep=0 open=[]"));
+    test_doubles::wait_until(|| {
+        node.log().iter().any(|line| line == "status held=1 awake=1 asleep=0 open=[]")
+    });
 }
--- a/crates/cores/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use cores::{Attempt, AttemptRouter, LeasePool, OwnershipMap, ShardId};
+use sharding::{Attempt, AttemptRouter, LeasePool, OwnershipMap, ShardId};
 use stateright::{Checker, Model, Property};
 
 /// What is left out.
--- a/crates/wire/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,7 +6,7 @@
 
 use decision::interface::{Action, Event};
 use decision::policy::Policy;
-use wire::{Decoder, Input, encode, read_frame};
+use simulator_adapter::{Decoder, Input, encode, read_frame};
 
 fn main() -> ExitCode {
     match run() {
--- a/crates/wire/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 use decision::interface::*;
-use wire::{Decoder, Frame, Input, encode, read_frame, settings};
+use simulator_adapter::{Decoder, Frame, Input, encode, read_frame, settings};
 
 const SETTINGS: &str = r#"{
   "classes": [{"name": "a", "effect": "by_key", "group": "zone", "dedup_window_us": 9000000,
--- a/crates/standins/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for all that a real sender meets, over loopback sockets: a platform, endpoints and clients that do as a
-//! test or a rig says, and the sender itself as a process. All waiting is on events; a patience bounds it, so that a
+//! test or load test says, and the sender itself as a process. All waiting is on events; a patience bounds it, so that a
 //! failure ends the test. Nothing here decides whether a sender did well.
 
 mod arrival;
--- a/crates/standins/src/switch.rs
+++ b/crates/test-doubles/src/switch.rs
@@ -1,5 +1,5 @@
 //! A switch between senders: all notes that go from one to another pass through it, and it loses, holds up, doubles and cuts them
-//! by direction, as a test or a rig says.
+//! by direction, as a test or a load test says.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
