--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -1,6 +1,7 @@
 //! The real program over loopback sockets: each promise, and each failure found, in small.
 
 mod bad;
+mod closes;
 mod cores;
 mod crowded;
 mod duty;
