--- /dev/null
+++ b/crates/golden/src/wire/gossip.rs
@@ -0,0 +1,68 @@
+//! Gossip messages: the bytes of each kind of part, and what is told of those that are rejected.
+
+use std::fmt::Write as _;
+
+use shared::Kind;
+use shared::counts::Count;
+use shared::judgement::{Bad, Item, Limit};
+use shared::note::{Note, Part, Rejected, Writer};
+use shared::view::State;
+
+use super::scripted::hex;
+
+const NOW: u64 = 90_123_456;
+const INCARNATION: u32 = 0x0102_0304;
+
+fn parts() -> Vec<(&'static str, Part)> {
+    let bad = |kind| Part::Known(7, Item::Bad(3, Bad { number: 1 << 40, at: NOW - 250_000, kind, calls: 5 }));
+    let limit = Limit { origin: 2, number: 9, at: NOW - 40_000, rate: 12.5 };
+    let count = Count { calls: 1_000, refused: 200, failed: 30, repeats: 4, held: 5 };
+    vec![
+        ("evidence, unreachable", bad(Kind::Unreachable)),
+        ("evidence, failing", bad(Kind::Failing)),
+        ("evidence, silent", bad(Kind::Silent)),
+        ("evidence, shut", bad(Kind::Shut)),
+        ("clearance", Part::Known(300, Item::Cleared(4, 77, NOW - 1_000_000))),
+        ("limit", Part::Known(7, Item::Limit(limit))),
+        ("wait", Part::Known(7, Item::Wait(NOW + 1_230_000))),
+        ("ping", Part::Ask(11, 0xdead_beef)),
+        ("acknowledgement", Part::Answer(11, 0xdead_beef)),
+        ("indirect ping", Part::AskFor(5, 12)),
+        ("member, alive", Part::Member(6, 42, State::Alive)),
+        ("member, suspected", Part::Member(6, 42, State::Suspected)),
+        ("member, gone", Part::Member(6, 42, State::Gone)),
+        ("quota request", Part::Borrow(7, 13, 2_000)),
+        ("quota transfer", Part::Lend(13, 1_500)),
+        ("counts", Part::Counts(7, count)),
+        ("request for all", Part::Everything),
+    ]
+}
+
+/// The text of this kind.
+pub fn text() -> String {
+    let mut text = String::new();
+    let mut all = Writer::new(INCARNATION, NOW);
+    for (name, part) in parts() {
+        let mut writer = Writer::new(INCARNATION, NOW);
+        assert!(writer.add(&part), "{name} fits");
+        let bytes = writer.finish();
+        let read = Note::read(&bytes).and_then(|note| note.parts(NOW, 0)).expect("it is read");
+        let same = if read == [part] { "read as written" } else { "read otherwise" };
+        let _ = writeln!(text, "{name}: {} {same}", hex(&bytes));
+        all.add(&part);
+    }
+    let bytes = all.finish();
+    let _ = writeln!(text, "all that fits: {}", hex(&bytes));
+    let mut damaged = bytes.clone();
+    damaged[20] ^= 1;
+    let mut other = bytes;
+    other[0] = 2;
+    let rejected = |bytes: &[u8]| Note::read(bytes).expect_err("it is rejected").to_string();
+    let _ = writeln!(text, "damaged: {}", rejected(&damaged));
+    let _ = writeln!(text, "another version: {}", rejected(&other));
+    let _ = writeln!(text, "too short: {}", rejected(b"short"));
+    for why in [Rejected::Contradicts, Rejected::Stale, Rejected::Unknown] {
+        let _ = writeln!(text, "rejected: {why}");
+    }
+    text
+}
