--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -13,6 +13,7 @@
     /// The figures.
     Metrics,
     /// What senders share.
+    #[serde(rename = "Shared")]
     Gossip,
     /// Leave the endpoint of that name out.
     #[serde(rename = "HoldOut")]
--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -7,11 +7,13 @@
 use std::path::Path;
 use std::{fs, io};
 
+use admin::call::AdminRequest;
 use decision::interface::*;
 use decision::policy::Policy;
-use handover::{Answer, Endpoint, Over, State, ToNew, ToOld, frame};
-use journal::Taken;
-use ops::call::Call;
+use handover::{
+    Answer, AttemptCompleted, HandoverEndpoint, HandoverState, ToPredecessor, ToSuccessor, frame,
+};
+use journal::AcceptedMessage;
 use rmpv::Value;
 
 const SECOND: Micros = 1_000_000;
@@ -200,9 +202,9 @@
 }
 
 /// A hand-over with no field at its default.
-fn state(policy: Vec<u8>) -> State {
+fn state(policy: Vec<u8>) -> HandoverState {
     let texts = |texts: &[&str]| texts.iter().map(|text| (*text).to_owned()).collect::<Vec<_>>();
-    let listed = |n: u8, listing, gone| Endpoint {
+    let listed = |n: u8, listing, gone| HandoverEndpoint {
         id: endpoint(n, 1),
         name: format!("endpoint-{n}"),
         address: Some(format!("10.0.0.{n}:7000")),
@@ -211,10 +213,10 @@
         group: n.into(),
         listing,
         weight: 12.5,
-        gone,
+        unlisted: gone,
     };
-    State {
-        at: START + 17,
+    HandoverState {
+        stopped_at: START + 17,
         names: [texts(&CLASSES), texts(&["plain", "apart", "bundled"]), texts(&["near", "far"])],
         policy: policy.into(),
         endpoints: vec![
@@ -223,30 +225,37 @@
             listed(3, Listing::Gone, true),
         ],
         ids: vec![("endpoint-1".to_owned(), endpoint(1, 1)), ("past".to_owned(), endpoint(9, 1))],
-        given: 9,
+        ids_assigned: 9,
         index: 41,
-        held: vec![("request-1".to_owned(), 7, 70), ("request-2".to_owned(), 8, 80)],
+        messages: vec![("request-1".to_owned(), 7, 70), ("request-2".to_owned(), 8, 80)],
         attempts: vec![(7, 2), (8, 1)],
         next_message: 9,
         requests: 81,
-        out: vec![(MessageId(7), 1, endpoint(1, 1))],
+        attempts_in_flight: vec![(MessageId(7), 1, endpoint(1, 1))],
         waits: vec![("endpoint-2".to_owned(), START + SECOND)],
         standby: Some(START + 5),
     }
 }
 
 /// One of each message that the new process says, and of each answer.
-fn to_old() -> Vec<ToOld> {
-    let answers = [Answer::Taken, Answer::Refused(1_500), Answer::Failed, Answer::Delivered];
-    let mut all = vec![ToOld::Ask, ToOld::Took { understood: true }, ToOld::Took { understood: false }];
-    all.extend(answers.into_iter().zip(1..).map(|(answer, number)| ToOld::Answer(number, answer)));
-    all.extend([ToOld::Told(5, 200, "ready\n".to_owned()), ToOld::Cancel(MessageId(7), 2)]);
+fn to_old() -> Vec<ToPredecessor> {
+    let answers = [Answer::Accepted, Answer::Rejected(1_500), Answer::Failed, Answer::Delivered];
+    let mut all = vec![
+        ToPredecessor::RequestTakeover,
+        ToPredecessor::TookOver { understood: true },
+        ToPredecessor::TookOver { understood: false },
+    ];
+    all.extend(answers.into_iter().zip(1..).map(|(answer, number)| ToPredecessor::Answer(number, answer)));
+    all.extend([
+        ToPredecessor::AdminResponse(5, 200, "ready\n".to_owned()),
+        ToPredecessor::Cancel(MessageId(7), 2),
+    ]);
     all
 }
 
 /// One of each message that the old process says, with each outcome of an attempt and each call of on-call staff.
-fn to_new() -> Vec<ToNew> {
-    let taken = Taken {
+fn to_new() -> Vec<ToSuccessor> {
+    let taken = AcceptedMessage {
         id: "request-1".to_owned(),
         key: Some("key-1".to_owned()),
         class: CLASSES[0].into(),
@@ -254,12 +263,12 @@
         deadline: START + 20 * SECOND,
         body: b"body"[..].into(),
     };
-    let over = |(outcome, n): (Outcome, u16)| Over {
+    let over = |(outcome, n): (Outcome, u16)| AttemptCompleted {
         message: MessageId(u32::from(n)),
         attempt: n,
         endpoint: endpoint(1, 1),
         outcome,
-        gone: true,
+        message_completed: true,
         took: 1_250,
         report: vec![0.5, 100.0],
     };
@@ -269,98 +278,104 @@
         Outcome::Reset,
         Outcome::TimedOut,
         Outcome::ConnectFailed,
-        Outcome::Spoilt,
-        Outcome::Full(None),
-        Outcome::Full(Some(300_000)),
-        Outcome::Crowded,
+        Outcome::InvalidResponse,
+        Outcome::Rejected(None),
+        Outcome::Rejected(Some(300_000)),
+        Outcome::ConnectionRejected,
         Outcome::Cancelled,
-        Outcome::Moot { no_slot: true },
-        Outcome::Moot { no_slot: false },
+        Outcome::NotSent { no_slot: true },
+        Outcome::NotSent { no_slot: false },
     ];
     let calls = [
-        Call::Status,
-        Call::Metrics,
-        Call::Shared,
-        Call::HoldOut("endpoint-1".to_owned()),
-        Call::PutBack("endpoint-2".to_owned()),
-        Call::Standby,
-        Call::Active,
-        Call::Move { destination: 3, core: 1 },
+        AdminRequest::Status,
+        AdminRequest::Metrics,
+        AdminRequest::Gossip,
+        AdminRequest::Eject("endpoint-1".to_owned()),
+        AdminRequest::Reinstate("endpoint-2".to_owned()),
+        AdminRequest::Standby,
+        AdminRequest::Active,
+        AdminRequest::Move { destination: 3, core: 1 },
     ];
     let mut all = vec![
-        ToNew::State(Box::new(state(b"policy".to_vec()))),
-        ToNew::Silent,
-        ToNew::HandedIn { number: 4, taken, request: 40 },
-        ToNew::Withdrawn { id: "request-2".to_owned(), request: 41, destination: 3 },
-        ToNew::CallOver(outcomes.into_iter().zip(1..).map(over).collect()),
-        ToNew::Wait(endpoint(2, 1), 700_000),
-        ToNew::Kept { lost: true },
+        ToSuccessor::State(Box::new(state(b"policy".to_vec()))),
+        ToSuccessor::Drained,
+        ToSuccessor::Submitted { number: 4, message: taken, request: 40 },
+        ToSuccessor::Withdrawn { id: "request-2".to_owned(), request: 41, destination: 3 },
+        ToSuccessor::CallCompleted(outcomes.into_iter().zip(1..).map(over).collect()),
+        ToSuccessor::RetryAfter(endpoint(2, 1), 700_000),
+        ToSuccessor::ConnectionReused { lost: true },
     ];
-    all.extend(calls.into_iter().zip(1..).map(|(call, number)| ToNew::Ops { number, call }));
+    all.extend(calls.into_iter().zip(1..).map(|(call, number)| ToSuccessor::AdminRequest { number, call }));
     all
 }
 
 /// Settings under which everything may happen, with no figure at its default.
 pub fn settings(me: u16) -> Settings {
     let class = |effect, in_order| Class {
-        effect,
-        aim: 4 * SECOND,
+        idempotency: effect,
+        latency_objective: 4 * SECOND,
         deadline: 20 * SECOND,
-        worth: 1.5,
-        late_worth: 0.5,
+        priority_weight: 1.5,
+        late_weight: 0.5,
         in_order,
     };
-    let keyed = |group| Effect::Keyed { group, window: 6 * SECOND };
+    let keyed = |group| Idempotency::Keyed { scope: group, window: 6 * SECOND };
     Settings {
         classes: vec![
-            class(keyed(Group::Zone), false),
-            class(Effect::Once, false),
-            class(Effect::Repeatable, false),
-            class(keyed(Group::All), true),
+            class(keyed(IdempotencyScope::Zone), false),
+            class(Idempotency::NonIdempotent, false),
+            class(Idempotency::Idempotent, false),
+            class(keyed(IdempotencyScope::All), true),
         ],
         tenants: vec![Tenant { quota: 5.0 }, Tenant { quota: 0.01 }],
         kinds: vec![
-            Kind { routes_apart: false, bundle: 1 },
-            Kind { routes_apart: true, bundle: 1 },
-            Kind { routes_apart: false, bundle: 5 },
+            DestinationKind { separate_routes: false, max_batch: 1 },
+            DestinationKind { separate_routes: true, max_batch: 1 },
+            DestinationKind { separate_routes: false, max_batch: 5 },
         ],
-        tolls: vec![0.05, 0.1],
-        decay: Decay::Halves,
-        slots: 12,
-        max_open: 96,
-        try_limit: 6,
-        second_copies: true,
-        cancelling: true,
-        probing: true,
-        probe_price: 0.01,
-        refused_price: 0.1,
+        zone_fees: vec![0.05, 0.1],
+        decay: Decay::Halving,
+        max_calls: 12,
+        max_messages: 96,
+        max_attempts: 6,
+        hedging: true,
+        cancellation: true,
+        health_checks: true,
+        health_check_price: 0.01,
+        rejection_price: 0.1,
         connect_timeout: SECOND,
-        idle_close: 5 * SECOND,
+        idle_timeout: 5 * SECOND,
         max_retry_after: 3 * SECOND,
-        must_ask: true,
+        polling_only: true,
         weights: Weights::Rough,
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         report: (Some(0), Some(1)),
         senders: 5,
         period: 5_000,
-        dormant: Some(Dormant { after: 3 * SECOND, remember: 600 * SECOND, most: 5, awake: 9, wakes: 1.0 }),
-        shared: Some(SharedLaw {
-            me,
-            run: 3,
+        idle: Some(IdlePolicy {
+            idle_after: 3 * SECOND,
+            retain_for: 600 * SECOND,
+            max_retained: 5,
+            max_active: 9,
+            activations_per_second: 1.0,
+        }),
+        gossip: Some(GossipConfig {
+            member: me,
+            incarnation: 3,
             senders: 5,
             broadcast: true,
-            bytes: (25.0, 100.0),
-            lends: true,
+            byte_budget: (25.0, 100.0),
+            quota_transfer: true,
         }),
         rules: Rules {
             answer_slack: 20_000,
-            ask_every: Some(10 * SECOND),
+            poll_interval: Some(10 * SECOND),
             cold_share: 0.2,
             warm_within: 14 * SECOND,
-            fall_multiple: 2.0,
+            overload_multiple: 2.0,
             overload_for: 3 * SECOND,
-            drain_grace: 2 * SECOND,
-            order_pause: SECOND,
+            drain_timeout: 2 * SECOND,
+            ordering_pause: SECOND,
         },
     }
 }
@@ -369,9 +384,9 @@
     EndpointId([10, 0, destination, n, 0x1b, 0x58])
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<EndpointEntry> {
     let all = (1..=DESTINATIONS).flat_map(|destination| [1, 2].map(|n| (destination, n)));
-    all.map(|(destination, n)| Entry {
+    all.map(|(destination, n)| EndpointEntry {
         endpoint: endpoint(destination as u8, n),
         destination: DestinationId(destination),
         zone: u16::from(n % 2),
@@ -408,7 +423,7 @@
 
     fn tell(&mut self, now: Micros, events: &[Event]) {
         for event in events {
-            if let Event::Resumed { message, attempts, .. } = event {
+            if let Event::Recovered { message, attempts, .. } = event {
                 self.attempts.insert(message.id, *attempts as u16);
             }
         }
@@ -422,7 +437,7 @@
                     *attempts += 1;
                     self.out.push(Out { message, attempt, endpoint, sent: now, until: now + timeout });
                 }
-                Action::Tell { content, .. } => self.notes.push(content),
+                Action::SendGossip { content, .. } => self.notes.push(content),
                 _ => {}
             }
         }
@@ -431,7 +446,7 @@
     fn ended(&mut self, at: usize, outcome: Outcome, now: Micros, report: Vec<f32>, over: bool) -> Event {
         let Out { message, attempt, endpoint, sent, .. } = self.out.remove(at);
         let terminal = over || outcome == Outcome::Delivered;
-        Event::Ended { message, attempt, endpoint, outcome, terminal, took: now - sent, report }
+        Event::AttemptCompleted { message, attempt, endpoint, outcome, terminal, took: now - sent, report }
     }
 }
 
@@ -448,13 +463,13 @@
 impl Day {
     fn new(seed: u64, ordered: bool) -> Self {
         let senders = [1, 2].map(|me| {
-            let decay = [Decay::Halves, Decay::Line][(seed % 2) as usize];
+            let decay = [Decay::Halving, Decay::Linear][(seed % 2) as usize];
             let weights = [Weights::Rough, Weights::Nominal, Weights::None][(seed % 3) as usize];
             Sender::new(Settings { decay, weights, ..settings(me) }, seed + u64::from(me))
         });
         let mut day = Self { rng: fastrand::Rng::with_seed(seed), now: START, senders, next: 0, ordered };
         for sender in &mut day.senders {
-            sender.tell(START, &[Event::List(entries())]);
+            sender.tell(START, &[Event::EndpointList(entries())]);
         }
         day
     }
@@ -470,7 +485,7 @@
             class: rng.usize(..if self.ordered { 4 } else { 3 }),
             tenant: rng.usize(..2),
             key: Some(rng.u64(1..4)),
-            time_left: rng.u64(6..20) * SECOND,
+            remaining_time: rng.u64(6..20) * SECOND,
             hint: Some(30_000),
             destination: DestinationId(destination),
         }
@@ -482,27 +497,27 @@
 
     fn learnt(&mut self) -> Event {
         let now = self.now;
-        let worst = [Worst::Well, Worst::Full, Worst::Failed][self.rng.usize(..3)];
-        let learnt = Learnt {
+        let worst = [Condition::Healthy, Condition::Rejecting, Condition::Failing][self.rng.usize(..3)];
+        let learnt = RouteSnapshot {
             wait_until: now + self.rng.u64(1..40) * SECOND,
             limit: 20.0,
-            short_at: Some(now - SECOND),
-            pace: 7.0,
-            rate: 3.0,
-            worst,
+            shortage_at: Some(now - SECOND),
+            send_rate: 7.0,
+            success_rate: 3.0,
+            condition: worst,
             failures: 1,
-            ill_since: Some(now - 9 * SECOND),
+            unhealthy_since: Some(now - 9 * SECOND),
             cold_since: Some(now - 2 * SECOND),
-            well_at: now - 3 * SECOND,
+            last_success_at: now - 3 * SECOND,
             trial: Some((now + SECOND, 2 * SECOND)),
-            spent: (2.0, now - SECOND),
-            answers: Some((20_000.0, 5_000.0)),
+            recent_calls: (2.0, now - SECOND),
+            latency: Some((20_000.0, 5_000.0)),
         };
         let destination = self.rng.u16(1..=DESTINATIONS);
         let apart = destination % 3 == 1;
-        Event::Learnt {
+        Event::SnapshotRestored {
             route: (DestinationId(destination), apart.then(|| endpoint(destination as u8, 1))),
-            learnt,
+            snapshot: learnt,
         }
     }
 
@@ -525,30 +540,30 @@
                     Outcome::Delivered,
                     Outcome::Delivered,
                     Outcome::Delivered,
-                    Outcome::Full(Some(self.rng.u64(..SECOND))),
-                    Outcome::Full(None),
+                    Outcome::Rejected(Some(self.rng.u64(..SECOND))),
+                    Outcome::Rejected(None),
                     Outcome::Error,
                     Outcome::Reset,
                     Outcome::ConnectFailed,
-                    Outcome::Crowded,
-                    Outcome::Spoilt,
-                    Outcome::Moot { no_slot: self.rng.bool() },
+                    Outcome::ConnectionRejected,
+                    Outcome::InvalidResponse,
+                    Outcome::NotSent { no_slot: self.rng.bool() },
                 ];
                 let outcome = outcomes[self.rng.usize(..outcomes.len())];
                 let report = vec![self.rng.f32(), 20.0 + 20.0 * self.rng.f32()];
-                let over = matches!(outcome, Outcome::Moot { .. }) && self.rng.bool();
+                let over = matches!(outcome, Outcome::NotSent { .. }) && self.rng.bool();
                 events.push(self.senders[of].ended(at, outcome, now, report, over));
             }
             15 => {
                 let listing = [Listing::Ready, Listing::Draining, Listing::Gone][self.rng.usize(..3)];
                 let at = self.rng.usize(..2 * usize::from(DESTINATIONS));
-                events.push(Event::Changes(vec![Entry { listing, ..entries()[at].clone() }]));
+                events.push(Event::EndpointChanges(vec![EndpointEntry { listing, ..entries()[at].clone() }]));
             }
-            16 => events.push(Event::List(entries())),
-            17 => events.push(Event::Kept { lost: self.rng.bool() }),
+            16 => events.push(Event::EndpointList(entries())),
+            17 => events.push(Event::ConnectionReused { lost: self.rng.bool() }),
             18 => {
                 let endpoint = self.any_endpoint();
-                events.push(Event::Wait { endpoint, wait: self.rng.u64(1..30) * SECOND });
+                events.push(Event::RetryAfter { endpoint, wait: self.rng.u64(1..30) * SECOND });
             }
             19 => events.extend((0..4).map(|_| self.learnt()).collect::<Vec<_>>()),
             20 => {
@@ -556,20 +571,21 @@
                 let attempts = self.rng.u32(..3);
                 let at = endpoint(message.destination.0 as u8, 1);
                 let may_have_run = if attempts > 0 { vec![(SECOND, at)] } else { vec![] };
-                let group = [Group::All, Group::Zone, Group::Endpoint][self.rng.usize(..3)];
-                let effect = Some(Effect::Keyed { group, window: 5 * SECOND });
-                events.push(Event::Resumed { message, attempts, may_have_run, effect });
+                let group = [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Endpoint]
+                    [self.rng.usize(..3)];
+                let effect = Some(Idempotency::Keyed { scope: group, window: 5 * SECOND });
+                events.push(Event::Recovered { message, attempts, may_have_run, idempotency: effect });
             }
-            21 => events.push(Event::ListFailed),
-            22 if step > 40 => events.push(Event::LearntLost),
+            21 => events.push(Event::DiscoveryFailed),
+            22 if step > 40 => events.push(Event::SnapshotLost),
             _ if self.next > 3 => {
                 let message = MessageId(self.rng.u32(1..self.next));
-                events.push(Event::Left(message));
+                events.push(Event::Withdrawn(message));
             }
             _ => {}
         }
         if of == 0 && step + 6 == STEPS {
-            events.push(Event::Stopping(now + 5 * SECOND));
+            events.push(Event::ShuttingDown(now + 5 * SECOND));
         }
         events
     }
@@ -582,7 +598,9 @@
         for of in 0..2 {
             let mut events = self.events(of, step);
             let notes = std::mem::take(&mut self.senders[1 - of].notes);
-            events.extend(notes.into_iter().map(|content| Event::Note { from: (2 - of) as u16, content }));
+            events.extend(
+                notes.into_iter().map(|content| Event::GossipReceived { from: (2 - of) as u16, content }),
+            );
             self.senders[of].tell(self.now, &events);
         }
     }
--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -9,13 +9,15 @@
 use std::sync::Arc;
 use std::{fs, io};
 
-use decision::interface::{Effect, Group, Learnt, Worst};
+use admin::held_out::Ejections;
+use decision::interface::{Condition, Idempotency, IdempotencyScope, RouteSnapshot};
+use health_snapshot::stamp::{Boot, Timestamp};
+use health_snapshot::store::{Source, Store, load};
+use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint};
 use journal::disk::{Folder, LOCK};
-use journal::{GivenUp, Journal, Micros, Options, Record, Remembered, Retain, Taken, inspect};
-use known::stamp::{Boot, Stamp};
-use known::store::{Source, Store, load};
-use known::{Kept, Listed, Status};
-use ops::held_out::HeldOut;
+use journal::{
+    Abandonment, AcceptedMessage, Journal, LedgerEntry, LedgerOptions, Micros, Options, Record, inspect,
+};
 
 const SECOND: Micros = 1_000_000;
 /// When a script begins.
@@ -68,7 +70,7 @@
     Options {
         limit: 200_000,
         sync: true,
-        retain: Some(Retain { span: 600 * SECOND, bytes: 20_000, classes: vec!["order".to_owned()] }),
+        retain: Some(LedgerOptions { span: 600 * SECOND, bytes: 20_000, classes: vec!["order".to_owned()] }),
         segment: Some(2_048),
         ..Options::default()
     }
@@ -105,12 +107,12 @@
     for (number, live) in &seen.live {
         owed(&mut text, *number, live);
     }
-    for Remembered { id, delivered, at } in &seen.ledger {
+    for LedgerEntry { id, delivered, at } in &seen.ledger {
         say(&mut text, format_args!("remembered {id}: delivered {delivered} at {at}"));
     }
     let files = contents(folder)?;
     if let Some(names) = files.get("held-out") {
-        let names = HeldOut::read(&String::from_utf8_lossy(names), ROOM);
+        let names = Ejections::read(&String::from_utf8_lossy(names), ROOM);
         say(&mut text, format_args!("held out: {:?}", names.text()));
     }
     if let Some(classes) = files.get("classes") {
@@ -118,7 +120,7 @@
             say(&mut text, format_args!("class {name}: {}", effect(of)));
         }
     }
-    if files.keys().any(|name| name.starts_with(journal::BESIDE)) {
+    if files.keys().any(|name| name.starts_with(journal::SNAPSHOT_PREFIX)) {
         known(&mut text, folder)?;
     }
     Ok(text)
@@ -129,8 +131,8 @@
     let _ = writeln!(text, "{line}");
 }
 
-fn owed(text: &mut String, number: u32, live: &journal::Live) {
-    let Taken { id, key, class, destination, deadline, body } = &*live.taken;
+fn owed(text: &mut String, number: u32, live: &journal::PendingMessage) {
+    let AcceptedMessage { id, key, class, destination, deadline, body } = &*live.message;
     let size = body.len();
     let sum = body.iter().fold(0u32, |sum, byte| sum.wrapping_mul(31).wrapping_add((*byte).into()));
     say(
@@ -143,29 +145,29 @@
     for journal::Attempt { number, endpoint, at, never_ran } in &live.attempts {
         say(text, format_args!("  attempt {number} to {endpoint} at {at}, never ran {never_ran}"));
     }
-    match live.given_up {
-        Some(GivenUp::Deferred(again)) => say(text, format_args!("  given up: deferred by {again}")),
-        Some(GivenUp::Undeliverable) => say(text, format_args!("  given up: undeliverable")),
+    match live.abandoned {
+        Some(Abandonment::Deferred(again)) => say(text, format_args!("  given up: deferred by {again}")),
+        Some(Abandonment::Undeliverable) => say(text, format_args!("  given up: undeliverable")),
         None => {}
     }
 }
 
 fn known(text: &mut String, folder: &Path) -> io::Result<()> {
     let mut disk = Folder::reader(folder);
-    let owner = known::store::owner(&mut disk)?.unwrap_or_default();
+    let owner = health_snapshot::store::owner(&mut disk)?.unwrap_or_default();
     let seen = load(&mut disk, &owner)?;
-    let Stamp { wall, boot } = seen.stamp;
+    let Timestamp { wall, boot } = seen.stamp;
     let boot = boot.map(|Boot { id, at }| (id, at));
     say(text, format_args!("known of {owner}, at {wall}, since the machine's start {boot:?}"));
     say(text, format_args!("list {:?}, found {}, left out {}", seen.list, seen.found, seen.left_out));
     say(text, format_args!("{} troubles, lost {}", seen.troubles.len(), seen.lost()));
-    for (destination, Kept { at, listed, routes }) in &seen.destinations {
+    for (destination, DestinationRecord { at, listed, routes }) in &seen.destinations {
         say(text, format_args!("destination {destination} at {at}"));
-        for Listed { name, address, zone, kind, status, weight } in listed {
+        for ListedEndpoint { name, address, zone, kind, status, weight } in listed {
             let status = match status {
-                Status::Active => "active",
-                Status::Leaving => "draining",
-                Status::Left => "gone",
+                EndpointStatus::Active => "active",
+                EndpointStatus::Draining => "draining",
+                EndpointStatus::Removed => "gone",
             };
             say(text, format_args!("  endpoint {name} {address} {zone} {kind} {status} {weight}"));
         }
@@ -180,13 +182,30 @@
 }
 
 /// All figures of a route, in an order that no renaming changes.
-fn observed(learnt: &Learnt) -> String {
-    let Learnt { wait_until, limit, short_at, pace, rate, worst, failures, .. } = *learnt;
-    let Learnt { ill_since, cold_since, well_at, trial, spent, answers, .. } = *learnt;
+fn observed(learnt: &RouteSnapshot) -> String {
+    let RouteSnapshot {
+        wait_until,
+        limit,
+        shortage_at: short_at,
+        send_rate: pace,
+        success_rate: rate,
+        condition: worst,
+        failures,
+        ..
+    } = *learnt;
+    let RouteSnapshot {
+        unhealthy_since: ill_since,
+        cold_since,
+        last_success_at: well_at,
+        trial,
+        recent_calls: spent,
+        latency: answers,
+        ..
+    } = *learnt;
     let worst = match worst {
-        Worst::Well => "well",
-        Worst::Full => "full",
-        Worst::Failed => "failed",
+        Condition::Healthy => "well",
+        Condition::Rejecting => "full",
+        Condition::Failing => "failed",
     };
     format!(
         "{wait_until} {limit} {short_at:?} {pace} {rate} {worst} {failures} {ill_since:?} {cold_since:?} {well_at} \
@@ -194,8 +213,8 @@
     )
 }
 
-fn taken(n: u32, class: &str, size: usize) -> Arc<Taken> {
-    Arc::new(Taken {
+fn taken(n: u32, class: &str, size: usize) -> Arc<AcceptedMessage> {
+    Arc::new(AcceptedMessage {
         id: format!("request-{n}"),
         key: (n % 2 == 1).then(|| format!("key-{n}")),
         class: class.into(),
@@ -207,11 +226,16 @@
 
 fn begun(message: u32, attempt: u16) -> Record {
     let endpoint = format!("endpoint-{}", message % 3).into();
-    Record::Begun { message, attempt, endpoint, at: START + u64::from(message) * 1_000 + u64::from(attempt) }
+    Record::AttemptStarted {
+        message,
+        attempt,
+        endpoint,
+        at: START + u64::from(message) * 1_000 + u64::from(attempt),
+    }
 }
 
 fn remembered(n: u32, delivered: bool) -> Record {
-    Record::Remembered(Remembered {
+    Record::LedgerEntry(LedgerEntry {
         id: format!("request-{n}"),
         delivered,
         at: START + u64::from(n) * SECOND,
@@ -221,13 +245,20 @@
 /// Every kind of record, in turns of one and of several.
 fn all_records() -> Vec<Vec<Record>> {
     vec![
-        vec![Record::Taken(1, taken(1, "order", 40)), Record::Taken(2, taken(2, "note", 0))],
-        vec![begun(1, 0), begun(2, 0), Record::Taken(3, taken(3, "order", 300))],
-        vec![Record::Ended { message: 1, attempt: 0, never_ran: true }],
-        vec![Record::Ended { message: 2, attempt: 0, never_ran: false }, begun(1, 1)],
-        vec![begun(3, 0), Record::Taken(4, taken(4, "order", 5)), Record::Taken(5, taken(5, "note", 6))],
-        vec![Record::GivenUp(2, GivenUp::Deferred(2_500_000)), Record::GivenUp(5, GivenUp::Undeliverable)],
-        vec![begun(4, 0), remembered(3, true), Record::Over(3)],
+        vec![Record::Accepted(1, taken(1, "order", 40)), Record::Accepted(2, taken(2, "note", 0))],
+        vec![begun(1, 0), begun(2, 0), Record::Accepted(3, taken(3, "order", 300))],
+        vec![Record::AttemptEnded { message: 1, attempt: 0, never_ran: true }],
+        vec![Record::AttemptEnded { message: 2, attempt: 0, never_ran: false }, begun(1, 1)],
+        vec![
+            begun(3, 0),
+            Record::Accepted(4, taken(4, "order", 5)),
+            Record::Accepted(5, taken(5, "note", 6)),
+        ],
+        vec![
+            Record::Abandoned(2, Abandonment::Deferred(2_500_000)),
+            Record::Abandoned(5, Abandonment::Undeliverable),
+        ],
+        vec![begun(4, 0), remembered(3, true), Record::Completed(3)],
     ]
 }
 
@@ -252,15 +283,15 @@
     for n in 10..10 + turns {
         let now = START + u64::from(n) * 10_000;
         let class = if n % 2 == 0 { "order" } else { "note" };
-        append(journal, now, vec![Record::Taken(n, taken(n, class, 200)), begun(n, 0)])?;
+        append(journal, now, vec![Record::Accepted(n, taken(n, class, 200)), begun(n, 0)])?;
         if n % 16 != 0 {
-            let ended = Record::Ended { message: n, attempt: 0, never_ran: false };
+            let ended = Record::AttemptEnded { message: n, attempt: 0, never_ran: false };
             let mut records = vec![ended];
             records.extend(n.is_multiple_of(2).then(|| remembered(n, n % 4 == 0)));
-            records.push(Record::Over(n));
+            records.push(Record::Completed(n));
             append(journal, now + 5_000, records)?;
         }
-        journal.tidy(now + 6_000)?;
+        journal.compact_step(now + 6_000)?;
     }
     Ok(())
 }
@@ -289,12 +320,12 @@
     let mut journal = open(folder)?;
     for n in 1..30 {
         let now = START + u64::from(n) * SECOND;
-        append(&mut journal, now, vec![Record::Taken(n, taken(n, "order", 10)), begun(n, 0)])?;
-        append(&mut journal, now + 1, vec![remembered(n, n % 3 > 0), Record::Over(n)])?;
-        journal.tidy(now + 2)?;
+        append(&mut journal, now, vec![Record::Accepted(n, taken(n, "order", 10)), begun(n, 0)])?;
+        append(&mut journal, now + 1, vec![remembered(n, n % 3 > 0), Record::Completed(n)])?;
+        journal.compact_step(now + 2)?;
     }
-    journal.tidy(START + 605 * SECOND)?;
-    append(&mut journal, START + 606 * SECOND, vec![Record::Taken(31, taken(31, "order", 10))])
+    journal.compact_step(START + 605 * SECOND)?;
+    append(&mut journal, START + 606 * SECOND, vec![Record::Accepted(31, taken(31, "order", 10))])
 }
 
 /// Two cores write to one journal, and a destination goes from one to the other.
@@ -303,17 +334,17 @@
     let mut numbers = Vec::new();
     for n in 0..6 {
         let part = &mut parts[n % 2];
-        let number = part.number()?;
+        let number = part.next_message_number()?;
         numbers.push(number);
         // Destinations 1 and 3, or 2 and 4.
-        let mut records = vec![Record::Taken(number, taken(n as u32 + 3, "order", 20)), begun(number, 0)];
+        let mut records = vec![Record::Accepted(number, taken(n as u32 + 3, "order", 20)), begun(number, 0)];
         part.append(START + n as u64, &mut records).map_err(io::Error::other)?;
     }
-    let moved = parts[0].part([numbers[0]]);
-    parts[1].join(moved);
-    let mut records = vec![Record::Ended { message: numbers[0], attempt: 0, never_ran: true }];
+    let moved = parts[0].detach([numbers[0]]);
+    parts[1].attach(moved);
+    let mut records = vec![Record::AttemptEnded { message: numbers[0], attempt: 0, never_ran: true }];
     parts[1].append(START + 10, &mut records).map_err(io::Error::other)?;
-    let mut records = vec![Record::Over(numbers[2])];
+    let mut records = vec![Record::Completed(numbers[2])];
     parts[0].append(START + 11, &mut records).map_err(io::Error::other)
 }
 
@@ -321,7 +352,7 @@
 fn legacy(folder: &Path) -> io::Result<()> {
     let mut bytes = Vec::new();
     let records = all_records().into_iter().flatten();
-    for record in records.filter(|record| !matches!(record, Record::Remembered(_))) {
+    for record in records.filter(|record| !matches!(record, Record::LedgerEntry(_))) {
         let body = postcard::to_allocvec(&record).map_err(io::Error::other)?;
         let length = u32::try_from(body.len()).map_err(io::Error::other)?;
         bytes.extend(length.to_le_bytes());
@@ -334,7 +365,7 @@
 /// What a sender knows, at some moment.
 struct World {
     now: Micros,
-    all: BTreeMap<u16, Kept>,
+    all: BTreeMap<u16, DestinationRecord>,
 }
 
 impl Source for World {
@@ -342,8 +373,8 @@
         self.all.keys().copied().collect()
     }
 
-    fn kept(&self, destination: u16) -> Option<Kept> {
-        Some(Kept { at: self.now, ..self.all.get(&destination)?.clone() })
+    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
+        Some(DestinationRecord { at: self.now, ..self.all.get(&destination)?.clone() })
     }
 
     fn list(&self) -> (u64, Micros) {
@@ -351,9 +382,9 @@
     }
 }
 
-fn kept(destination: u16) -> Kept {
+fn kept(destination: u16) -> DestinationRecord {
     let n = u64::from(destination);
-    let listed = |of: u64, status| Listed {
+    let listed = |of: u64, status| ListedEndpoint {
         name: format!("endpoint-{n}-{of}"),
         address: format!("10.0.{n}.{of}:7000"),
         zone: "near".to_owned(),
@@ -361,39 +392,43 @@
         status,
         weight: 12.5,
     };
-    let worst = [Worst::Well, Worst::Full, Worst::Failed][usize::from(destination % 3)];
-    let learnt = Learnt {
+    let worst = [Condition::Healthy, Condition::Rejecting, Condition::Failing][usize::from(destination % 3)];
+    let learnt = RouteSnapshot {
         wait_until: START + n * SECOND,
         limit: 20.5,
-        short_at: Some(START - 1),
-        pace: 7.25,
-        rate: 3.5,
-        worst,
+        shortage_at: Some(START - 1),
+        send_rate: 7.25,
+        success_rate: 3.5,
+        condition: worst,
         failures: 2,
-        ill_since: Some(START - 2),
+        unhealthy_since: Some(START - 2),
         cold_since: Some(START - 3),
-        well_at: START - 4,
+        last_success_at: START - 4,
         trial: Some((START + 5 * SECOND, 6)),
-        spent: (2.5, START - 7),
-        answers: Some((20_000.5, 5_000.25)),
+        recent_calls: (2.5, START - 7),
+        latency: Some((20_000.5, 5_000.25)),
     };
     let endpoint = destination.is_multiple_of(2).then(|| format!("endpoint-{n}-1"));
-    Kept {
+    DestinationRecord {
         at: 0,
-        listed: vec![listed(1, Status::Active), listed(2, Status::Leaving), listed(3, Status::Left)],
+        listed: vec![
+            listed(1, EndpointStatus::Active),
+            listed(2, EndpointStatus::Draining),
+            listed(3, EndpointStatus::Removed),
+        ],
         routes: vec![(endpoint, learnt)],
     }
 }
 
 /// A whole, and differences behind it.
 fn known_files(folder: &Path) -> io::Result<()> {
-    let options = known::store::Options { size: 64 << 10, sync: true };
+    let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
     let disk = Box::new(Folder::beside(folder));
     let (mut store, _) = Store::open(disk, OWNER, options)?;
     let mut world = World { now: START, all: (1..=6).map(|n| (n, kept(n))).collect() };
     let slice = |store: &mut Store, world: &World| {
         let boot = Some(Boot { id: 0x0123_4567_89ab_cdef, at: world.now - START + 77 });
-        store.slice(&Stamp { wall: world.now, boot }, 64 << 10, world)
+        store.slice(&Timestamp { wall: world.now, boot }, 64 << 10, world)
     };
     for _ in 0..4 {
         slice(&mut store, &world)?;
@@ -401,7 +436,7 @@
     }
     if let Some(kept) = world.all.get_mut(&3) {
         kept.routes[0].1.wait_until = START + 90 * SECOND;
-        kept.listed[0].status = Status::Leaving;
+        kept.listed[0].status = EndpointStatus::Draining;
     }
     store.pressing(3, true, world.now);
     store.touched(4, world.now);
@@ -415,30 +450,30 @@
 /// A generation that is begun behind one that has grown, and a marker of an earlier loss.
 fn generations(folder: &Path) -> io::Result<()> {
     known_files(folder)?;
-    let options = known::store::Options { size: 64 << 10, sync: true };
+    let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
     let (mut store, _) = Store::open(Box::new(Folder::beside(folder)), OWNER, options)?;
     // More than one slice holds, so that the further generation is not at its end.
-    let mut all: BTreeMap<u16, Kept> = (1..=120).map(|n| (n, kept(n))).collect();
+    let mut all: BTreeMap<u16, DestinationRecord> = (1..=120).map(|n| (n, kept(n))).collect();
     all.values_mut().for_each(|kept| kept.routes[0].1.wait_until = 0);
     let world = World { now: START + 100 * SECOND, all };
-    store.slice(&Stamp { wall: world.now, boot: None }, 64 << 10, &world)?;
-    fs::write(folder.join(known::store::GIVEN_BACK), "")
+    store.slice(&Timestamp { wall: world.now, boot: None }, 64 << 10, &world)?;
+    fs::write(folder.join(health_snapshot::store::RELEASED_MARKER), "")
 }
 
 /// Names of endpoints that are held out by hand, and what classes meant.
 fn beside(folder: &Path) -> io::Result<()> {
-    let mut held_out = HeldOut::new(ROOM);
+    let mut held_out = Ejections::new(ROOM);
     for name in ["endpoint-2", "endpoint-1", "an\\odd\nname"] {
         held_out.enter(name).map_err(|refused| io::Error::other(refused.text()))?;
     }
     fs::write(folder.join("held-out"), held_out.text())?;
-    let keyed = |group| Effect::Keyed { group, window: 6 * SECOND };
+    let keyed = |group| Idempotency::Keyed { scope: group, window: 6 * SECOND };
     let classes: Classes = [
-        ("all", keyed(Group::All)),
-        ("endpoint", keyed(Group::Endpoint)),
-        ("once", Effect::Once),
-        ("safe", Effect::Repeatable),
-        ("zone", keyed(Group::Zone)),
+        ("all", keyed(IdempotencyScope::All)),
+        ("endpoint", keyed(IdempotencyScope::Endpoint)),
+        ("once", Idempotency::NonIdempotent),
+        ("safe", Idempotency::Idempotent),
+        ("zone", keyed(IdempotencyScope::Zone)),
     ]
     .map(|(name, effect)| (name.to_owned(), effect))
     .into();
@@ -446,15 +481,21 @@
 }
 
 /// What repeating messages of a class does, as the file `classes` has it.
-type Classes = BTreeMap<String, Effect>;
+type Classes = BTreeMap<String, Idempotency>;
 
 /// An effect by names that no renaming changes.
-fn effect(effect: Effect) -> String {
+fn effect(effect: Idempotency) -> String {
     match effect {
-        Effect::Repeatable => "idempotent".to_owned(),
-        Effect::Once => "at most once".to_owned(),
-        Effect::Keyed { group: Group::All, window } => format!("keyed at all endpoints for {window}"),
-        Effect::Keyed { group: Group::Zone, window } => format!("keyed in a zone for {window}"),
-        Effect::Keyed { group: Group::Endpoint, window } => format!("keyed at an endpoint for {window}"),
+        Idempotency::Idempotent => "idempotent".to_owned(),
+        Idempotency::NonIdempotent => "at most once".to_owned(),
+        Idempotency::Keyed { scope: IdempotencyScope::All, window } => {
+            format!("keyed at all endpoints for {window}")
+        }
+        Idempotency::Keyed { scope: IdempotencyScope::Zone, window } => {
+            format!("keyed in a zone for {window}")
+        }
+        Idempotency::Keyed { scope: IdempotencyScope::Endpoint, window } => {
+            format!("keyed at an endpoint for {window}")
+        }
     }
 }
--- a/crates/golden/tests/handover.rs
+++ b/crates/golden/tests/handover.rs
@@ -8,7 +8,7 @@
 use decision::policy::Policy;
 use decision::policy::moving::Parcel;
 use golden::handover::{bodies, canonical, files, listing, names};
-use handover::{State, ToNew, ToOld, frame};
+use handover::{HandoverState, ToPredecessor, ToSuccessor, frame};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -56,9 +56,9 @@
     assert!(recorded.len() >= 6, "{:?}", recorded.keys());
     for (file, bytes) in &recorded {
         match file.as_str() {
-            "state.msgpack" => is_written_again::<State>(file, bytes),
-            "to_old.frames" => frames_are_written_again::<ToOld>(file, bytes),
-            "to_new.frames" => frames_are_written_again::<ToNew>(file, bytes),
+            "state.msgpack" => is_written_again::<HandoverState>(file, bytes),
+            "to_old.frames" => frames_are_written_again::<ToPredecessor>(file, bytes),
+            "to_new.frames" => frames_are_written_again::<ToSuccessor>(file, bytes),
             "names.txt" => {}
             _ if file.starts_with("policy-") => is_written_again::<Policy>(file, bytes),
             _ if file.starts_with("parcel-") => is_written_again::<Parcel>(file, bytes),
@@ -71,9 +71,9 @@
 #[test]
 fn a_recorded_state_is_taken_over() {
     let recorded = recorded();
-    let state: State = rmp_serde::from_slice(&recorded["state.msgpack"]).unwrap();
+    let state: HandoverState = rmp_serde::from_slice(&recorded["state.msgpack"]).unwrap();
     let settings = golden::handover::settings(1);
-    let policy = Policy::taken_over(&state.policy, settings, 1, state.at).unwrap();
+    let policy = Policy::taken_over(&state.policy, settings, 1, state.stopped_at).unwrap();
     assert!(!policy.messages().is_empty() && policy.calls_out() > 0);
 }
 
--- a/crates/sender/tests/node/closes.rs
+++ b/crates/sender/tests/node/closes.rs
@@ -7,7 +7,7 @@
 
 use super::program;
 use serde_json::json;
-use standins::*;
+use test_doubles::*;
 
 const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
 const ROUNDS: usize = 6;
