--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -64,7 +64,7 @@
     }
     // The program is the sender too, so that what it starts is always the code that it was built with.
     if arguments.nth(1).is_some_and(|first| first == scenario::SENDER) {
-        return sender::program::main(std::iter::once("myrtleyard".into()).chain(arguments));
+        return sender::cli::main(std::iter::once("myrtleyard".into()).chain(arguments));
     }
     let Arguments { name, options } = Arguments::parse();
     if name == "list" {
--- a/crates/sender/src/program.rs
+++ b/crates/sender/src/cli/mod.rs
@@ -12,12 +12,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
+mod journal;
+mod snapshot;
+
 use crate::config::{self, Config};
-use crate::look;
 use crate::ports::Inbound;
 use crate::process;
-use crate::pulse;
-use crate::show_known;
+use crate::stall_detector;
 
 /// What `[dormant]` has where it says no more than `after`.
 const REMEMBER: Micros = 30 * 86_400_000_000;
@@ -103,15 +104,15 @@
     };
     let done = match arguments.command {
         Some(Task::Journal { command }) => match command {
-            Look::Verify { folder } => look::verify(&folder),
-            Look::List { folder } => look::list(&folder),
-            Look::Export { folder } => look::export(&folder),
+            Look::Verify { folder } => journal::verify(&folder),
+            Look::List { folder } => journal::list(&folder),
+            Look::Export { folder } => journal::export(&folder),
         },
         Some(Task::Known { command }) => match command {
-            Known::Show { folder } => show_known::show(&folder),
-            Known::Diff { folder, other } => show_known::diff(&folder, &other),
+            Known::Show { folder } => snapshot::show(&folder),
+            Known::Diff { folder, other } => snapshot::diff(&folder, &other),
         }
-        .and_then(look::print),
+        .and_then(journal::print),
         Some(Task::Check { file }) => operators(&file).map(|_| println!("{}: well", file.display())),
         None => {
             arguments.operators.as_deref().map_or_else(|| Ok(Operators::default()), operators).and_then(run)
@@ -151,10 +152,10 @@
     let mut config = config::read()?;
     config.settings.idle = dormant(&operators.dormant);
     config.settings.gossip = shared(&operators.shared, &config)?;
-    let runtime = pulse::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
+    let runtime = stall_detector::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::task::spawn_local(pulse::beat());
+        tokio::task::spawn_local(stall_detector::beat());
         let (inbound, events) = mpsc::unbounded_channel();
         for kind in [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()] {
             let mut asked = signal(kind).map_err(|e| format!("signals: {e}"))?;
--- a/crates/sender/src/show_known.rs
+++ b/crates/sender/src/cli/snapshot.rs
@@ -10,8 +10,8 @@
 use journal::disk::Folder;
 use operator_config::KnownClock;
 
-use crate::known::stamp;
-use crate::look::{printed, seconds};
+use crate::cli::journal::{printed, seconds};
+use crate::persistence::snapshot::stamp;
 use crate::ports::Clock;
 
 /// What is believed for as long as the operators' file has it, unless it is told.
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -6,7 +6,7 @@
 use decision::interface::Settings;
 use serde::Deserialize;
 
-use crate::list::ListBody;
+use crate::discovery::endpoint_list::ListBody;
 
 /// All that the sender is told.
 #[derive(Debug, Clone)]
--- a/crates/sender/src/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -8,7 +8,7 @@
 use decision::interface::*;
 
 use crate::config::Names;
-use crate::list::{ListBody, Listing as Listed};
+use crate::discovery::endpoint_list::{ListBody, Listing as Listed};
 use crate::ports::Transport;
 
 /// Entries of a long list that are taken in in one turn: bounds the pause that a list makes.
--- /dev/null
+++ b/crates/sender/src/discovery/watch.rs
@@ -0,0 +1,98 @@
+//! The watch on the endpoint list: a long poll that is renewed for as long as the process runs.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use decision::interface::Event;
+use hyper::{Request, StatusCode};
+use tokio::sync::mpsc::UnboundedSender;
+use tokio::sync::{Notify, watch::Receiver};
+use tokio::time::timeout;
+
+use crate::discovery::endpoint_list::{ListBody, Listed};
+use crate::discovery::poll_schedule::{Again, Unanswered};
+use crate::platform_client::ask;
+use crate::ports::Inbound;
+
+/// How long a watch may be held open.
+const HOLD: Duration = Duration::from_secs(20);
+/// How much later its answer may come; one that need not wait comes at once. What a silent watch missed counts as told 2 s
+/// after its wait: it is known to be silent before.
+const HOLD_SLACK: Duration = Duration::from_millis(1_500);
+const LIST_TIMEOUT: Duration = Duration::from_secs(1);
+/// One of more bytes takes a millisecond and more to read.
+const LONG_LIST: usize = 128 << 10;
+
+/// Guards turns against the time that a long list takes to read: another thread does it.
+async fn read_list(body: Bytes) -> Option<ListBody> {
+    if body.len() <= LONG_LIST {
+        return serde_json::from_slice(&body).ok();
+    }
+    tokio::task::spawn_blocking(move || serde_json::from_slice(&body).ok()).await.ok().flatten()
+}
+
+/// Watches the list from the version that is known, or the whole of it, for as long as the process runs. What is known is good
+/// for some time, if that was told. Where discovery moves,
+/// it begins anew with the whole list there: versions of two places must not mix.
+pub async fn watch_endpoints(
+    mut discovery: Receiver<SocketAddr>,
+    known: Option<u64>,
+    whole: Rc<Notify>,
+    mut again: Again,
+    good_for: Duration,
+    inbound: UnboundedSender<Inbound>,
+) {
+    let mut from = known;
+    tokio::time::sleep(again.first(good_for)).await;
+    let mut conn = None;
+    loop {
+        let address = *discovery.borrow_and_update();
+        let (path, within) = match from {
+            Some(from) => {
+                (format!("/v1/endpoints?from={from}&hold_ms={}", HOLD.as_millis()), HOLD + HOLD_SLACK)
+            }
+            None => ("/v1/endpoints".to_owned(), LIST_TIMEOUT),
+        };
+        let Ok(request) = Request::get(path).header("host", address.to_string()).body(Bytes::new()) else {
+            return;
+        };
+        let answer = tokio::select! {
+            answer = timeout(within, ask(&mut conn, address, request)) => answer,
+            () = whole.notified() => {
+                from = None;
+                continue;
+            }
+            Ok(()) = discovery.changed() => {
+                (from, conn) = (None, None);
+                continue;
+            }
+        };
+        let list = match answer {
+            Ok(Ok((StatusCode::OK, body))) => read_list(body).await.ok_or(Unanswered::Broken),
+            Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
+                Err(Unanswered::TurnedAway)
+            }
+            _ => Err(Unanswered::Broken),
+        };
+        let said = match list {
+            Ok(list) => {
+                again.answered();
+                from = Some(list.index);
+                Inbound::EndpointsUpdated(Listed(Arc::new(list)))
+            }
+            Err(how) => {
+                conn = None;
+                if let Ok(Ok(())) = timeout(again.rest(how), discovery.changed()).await {
+                    from = None;
+                }
+                Inbound::Event(Event::DiscoveryFailed)
+            }
+        };
+        if inbound.send(said).is_err() {
+            return;
+        }
+    }
+}
--- a/crates/sender/src/driver/duty.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -10,7 +10,7 @@
 use std::fmt::Write as _;
 
 use super::Driver;
-use crate::kept;
+use crate::persistence::ejections;
 use crate::ports::AdminResponse;
 
 impl Driver {
@@ -53,7 +53,7 @@
                 };
                 // Before the yes: it holds for the next process too.
                 if held_out != *self.directory.held_out()
-                    && let Err(e) = kept::write(&self.state, &held_out)
+                    && let Err(e) = ejections::write(&self.state, &held_out)
                 {
                     return told(500, &format!("it can't be kept, and nothing changes: {e}\n"));
                 }
--- a/crates/sender/src/driver/taking.rs
+++ b/crates/sender/src/event_loop/messages.rs
@@ -5,8 +5,8 @@
 use journal::{Abandonment, LedgerEntry, Record};
 
 use super::{Driver, Fresh, NO_REQUEST, NO_ROOM_AGAIN, UNLISTED_AGAIN, message};
+use crate::persistence::journal::Store;
 use crate::ports::{Answer, AttemptOver, Submission};
-use crate::store::Store;
 
 impl Driver {
     pub(super) fn handed_in(&mut self, message: Submission, said: &mut Vec<Event>) {
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/event_loop/mod.rs
@@ -19,31 +19,32 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, oneshot, watch};
 
-use crate::again::Again;
 use crate::config::{self, Config};
-use crate::cores::Elsewhere;
-use crate::directory::{Directory, SLICE};
-use crate::handover::Before;
+use crate::discovery;
+use crate::discovery::directory::{Directory, SLICE};
+use crate::discovery::endpoint_list::{ListBody, Listed};
+use crate::discovery::poll_schedule::Again;
+use crate::gossip_socket::Peers;
+use crate::hand_over::Before;
+use crate::hand_over::socket::Link;
 use crate::http;
-use crate::known::Memory;
-use crate::link::Link;
-use crate::list::{ListBody, Listed};
-use crate::meanings::Meanings;
-use crate::peers::Peers;
-use crate::platform::{self, Notice};
+use crate::notifications::{self, Notice};
+use crate::persistence::class_idempotency::Meanings;
+use crate::persistence::journal::Store;
+use crate::persistence::snapshot::Memory;
 use crate::ports::{Answer, AttemptOver, CallMessage, Clock, Frontend, Inbound, Transport, WriteOptions};
-use crate::store::Store;
+use crate::shards::Elsewhere;
 
-mod begin;
-mod duty;
-mod learnt;
-mod left;
-mod taking;
-mod team;
+mod admin_requests;
+mod messages;
+mod recovery;
+mod recovery_report;
+mod shard;
+mod snapshot;
 
-pub use team::Member;
+pub use shard::Member;
 
-use left::Untried;
+use recovery_report::Untried;
 
 /// From SIGTERM until the process may be killed.
 const STOP_WITHIN: Micros = 3_700_000;
@@ -292,16 +293,18 @@
     }
     // On-call staff learn of a process that takes clients from when on it does.
     if let (Some(address), false) = (config.ops, begun) {
-        let place = http::ops::listen(address, inbound.clone()).map_err(|e| format!("ops: {e}"))?;
+        let place = http::admin::listen(address, inbound.clone()).map_err(|e| format!("ops: {e}"))?;
         eprintln!("{} answers on-call staff on {place}", config.name);
     }
-    tokio::task::spawn_local(platform::notices(found.clone(), owed, inbound.clone()));
+    tokio::task::spawn_local(notifications::send_all(found.clone(), owed, inbound.clone()));
     let grace = Duration::from_micros(config.settings.rules.drain_timeout);
     let again = Again::new(config.settings.senders, grace, config.seed);
     let good_for = Duration::from_micros(belief.list.good_for);
     // One core watches the list for all.
     let watch = (me == sharding::ShardId(0)).then(|| {
-        tokio::task::spawn_local(platform::watch(found, from, whole_list, again, good_for, inbound))
+        tokio::task::spawn_local(discovery::watch::watch_endpoints(
+            found, from, whole_list, again, good_for, inbound,
+        ))
     });
     if me == sharding::ShardId(0) {
         driver.say_ready(&config.name, &places);
@@ -322,7 +325,7 @@
         let due = due.min(to_write.unwrap_or(due));
         let first = tokio::select! {
             first = events.recv() => first,
-            () = team::woken(driver.member.as_ref()) => None,
+            () = shard::woken(driver.member.as_ref()) => None,
             () = tokio::time::sleep_until(clock.instant(due.min(clock.now() + 60_000_000))) => None,
         };
         // Turns are a period apart at least, as the module is told.
--- a/crates/sender/src/driver/begin.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -8,11 +8,11 @@
 use health_snapshot::belief::{LIST_GOOD_FOR, RestoredState};
 use journal::{Abandonment, PendingMessage, Record};
 
-use super::left::Without;
+use super::recovery_report::Without;
 use super::{Driver, NO_REQUEST, message};
-use crate::known::first_list;
-use crate::list::ListBody;
-use crate::store::Store;
+use crate::discovery::endpoint_list::ListBody;
+use crate::persistence::journal::Store;
+use crate::persistence::snapshot::first_list;
 
 impl Driver {
     /// What another process knew, with what is in the journal that it gave up.
--- a/crates/sender/src/driver/team.rs
+++ b/crates/sender/src/event_loop/shard.rs
@@ -14,9 +14,9 @@
 use tokio::sync::oneshot;
 
 use super::Driver;
-use crate::cores::{BUSY_AGAIN, Bundle, Elsewhere, Figures, Post, Say, Team};
+use crate::persistence::journal::Store;
 use crate::ports::{AdminResponse, Answer, Frontend, Inbound};
-use crate::store::Store;
+use crate::shards::{BUSY_AGAIN, Bundle, Elsewhere, Figures, Post, Say, Team};
 
 /// A destination that can't go for so long stays.
 const DEPART_WITHIN: Micros = 1_000_000;
--- a/crates/sender/src/driver/learnt.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -4,7 +4,7 @@
 use health_snapshot::belief::RestoredState;
 
 use super::Driver;
-use crate::known::View;
+use crate::persistence::snapshot::View;
 
 impl Driver {
     /// What an earlier process learnt, as far as it is believed: to be told behind the list.
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -1,6 +1,8 @@
 //! The two sides of a hand-over, over a socket in the folder that lasts. What is said and when stands in the package
 //! `handover`; here it is carried out.
 
+pub mod socket;
+
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fs::{self, File};
@@ -21,7 +23,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use crate::link::Link;
+use crate::hand_over::socket::Link;
 use crate::ports::{
     AdminResponse, CallMessage, Clock, Frontend, Inbound, Submission, Transport, WriteOptions,
 };
--- a/crates/sender/src/http/calls.rs
+++ b/crates/sender/src/http/client.rs
@@ -18,9 +18,9 @@
 use tokio::sync::{mpsc::UnboundedSender, oneshot};
 use tokio::time::{Instant, timeout, timeout_at};
 
-use super::conn::{Conn, Leave, Passed, REST_OF_ANSWER, Unanswered};
+use super::connection::{Conn, Leave, Passed, REST_OF_ANSWER, Unanswered};
+use crate::http::active_waits::Waits;
 use crate::ports::{AttemptOver, CallMessage, Inbound, Transport, WriteOptions};
-use crate::waits::Waits;
 
 /// Where an endpoint is dialled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/sender/src/http/mod.rs
+++ b/crates/sender/src/http/mod.rs
@@ -1,6 +1,7 @@
-//! HTTP, the first front and the first carrier.
+//! HTTP/1.1: the server for clients, the client for endpoints, and the administrative address.
 
-pub mod calls;
-pub mod conn;
-pub mod intake;
-pub mod ops;
+pub mod active_waits;
+pub mod admin;
+pub mod client;
+pub mod connection;
+pub mod server;
--- a/crates/sender/src/http/intake.rs
+++ b/crates/sender/src/http/server.rs
@@ -28,9 +28,9 @@
 use admin::door::AdmissionGate;
 use journal::AcceptedMessage;
 
-use crate::cores::{Post, Say};
 use crate::ports::{Answer, Clock, Frontend, Inbound, MAX_BODY_BYTES, Submission};
-use crate::pulse;
+use crate::shards::{Post, Say};
+use crate::stall_detector;
 
 /// Guards the places for clients: a connection that brings no request for so long is closed.
 const HEAD_WITHIN: Duration = Duration::from_millis(2200);
@@ -358,7 +358,7 @@
         match other.filter(|(post, owner)| *owner != post.me()) {
             Some((post, owner)) => {
                 if let Err(Say::HandedIn(message)) = post.try_say(owner, Say::HandedIn(message)) {
-                    let _ = message.answer.send(Answer::Rejected(crate::cores::BUSY_AGAIN));
+                    let _ = message.answer.send(Answer::Rejected(crate::shards::BUSY_AGAIN));
                 }
                 Some(owner)
             }
@@ -454,7 +454,7 @@
 
     /// Guards against anything that a client may write: what can't be meant as a message gets 400.
     async fn hand_in(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let came = self.clock.now().saturating_sub(pulse::behind().as_micros() as Micros);
+        let came = self.clock.now().saturating_sub(stall_detector::behind().as_micros() as Micros);
         let (head, body) = request.into_parts();
         let bad = |what| told_off(StatusCode::BAD_REQUEST, what);
         // Guards against a second request hidden in the body: beside it the library drops a Content-Length, or
--- a/crates/sender/src/lib.rs
+++ b/crates/sender/src/lib.rs
@@ -1,28 +1,21 @@
-//! One real sender: it takes messages on from clients and delivers them to endpoints, as the decision module says.
+//! One sender process: it accepts messages from clients and delivers them to endpoints, as the decision module says.
 //!
-//! A message passes through [`ports::Front`] → [`driver`] → the decision module → the journal → [`ports::Carrier`], and
-//! what came of it takes the same way back. Nothing here decides which server is called, whether again, or what is
-//! turned away; nothing is answered or called before the journal has it; and one task, the driver, owns the state.
+//! A message passes through [`ports::Frontend`], the [`event_loop`], the decision module and the journal to
+//! [`ports::Transport`]; its outcome takes the same way back. Nothing here decides which server is called, whether a
+//! message is retried, or what is rejected; nothing is answered or called before the journal has it; and one task, the
+//! event loop, owns the state.
 
-pub mod again;
+pub mod cli;
 pub mod config;
-pub mod cores;
-pub mod directory;
-pub mod driver;
-pub mod handover;
+pub mod discovery;
+pub mod event_loop;
+pub mod gossip_socket;
+pub mod hand_over;
 pub mod http;
-mod kept;
-mod known;
-mod link;
-mod list;
-mod look;
-mod meanings;
-pub mod peers;
-pub mod platform;
+pub mod notifications;
+mod persistence;
+mod platform_client;
 pub mod ports;
 mod process;
-pub mod program;
-mod pulse;
-mod show_known;
-pub mod store;
-pub mod waits;
+pub mod shards;
+mod stall_detector;
--- a/crates/sender/src/main.rs
+++ b/crates/sender/src/main.rs
@@ -1,5 +1,5 @@
 //! The program `myrtleyard`: see the crate `sender`.
 
 fn main() -> std::process::ExitCode {
-    sender::program::main(std::env::args_os())
+    sender::cli::main(std::env::args_os())
 }
--- a/crates/sender/src/known.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -12,8 +12,8 @@
 use journal::disk::Folder;
 use operator_config::{KnownClock, KnownTable};
 
-use crate::directory::Directory;
-use crate::list::{ListBody, Listing};
+use crate::discovery::directory::Directory;
+use crate::discovery::endpoint_list::{ListBody, Listing};
 use crate::ports::Clock;
 
 /// For how long limits and answer times are believed, unless it is told.
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -13,8 +13,8 @@
 use journal::AcceptedMessage;
 use tokio::sync::oneshot;
 
-use crate::link::Link;
-use crate::list::Listed;
+use crate::discovery::endpoint_list::Listed;
+use crate::hand_over::socket::Link;
 
 /// Takes messages on from clients. What it is handed goes to the driver as [`Inbound::HandedIn`], and a client that
 /// goes away before its answer as [`Inbound::Withdrawn`]; it answers nobody before the driver has.
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -20,20 +20,20 @@
 use tokio::sync::watch;
 
 use crate::config::{self, Config};
-use crate::cores::{Post, Room, Say, Team};
-use crate::driver::{self, Ended, Left, Member, Parts};
-use crate::handover::{self as link, Before, Carried};
+use crate::event_loop::{self, Ended, Left, Member, Parts};
+use crate::gossip_socket::Peers;
+use crate::hand_over::socket::Link;
+use crate::hand_over::{self as link, Before, Carried};
 use crate::http;
-use crate::http::calls::{Calls, Limits};
-use crate::http::intake::Intake;
-use crate::kept;
-use crate::known::{self, Keeping};
-use crate::link::Link;
-use crate::meanings::{self, Meanings};
-use crate::peers::Peers;
+use crate::http::client::{Calls, Limits};
+use crate::http::server::Intake;
+use crate::persistence::class_idempotency::{self, Meanings};
+use crate::persistence::ejections;
+use crate::persistence::journal::Store;
+use crate::persistence::snapshot::{self, Keeping};
 use crate::ports::{Clock, Frontend, Inbound, Transport};
-use crate::pulse;
-use crate::store::Store;
+use crate::shards::{Post, Room, Say, Team};
+use crate::stall_detector;
 
 /// Descriptors that are neither clients' nor endpoints'.
 const OWN_SOCKETS: usize = 32;
@@ -65,8 +65,8 @@
     journal::Options {
         limit: config
             .disk
-            .saturating_sub(if config.ops.is_some() { kept::RESERVED } else { 0 })
-            .saturating_sub(meanings::reserved(config.names.classes.iter().map(String::as_str))),
+            .saturating_sub(if config.ops.is_some() { ejections::RESERVED } else { 0 })
+            .saturating_sub(class_idempotency::reserved(config.names.classes.iter().map(String::as_str))),
         sync: table.sync == operator_config::Sync::Group,
         damage,
         retain,
@@ -121,14 +121,14 @@
 fn meanings(config: &Config, journal: &Journal) -> Meanings {
     let effects = config.settings.classes.iter().map(|class| class.idempotency);
     let now: Meanings = config.names.classes.iter().cloned().zip(effects).collect();
-    let before = meanings::read(&config.state).unwrap_or_else(|e| {
+    let before = class_idempotency::read(&config.state).unwrap_or_else(|e| {
         eprintln!("{e}");
         now.keys().map(|name| (name.clone(), Idempotency::NonIdempotent)).collect()
     });
     let held = journal.live().values().map(|live| live.message.class.to_string()).collect();
-    let joined = meanings::joined(&before, &now, &held);
+    let joined = class_idempotency::joined(&before, &now, &held);
     if joined != before
-        && let Err(e) = meanings::write(&config.state, &joined)
+        && let Err(e) = class_idempotency::write(&config.state, &joined)
     {
         eprintln!("what the classes mean can't be written down for the next process: {e}");
     }
@@ -198,7 +198,7 @@
 
 /// Places for clients, and as many for endpoints, of all cores together.
 fn places(config: &Config, cores: usize) -> usize {
-    let own = OWN_SOCKETS + config.ops.map_or(0, |_| http::ops::CALLERS + 1);
+    let own = OWN_SOCKETS + config.ops.map_or(0, |_| http::admin::CALLERS + 1);
     let own = own + if cores > 1 { cores * CORE_SOCKETS } else { 0 };
     (config.sockets.saturating_sub(own) / 2).max(1)
 }
@@ -271,10 +271,11 @@
     }
 
     fn run(self) -> Result<(), String> {
-        let runtime = pulse::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
+        let runtime =
+            stall_detector::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            tokio::task::spawn_local(pulse::beat());
+            tokio::task::spawn_local(stall_detector::beat());
             let (inbound, mut events) = tokio::sync::mpsc::unbounded_channel();
             let post = Rc::new(Post::new(self.core, self.team));
             let sides =
@@ -299,7 +300,7 @@
                 belief: RestoredState::default(),
                 meanings: self.meanings,
             };
-            driver::run(&self.config, parts, inbound, &mut events).await.map(drop)
+            event_loop::run(&self.config, parts, inbound, &mut events).await.map(drop)
         })
     }
 }
@@ -320,7 +321,7 @@
     let aim = config.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
     let sync = operators.journal.sync == operator_config::Sync::Group;
     let keeping = Keeping::of(&operators.known, config.disk, sync, aim);
-    let mut memory = keeping.and_then(|keeping| known::open(&config.state, &config.name, &keeping));
+    let mut memory = keeping.and_then(|keeping| snapshot::open(&config.state, &config.name, &keeping));
     let written = memory.as_ref().map_or(0, |(_, snapshot)| snapshot.stamp.wall);
     let latest = told.as_ref().map_or(0, |told| told.1.stopped_at).max(journal.latest()).max(written);
     let (clock, mut set_back) = Clock::after(latest);
@@ -358,7 +359,7 @@
                 journal.share(team.count(), |destination| owners.owner(destination).index()).into_iter();
             let first = parts.next().ok_or("no core has the journal")?;
             for (core, part) in (1..).map(ShardId).zip(parts) {
-                let held_out = kept::read(&config.state);
+                let held_out = ejections::read(&config.state);
                 let beside = Beside {
                     core,
                     team: team.clone(),
@@ -381,11 +382,11 @@
     loop {
         // Who goes on after all opens it once more: another process had it meanwhile.
         if memory.is_none() {
-            memory = keeping.and_then(|keeping| known::open(&config.state, &config.name, &keeping));
+            memory = keeping.and_then(|keeping| snapshot::open(&config.state, &config.name, &keeping));
         }
         let mut belief = RestoredState::default();
         let memory = memory.take().zip(keeping).map(|((mut memory, snapshot), keeping)| {
-            let believed = known::believe(&snapshot, &keeping, clock.now(), config.known.index);
+            let believed = snapshot::believe(&snapshot, &keeping, clock.now(), config.known.index);
             memory.moved_by(believed.shift);
             if taken_over.is_none() {
                 belief = believed;
@@ -409,7 +410,8 @@
             carriers,
             peers,
             door: sides.door.clone(),
-            held_out: kept::read(&config.state).map_err(|e| format!("{}: {e}", config.state.display()))?,
+            held_out: ejections::read(&config.state)
+                .map_err(|e| format!("{}: {e}", config.state.display()))?,
             begun,
             taken_over: taken_over.take(),
             before: before.take(),
@@ -421,7 +423,7 @@
             meanings: meanings.clone(),
         };
         let (successor, state, so_far, left) =
-            match driver::run(&config, parts, inbound.clone(), &mut events).await? {
+            match event_loop::run(&config, parts, inbound.clone(), &mut events).await? {
                 Ended::Done => return Ok(()),
                 Ended::HandsOver { successor, state, ends, peers, member } => {
                     if let Some(peers) = peers {
--- a/crates/sender/src/cores/team.rs
+++ b/crates/sender/src/shards/group.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use sharding::{LeasePool, OwnershipMap, ShardId};
 
-use super::post::Mailbox;
+use super::mailbox::Mailbox;
 
 /// What belongs to the whole process, leased to cores.
 #[derive(Debug)]
--- a/crates/sender/src/cores/post.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{Notify, oneshot};
 
 use super::Team;
-use crate::list::Listed;
+use crate::discovery::endpoint_list::Listed;
 use crate::ports::{AttemptOver, Submission};
 
 /// A destination that goes to another core, with all that is known, held and out.
--- a/crates/sender/src/cores/mod.rs
+++ b/crates/sender/src/shards/mod.rs
@@ -1,13 +1,13 @@
 //! Several cores of one sender: a thread each, with a driver, a module, clients' connections and calls of its own. What they
 //! share is here; what each owns, and who hears what, the package `cores` decides (`docs/cores.md`).
 
-pub mod elsewhere;
-pub mod post;
-pub mod team;
+pub mod group;
+pub mod mailbox;
+pub mod remote;
 
-pub use elsewhere::Elsewhere;
-pub use post::{Bundle, Post, Say};
+pub use mailbox::{Bundle, Post, Say};
+pub use remote::Elsewhere;
 /// Advice to clients whose destination's core has more to do than it can take in, in microseconds.
 pub const BUSY_AGAIN: u64 = 250_000;
 
-pub use team::{Figures, Room, Team};
+pub use group::{Figures, Room, Team};
--- a/crates/sender/src/cores/elsewhere.rs
+++ b/crates/sender/src/shards/remote.rs
@@ -10,7 +10,7 @@
 use sharding::ShardId;
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::post::{Post, Say};
+use super::mailbox::{Post, Say};
 use crate::ports::{CallMessage, Frontend, Inbound, Transport, WriteOptions};
 
 /// The other cores, as a front and a carrier of the first. They own nothing any more: what comes to them is said to the
