--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -9,16 +9,20 @@
 
 use std::fmt::Write as _;
 
-use super::Driver;
+use super::EventLoop;
 use crate::persistence::ejections;
 use crate::ports::AdminResponse;
 
-impl Driver {
+impl EventLoop {
     /// What on-call staff ask for. A no changes nothing.
-    pub(super) fn asked(&mut self, call: AdminRequest, said: &mut Vec<Event>) -> AdminResponse {
+    pub(super) fn handle_admin_request(
+        &mut self,
+        call: AdminRequest,
+        said: &mut Vec<Event>,
+    ) -> AdminResponse {
         let told = |status, text: &str| AdminResponse { status, text: text.to_owned() };
         let done = || told(200, "done\n");
-        let door = *self.door.borrow();
+        let door = *self.gate.borrow();
         if !matches!(call, AdminRequest::Status | AdminRequest::Metrics | AdminRequest::Gossip) {
             eprintln!("on-call staff ask for {call:?}");
         }
@@ -26,8 +30,8 @@
             AdminRequest::Status if door == AdmissionGate::Closing => told(503, "ending\n"),
             AdminRequest::Status => told(200, "taking clients\n"),
             AdminRequest::Metrics => {
-                let (ends, now) = self.figures_of_all();
-                told(200, &(ends.text(now) + &self.figures_by_core()))
+                let (ends, now) = self.combined_figures();
+                told(200, &(ends.text(now) + &self.figures_by_shard()))
             }
             AdminRequest::Gossip => match self.policy.shared() {
                 Some(shared) => told(200, &show_shared(shared, self.clock.now())),
@@ -37,14 +41,14 @@
                 told(409, "ending\n")
             }
             AdminRequest::Standby => {
-                self.door.send_replace(door.standby(self.clock.now()));
+                self.gate.send_replace(door.standby(self.clock.now()));
                 done()
             }
             AdminRequest::Active => {
-                self.door.send_replace(door.active());
+                self.gate.send_replace(door.active());
                 done()
             }
-            AdminRequest::Move { destination, core } => self.asked_to_move(destination, core),
+            AdminRequest::Move { destination, core } => self.request_migration(destination, core),
             AdminRequest::Eject(ref name) | AdminRequest::Reinstate(ref name) => {
                 let out = matches!(call, AdminRequest::Eject(_));
                 let held_out = match self.directory.would_hold_out(name, out) {
@@ -53,7 +57,7 @@
                 };
                 // Before the yes: it holds for the next process too.
                 if held_out != *self.directory.held_out()
-                    && let Err(e) = ejections::write(&self.state, &held_out)
+                    && let Err(e) = ejections::write(&self.state_folder, &held_out)
                 {
                     return told(500, &format!("it can't be kept, and nothing changes: {e}\n"));
                 }
--- a/crates/sender/src/event_loop/mod.rs
+++ b/crates/sender/src/event_loop/mod.rs
@@ -29,10 +29,12 @@
 use crate::hand_over::socket::Link;
 use crate::http;
 use crate::notifications::{self, Notice};
-use crate::persistence::class_idempotency::Meanings;
-use crate::persistence::journal::Store;
-use crate::persistence::snapshot::Memory;
-use crate::ports::{Answer, AttemptOver, CallMessage, Clock, Frontend, Inbound, Transport, WriteOptions};
+use crate::persistence::class_idempotency::ClassIdempotency;
+use crate::persistence::journal::JournalStore;
+use crate::persistence::snapshot::SnapshotStore;
+use crate::ports::{
+    Answer, AttemptCompleted, CallMessage, Clock, Frontend, Inbound, Transport, WriteOptions,
+};
 use crate::shards::Elsewhere;
 
 mod admin_requests;
@@ -42,31 +44,31 @@
 mod shard;
 mod snapshot;
 
-pub use shard::Member;
+pub use shard::Shard;
 
-use recovery_report::Untried;
+use recovery_report::RecoveryReport;
 
 /// From SIGTERM until the process may be killed.
-const STOP_WITHIN: Micros = 3_700_000;
+const SHUTDOWN_TIMEOUT: Micros = 3_700_000;
 /// From SIGTERM until clients have learnt to go elsewhere.
-const STILL_CALLED: Micros = 1_000_000;
+const CLIENT_GRACE: Micros = 1_000_000;
 /// Advice to clients while the journal has no room.
-const NO_ROOM_AGAIN: Micros = 1_000_000;
+const RETRY_AFTER_JOURNAL_FULL: Micros = 1_000_000;
 /// Advice to clients whose destination no list has named yet.
-const UNLISTED_AGAIN: Micros = 1_000_000;
+const RETRY_AFTER_UNLISTED: Micros = 1_000_000;
 /// Stands for the request by which a message came where none may take it back; requests are counted from 1.
 const NO_REQUEST: u64 = 0;
 
 /// A message handed in within this turn.
-struct Fresh {
-    taken: Arc<AcceptedMessage>,
+struct PendingSubmission {
+    message: Arc<AcceptedMessage>,
     /// Those who wait for the answer, by their requests' numbers: more than one where it was said once more.
-    answers: Vec<(u64, oneshot::Sender<Answer>)>,
+    waiters: Vec<(u64, oneshot::Sender<Answer>)>,
 }
 
-impl Fresh {
+impl PendingSubmission {
     fn answer(self, answer: Answer) {
-        for (_, waiting) in self.answers {
+        for (_, waiting) in self.waiters {
             // Who does not wait any more has said so.
             let _ = waiting.send(answer);
         }
@@ -74,137 +76,137 @@
 }
 
 /// An attempt that the module wants made.
-struct Send {
+struct PlannedAttempt {
     message: MessageId,
     attempt: u16,
     endpoint: EndpointId,
     timeout: Micros,
-    leave_within: Micros,
-    pace: WriteOptions,
+    send_within: Micros,
+    write_options: WriteOptions,
 }
 
-struct Driver {
+struct EventLoop {
     clock: Clock,
     /// The time of this turn, read once before anything is folded in. Guards a message's deadline against moving: what
     /// the module is told of the time that is left, it counts from the time at which it decides. Told as of one instant
     /// and counted from a later one, a message lived on after its time by what lay between (up to 44 ms at a start), and
     /// an answer to its call in that gap was no end of it any more, nor was a notice on its way.
-    at: Micros,
+    iteration_time: Micros,
     policy: Policy,
-    journal: Store,
+    journal: JournalStore,
     directory: Directory,
     peers: Option<Peers>,
-    notices: UnboundedSender<Notice>,
-    whole_list: Rc<Notify>,
+    notifications: UnboundedSender<Notice>,
+    refetch_endpoints: Rc<Notify>,
     discovery: watch::Sender<SocketAddr>,
     inbound: UnboundedSender<Inbound>,
     /// The list's version; and when discovery last said that there is nothing newer, which it goes on to say while the watch
     /// stands.
-    index: u64,
-    list_seen: Micros,
-    list_is_good: bool,
+    list_version: u64,
+    list_confirmed_at: Micros,
+    list_is_current: bool,
     /// What was learnt, for the next process.
-    memory: Option<Memory>,
+    snapshot_store: Option<SnapshotStore>,
     /// Destinations that a turn may have taught something of.
-    touched: Vec<u16>,
+    touched_destinations: Vec<u16>,
     /// Who asks to take over, and what is left of the process before this one.
     successor: Option<Link>,
-    before: Option<Rc<Before>>,
-    door: watch::Sender<AdmissionGate>,
-    ends: OutcomeCounts,
+    predecessor: Option<Rc<Before>>,
+    gate: watch::Sender<AdmissionGate>,
+    outcome_counts: OutcomeCounts,
     /// Where it is kept who is held out.
-    state: PathBuf,
-    stop_at: Option<Micros>,
+    state_folder: PathBuf,
+    shutdown_deadline: Option<Micros>,
     timers: BTreeSet<(Micros, u64)>,
     next_message: u32,
     /// By their `Req-Id`: numbers of the messages that are held, and of the requests by which they came.
-    held: HashMap<String, (u32, u64)>,
+    pending_by_id: HashMap<String, (u32, u64)>,
     /// Attempts begun for each message that is held.
     attempts: HashMap<u32, u16>,
     /// Handed in since the last turn, or in it.
-    fresh: BTreeMap<u32, Fresh>,
+    submissions: BTreeMap<u32, PendingSubmission>,
     /// Records that could not be written yet; they promise nothing to anybody.
-    unwritten: Vec<Record>,
+    unwritten_records: Vec<Record>,
     /// When the journal may be complained of again.
-    complain_at: Micros,
+    next_journal_warning_at: Micros,
     /// Notices whose records are not written yet.
-    unsaid: Vec<(u32, Abandonment, String)>,
+    pending_notifications: Vec<(u32, Abandonment, String)>,
     /// One of several cores; none where there is one.
-    member: Option<Member>,
+    shard: Option<Shard>,
     /// A destination came in this turn.
-    joined: bool,
+    destination_attached: bool,
     /// What the process before left untried.
-    untried: Untried,
+    recovery_report: RecoveryReport,
     /// What binds what was taken on before, by its class.
-    meanings: Arc<Meanings>,
+    class_idempotency: Arc<ClassIdempotency>,
     /// Other cores that wait for the end of this turn.
-    when_turned: Vec<oneshot::Sender<()>>,
+    iteration_waiters: Vec<oneshot::Sender<()>>,
 }
 
 /// What the driver is put together with.
-pub struct Parts {
+pub struct EventLoopParts {
     /// The time.
     pub clock: Clock,
     /// What was taken on.
-    pub journal: Store,
+    pub journal: JournalStore,
     /// What one of several cores has beside.
-    pub member: Option<Member>,
+    pub shard: Option<Shard>,
     /// Take messages on.
-    pub fronts: Vec<Rc<dyn Frontend>>,
+    pub frontends: Vec<Rc<dyn Frontend>>,
     /// Make calls; the first that can read an endpoint's address makes those to it.
-    pub carriers: Vec<Rc<dyn Transport>>,
+    pub transports: Vec<Rc<dyn Transport>>,
     /// Notes to other senders.
     pub peers: Option<Peers>,
     /// Tells the fronts whether clients may come.
-    pub door: watch::Sender<AdmissionGate>,
+    pub gate: watch::Sender<AdmissionGate>,
     /// Who is held out by hand.
-    pub held_out: Ejections,
+    pub ejections: Ejections,
     /// The fronts have begun.
-    pub begun: bool,
+    pub frontends_started: bool,
     /// What another process knew, which this one goes on with.
-    pub taken_over: Option<(HandoverState, Policy)>,
+    pub predecessor_state: Option<(HandoverState, Policy)>,
     /// What is left of the process before.
-    pub before: Option<Rc<Before>>,
+    pub predecessor: Option<Rc<Before>>,
     /// Endpoints of destinations that told another process a wait, and until when.
     pub waits: Vec<(String, Micros)>,
     /// Ends so far.
-    pub ends: Option<OutcomeCounts>,
+    pub outcome_counts: Option<OutcomeCounts>,
     /// The system's clock was set back since the last process.
-    pub set_back: bool,
+    pub clock_set_back: bool,
     /// Keeps what is learnt for the next process.
-    pub memory: Option<Memory>,
+    pub snapshot_store: Option<SnapshotStore>,
     /// What the last process learnt, as far as it is believed.
-    pub belief: RestoredState,
+    pub restored: RestoredState,
     /// What binds what was taken on, by its class.
-    pub meanings: Arc<Meanings>,
+    pub class_idempotency: Arc<ClassIdempotency>,
 }
 
 /// What is left of the first of several cores once all is handed over: for going on after all, and for what the others have.
-pub struct Left {
+pub struct HandedOverShard {
     /// As it was.
-    pub member: Member,
+    pub shard: Shard,
     /// Its part of the journal, which is closed.
-    pub part: journal::JournalPart,
+    pub journal_part: journal::JournalPart,
     /// The other cores' clients and calls.
-    pub elsewhere: Rc<Elsewhere>,
+    pub remote_shards: Rc<Elsewhere>,
 }
 
 /// How the sender ended.
-pub enum Ended {
+pub enum ExitReason {
     /// It was asked to, and has nothing left to do that the next process can't.
-    Done,
+    Finished,
     /// A process that was started beside it is to take over: what it is to be told, and what is left here.
-    HandsOver {
+    HandOver {
         /// Who asks.
         successor: Link,
         /// What it is told.
         state: Box<HandoverState>,
         /// Ends so far.
-        ends: OutcomeCounts,
+        outcome_counts: OutcomeCounts,
         /// Notes to other senders, which the other process is to have.
         peers: Option<Peers>,
         /// What is left of one of several cores.
-        member: Option<Box<Left>>,
+        shard: Option<Box<HandedOverShard>>,
     },
 }
 
@@ -214,78 +216,79 @@
 /// Fails when a front can't begin.
 pub async fn run(
     config: &Config,
-    parts: Parts,
+    parts: EventLoopParts,
     inbound: UnboundedSender<Inbound>,
     events: &mut UnboundedReceiver<Inbound>,
-) -> Result<Ended, String> {
-    let Parts {
+) -> Result<ExitReason, String> {
+    let EventLoopParts {
         clock,
         journal,
-        member,
-        fronts,
-        carriers,
+        shard: member,
+        frontends: fronts,
+        transports: carriers,
         peers,
-        door,
-        held_out,
-        set_back,
-        begun,
-        memory,
+        gate: door,
+        ejections: held_out,
+        clock_set_back: set_back,
+        frontends_started: begun,
+        snapshot_store: memory,
         ..
     } = parts;
-    let (from, before, waits, ends) = (parts.taken_over, parts.before, parts.waits, parts.ends);
-    let mut belief = parts.belief;
-    let me = member.as_ref().map_or(sharding::ShardId(0), Member::me);
+    let (from, before, waits, ends) =
+        (parts.predecessor_state, parts.predecessor, parts.waits, parts.outcome_counts);
+    let mut belief = parts.restored;
+    let me = member.as_ref().map_or(sharding::ShardId(0), Shard::id);
     let new = || Policy::new(config.settings.clone(), config.seed.wrapping_add(me.0.into()), clock.now());
     let (from, mut policy) = from.map_or_else(|| (None, new()), |(state, policy)| (Some(state), policy));
     policy.count_calls_from(u64::from(me.0) << 48);
     let (notices, owed) = unbounded_channel();
     let whole_list = Rc::new(Notify::new());
     let (discovery, found) = watch::channel(config.discovery);
-    let mut driver = Driver {
+    let mut driver = EventLoop {
         clock,
-        at: clock.now(),
+        iteration_time: clock.now(),
         next_message: journal.live().keys().max().map_or(0, |last| last.wrapping_add(1)),
         journal,
         directory: Directory::new(config.names.clone(), config.settings.kinds.clone(), carriers, held_out),
         peers,
-        notices,
-        whole_list: whole_list.clone(),
+        notifications: notices,
+        refetch_endpoints: whole_list.clone(),
         discovery,
         inbound: inbound.clone(),
-        index: config.known.index,
-        list_seen: 0,
-        list_is_good: false,
-        memory,
-        touched: Vec::new(),
+        list_version: config.known.index,
+        list_confirmed_at: 0,
+        list_is_current: false,
+        snapshot_store: memory,
+        touched_destinations: Vec::new(),
         successor: None,
-        before,
-        door,
-        ends: ends.unwrap_or_else(|| OutcomeCounts::new(config.names.classes.iter().cloned())),
-        state: config.state.clone(),
-        stop_at: None,
+        predecessor: before,
+        gate: door,
+        outcome_counts: ends.unwrap_or_else(|| OutcomeCounts::new(config.names.classes.iter().cloned())),
+        state_folder: config.state.clone(),
+        shutdown_deadline: None,
         timers: BTreeSet::new(),
-        held: HashMap::new(),
+        pending_by_id: HashMap::new(),
         attempts: HashMap::new(),
-        fresh: BTreeMap::new(),
-        unwritten: Vec::new(),
-        complain_at: 0,
-        unsaid: Vec::new(),
-        member,
-        joined: false,
-        untried: Untried::new(&config.settings),
-        meanings: parts.meanings,
-        when_turned: Vec::new(),
+        submissions: BTreeMap::new(),
+        unwritten_records: Vec::new(),
+        next_journal_warning_at: 0,
+        pending_notifications: Vec::new(),
+        shard: member,
+        destination_attached: false,
+        recovery_report: RecoveryReport::new(&config.settings),
+        class_idempotency: parts.class_idempotency,
+        iteration_waiters: Vec::new(),
         policy,
     };
     let (mut first, from) = match from {
         Some(state) => {
-            let first = driver.go_on(state);
-            (first, Some(driver.index))
+            let first = driver.resume_from_predecessor(state);
+            (first, Some(driver.list_version))
         }
-        None => driver.start(config.known.clone(), set_back, waits, &mut belief),
+        None => driver.recover(config.known.clone(), set_back, waits, &mut belief),
     };
-    driver.lease(&mut first);
-    driver.turn(first);
+    driver.update_leases(&mut first);
+    driver.run_iteration(first);
 
     let mut places = Vec::new();
     for front in fronts.iter().filter(|_| !begun) {
@@ -307,7 +310,7 @@
         ))
     });
     if me == sharding::ShardId(0) {
-        driver.say_ready(&config.name, &places);
+        driver.log_ready(&config.name, &places);
     }
 
     let period = Duration::from_micros(config.settings.period);
@@ -316,32 +319,34 @@
         let due = driver.timers.first().map_or(Micros::MAX / 2, |timer| timer.0);
         // What is looked at now and then: an end that is near, who asks to take over, a journal that could not be
         // written.
-        let watchful = driver.stop_at.is_some() || driver.successor.is_some() || !driver.unwritten.is_empty();
+        let watchful = driver.shutdown_deadline.is_some()
+            || driver.successor.is_some()
+            || !driver.unwritten_records.is_empty();
         let due = if watchful { due.min(clock.now() + 50_000) } else { due };
         let due = if driver.directory.is_behind() { 0 } else { due };
-        let with_others = driver.member.as_ref().map(|member| member.looks_at(clock.now()));
+        let with_others = driver.shard.as_ref().map(|member| member.next_due(clock.now()));
         let due = due.min(with_others.unwrap_or(due));
-        let to_write = driver.memory.as_ref().and_then(|memory| memory.next_due(clock.now()));
+        let to_write = driver.snapshot_store.as_ref().and_then(|memory| memory.next_due(clock.now()));
         let due = due.min(to_write.unwrap_or(due));
         let first = tokio::select! {
             first = events.recv() => first,
-            () = shard::woken(driver.member.as_ref()) => None,
+            () = shard::wait_for_messages(driver.shard.as_ref()) => None,
             () = tokio::time::sleep_until(clock.instant(due.min(clock.now() + 60_000_000))) => None,
         };
         // Turns are a period apart at least, as the module is told.
         tokio::time::sleep_until(turned + period).await;
         turned = tokio::time::Instant::now();
-        driver.at = clock.now();
+        driver.iteration_time = clock.now();
         let mut said: Vec<Event> = Vec::new();
-        driver.hear_cores(&fronts, &mut said);
-        first.into_iter().for_each(|inbound| driver.fold(inbound, &mut said));
+        driver.receive_shard_messages(&fronts, &mut said);
+        first.into_iter().for_each(|inbound| driver.handle_inbound(inbound, &mut said));
         while let Ok(inbound) = events.try_recv() {
-            driver.fold(inbound, &mut said);
+            driver.handle_inbound(inbound, &mut said);
         }
         if driver.directory.is_behind() {
             said.push(driver.directory.slice(SLICE, || endpoints_of_attempts(&driver.journal)));
         }
-        let now = driver.at;
+        let now = driver.iteration_time;
         while let Some(timer) = driver.timers.pop_first() {
             if timer.0 > now {
                 driver.timers.insert(timer);
@@ -349,33 +354,47 @@
             }
             said.push(Event::TimerFired(timer.1));
         }
-        driver.lease(&mut said);
-        if !said.is_empty() || !driver.unwritten.is_empty() || std::mem::take(&mut driver.joined) {
-            driver.turn(said);
+        driver.update_leases(&mut said);
+        if !said.is_empty()
+            || !driver.unwritten_records.is_empty()
+            || std::mem::take(&mut driver.destination_attached)
+        {
+            driver.run_iteration(said);
         }
-        driver.after_turn();
-        driver.keep_known();
+        driver.finish_iteration();
+        driver.write_snapshot();
         let may_end = driver.may_end(fronts.iter().map(|front| front.open_connections()).sum());
-        if driver.member.as_ref().map_or(may_end, |member| member.team().done(me, may_end)) {
-            return Ok(Ended::Done);
+        if driver.shard.as_ref().map_or(may_end, |member| member.group().done(me, may_end)) {
+            return Ok(ExitReason::Finished);
         }
         // Guards the end of a call that is on its way here, and out nowhere any more: it must not get lost between the
         // two processes.
-        let now = events.is_empty() && driver.may_hand_over();
+        let now = events.is_empty() && driver.can_hand_over();
         if let Some(successor) = driver.successor.take_if(|_| now) {
-            match driver.state(fronts.iter().map(|front| front.requests()).max().unwrap_or(0)) {
+            match driver.handover_state(fronts.iter().map(|front| front.requests()).max().unwrap_or(0)) {
                 Ok(state) => {
                     watch.iter().for_each(tokio::task::JoinHandle::abort);
-                    let left = match (driver.member, driver.journal) {
-                        (Some(member), Store::Part(mut part)) => {
+                    let left = match (driver.shard, driver.journal) {
+                        (Some(member), JournalStore::Sharded(mut part)) => {
                             part.close();
-                            let elsewhere = Rc::new(member.elsewhere(&state.attempts_in_flight, &state.ids));
-                            Some(Box::new(Left { member, part, elsewhere }))
+                            let elsewhere =
+                                Rc::new(member.remote_shards(&state.attempts_in_flight, &state.ids));
+                            Some(Box::new(HandedOverShard {
+                                shard: member,
+                                journal_part: part,
+                                remote_shards: elsewhere,
+                            }))
                         }
                         _ => None,
                     };
-                    let (state, ends, peers) = (Box::new(state), driver.ends, driver.peers);
-                    return Ok(Ended::HandsOver { successor, state, ends, peers, member: left });
+                    let (state, ends, peers) = (Box::new(state), driver.outcome_counts, driver.peers);
+                    return Ok(ExitReason::HandOver {
+                        successor,
+                        state,
+                        outcome_counts: ends,
+                        peers,
+                        shard: left,
+                    });
                 }
                 Err(e) => eprintln!("the state can't be handed over: {e}"),
             }
@@ -383,33 +402,35 @@
     }
 }
 
-impl Driver {
+impl EventLoop {
     /// Turns what a task says into events for the module.
-    fn fold(&mut self, inbound: Inbound, said: &mut Vec<Event>) {
-        let Some(inbound) = self.sorted(inbound) else { return };
+    fn handle_inbound(&mut self, inbound: Inbound, said: &mut Vec<Event>) {
+        let Some(inbound) = self.route_inbound(inbound) else { return };
         if let Inbound::EndpointsUpdated(Listed(list)) = &inbound {
-            (self.index, self.list_is_good) = (list.index, true);
+            (self.list_version, self.list_is_current) = (list.index, true);
         }
         match inbound {
-            Inbound::Submitted(message) => self.handed_in(message, said),
-            Inbound::Withdrawn { id, request, .. } => self.withdrawn(&id, request, said),
-            Inbound::CallCompleted(ends) => ends.into_iter().for_each(|end| said.push(self.ended(end))),
+            Inbound::Submitted(message) => self.accept_submission(message, said),
+            Inbound::Withdrawn { id, request, .. } => self.withdraw(&id, request, said),
+            Inbound::CallCompleted(ends) => {
+                ends.into_iter().for_each(|end| said.push(self.attempt_completed(end)))
+            }
             Inbound::Event(event) => said.push(event),
             Inbound::Successor(link) => {
-                self.gather_all();
+                self.request_gather();
                 self.successor = Some(link);
             }
             Inbound::EndpointsUpdated(Listed(list)) if self.directory.wants_slices(&list) => {
                 if self.directory.put_off(list).is_err() {
                     eprintln!("the list changes faster than it can be taken in: it is asked for as a whole");
-                    self.whole_list.notify_one();
+                    self.refetch_endpoints.notify_one();
                 }
             }
-            Inbound::EndpointsUpdated(Listed(list)) => said.push(self.listed(&list)),
+            Inbound::EndpointsUpdated(Listed(list)) => said.push(self.apply_list(&list)),
             Inbound::NotificationsAcknowledged(messages) => {
                 for MessageId(number) in messages {
                     if let Some(id) = self.journal.live().get(&number).map(|l| l.message.id.clone()) {
-                        self.over(number, false);
+                        self.complete(number, false);
                         self.forget(number, &id);
                     }
                 }
@@ -419,7 +440,7 @@
                 let open: Vec<_> = self.policy.open_breakers().iter().map(|d| d.0).collect();
                 let (awake, asleep) = self.policy.awake_and_asleep();
                 let core =
-                    self.member.as_ref().map_or(String::new(), |member| format!(" core={}", member.me().0));
+                    self.shard.as_ref().map_or(String::new(), |member| format!(" core={}", member.id().0));
                 let held = self.policy.held();
                 eprintln!("status{core} held={held} awake={awake} asleep={asleep} open={open:?}");
             }
@@ -427,36 +448,36 @@
                 Ok(address) => self.discovery_is_at(address),
                 Err(e) => eprintln!("the configuration stays as it was: {}", e.replace(['\n', '\r'], " ")),
             },
-            Inbound::Terminate if self.stop_at.is_some() => {}
+            Inbound::Terminate if self.shutdown_deadline.is_some() => {}
             Inbound::Terminate => {
-                let at = self.clock.now() + STOP_WITHIN;
-                self.stop_at = Some(at);
-                self.door.send_replace(AdmissionGate::Closing);
+                let at = self.clock.now() + SHUTDOWN_TIMEOUT;
+                self.shutdown_deadline = Some(at);
+                self.gate.send_replace(AdmissionGate::Closing);
                 said.push(Event::ShuttingDown(at));
             }
         }
     }
 
-    fn listed(&mut self, list: &ListBody) -> Event {
+    fn apply_list(&mut self, list: &ListBody) -> Event {
         self.directory.listed(list, || endpoints_of_attempts(&self.journal))
     }
 
-    fn notify(&self, number: u32, how: Abandonment, id: String) {
-        let _ = self.notices.send(Notice { message: MessageId(number), id, how });
+    fn queue_notification(&self, number: u32, how: Abandonment, id: String) {
+        let _ = self.notifications.send(Notice { message: MessageId(number), id, how });
     }
 
     /// One turn: the module decides, the journal is written, then clients hear and calls begin.
-    fn turn(&mut self, said: Vec<Event>) {
-        let now = self.at;
+    fn run_iteration(&mut self, said: Vec<Event>) {
+        let now = self.iteration_time;
         debug_assert!(said.iter().all(|event| self.is_as_of_now(event)), "time left as of another instant");
         let mut actions = Vec::new();
-        self.note_learning(&said);
+        self.record_observations(&said);
         self.policy.handle(now, &said, &mut actions);
-        let mut records = std::mem::take(&mut self.unwritten);
-        let mut fresh = std::mem::take(&mut self.fresh);
+        let mut records = std::mem::take(&mut self.unwritten_records);
+        let mut fresh = std::mem::take(&mut self.submissions);
         // Answered in the turn that took them: the journal never hears of these.
         let mut given_up = Vec::new();
-        let mut sends: Vec<Send> = Vec::new();
+        let mut sends: Vec<PlannedAttempt> = Vec::new();
         for action in actions {
             match action {
                 Action::Attempt {
@@ -467,19 +488,26 @@
                     last_byte_delay: hold,
                     new_connection: new,
                 } => {
-                    if let Some(attempt) = self.attempts_of(message, &fresh) {
-                        self.note_call(endpoint);
-                        self.untried.called(message.0);
-                        self.note_out(message, attempt, endpoint);
+                    if let Some(attempt) = self.next_attempt(message, &fresh) {
+                        self.record_call(endpoint);
+                        self.recovery_report.called(message.0);
+                        self.record_attempt(message, attempt, endpoint);
                         let pace = WriteOptions { last_byte_delay: hold, new_connection: new };
-                        sends.push(Send { message, attempt, endpoint, timeout, leave_within, pace });
+                        sends.push(PlannedAttempt {
+                            message,
+                            attempt,
+                            endpoint,
+                            timeout,
+                            send_within: leave_within,
+                            write_options: pace,
+                        });
                     }
                 }
                 Action::Reject { message, retry_after } => {
                     given_up.push((message.0, Abandonment::Deferred(retry_after)));
                 }
                 Action::Fail(message) => given_up.push((message.0, Abandonment::Undeliverable)),
-                Action::Cancel { message, attempt } => self.call_off(message, attempt),
+                Action::Cancel { message, attempt } => self.cancel_attempt(message, attempt),
                 Action::HealthCheck(endpoint) => match self.directory.carrier(endpoint) {
                     Some(carrier) => carrier.probe(endpoint),
                     None => {
@@ -495,7 +523,7 @@
                 }
                 // The watch goes on all the time.
                 Action::WatchEndpoints => {}
-                Action::FetchEndpoints => self.whole_list.notify_one(),
+                Action::FetchEndpoints => self.refetch_endpoints.notify_one(),
                 Action::SendGossip { to, content } => {
                     if let Some(peers) = &self.peers {
                         peers.tell(to, &content);
@@ -513,21 +541,21 @@
                 Abandonment::Undeliverable => FinalOutcome::Faulted,
             };
             if let Some(fresh) = fresh.remove(&number) {
-                self.ends.count(&fresh.taken.class, end);
-                self.forget(number, &fresh.taken.id);
+                self.outcome_counts.count(&fresh.message.class, end);
+                self.forget(number, &fresh.message.id);
                 fresh.answer(match how {
                     Abandonment::Deferred(again) => Answer::Rejected(again),
                     Abandonment::Undeliverable => Answer::Failed,
                 });
             } else if let Some(taken) = self.journal.live().get(&number).map(|live| live.message.clone()) {
-                self.untried.given_up(number, taken.deadline.saturating_sub(now));
-                self.ends.count(&taken.class, end);
+                self.recovery_report.abandoned(number, taken.deadline.saturating_sub(now));
+                self.outcome_counts.count(&taken.class, end);
                 records.push(Record::Abandoned(number, how));
-                self.unsaid.push((number, how, taken.id.clone()));
+                self.pending_notifications.push((number, how, taken.id.clone()));
             }
         }
         let kept = records.len();
-        records.extend(fresh.iter().map(|(number, fresh)| Record::Accepted(*number, fresh.taken.clone())));
+        records.extend(fresh.iter().map(|(number, fresh)| Record::Accepted(*number, fresh.message.clone())));
         records.extend(sends.iter().map(|send| Record::AttemptStarted {
             message: send.message.0,
             attempt: send.attempt,
@@ -535,29 +563,29 @@
             at: now,
         }));
         let mut written = self.journal.append(now, &mut records);
-        if written.is_err() && self.give_room_back() {
+        if written.is_err() && self.release_snapshot_space() {
             written = self.journal.append(now, &mut records);
         }
         if let Err(e) = written {
-            self.complain("written", &e);
+            self.warn_journal("written", &e);
             records.truncate(kept);
             // Ends alone take little room, and have some kept for them.
             let ends_written = self.journal.append(now, &mut records).is_ok();
-            self.say_ends(now, ends_written);
-            self.withhold(records, fresh, &sends);
+            self.send_notifications(now, ends_written);
+            self.reject_unwritten(records, fresh, &sends);
         } else {
             for fresh in fresh.into_values() {
                 fresh.answer(Answer::Accepted);
             }
-            self.say_ends(now, true);
-            self.begin(now, sends);
+            self.send_notifications(now, true);
+            self.start_calls(now, sends);
         }
-        self.untried.told().into_iter().for_each(|line| eprintln!("{line}"));
+        self.recovery_report.take_summary().into_iter().for_each(|line| eprintln!("{line}"));
         // Once answers and calls are out.
-        if let Err(e) = self.journal.tidy(now) {
+        if let Err(e) = self.journal.compact_step(now) {
             // Compaction has its room first too; it goes on in the next turn.
-            if !self.give_room_back() {
-                self.complain("compacted", &e);
+            if !self.release_snapshot_space() {
+                self.warn_journal("compacted", &e);
             }
         }
     }
@@ -565,13 +593,13 @@
     /// Tells the platform of ends that are written. One that could not be written is told all the same once the
     /// message's time is up: no later process would send it then. Before that it would be a second answer, should
     /// this process end here and the next one deliver.
-    fn say_ends(&mut self, now: Micros, written: bool) {
-        for (number, how, id) in std::mem::take(&mut self.unsaid) {
+    fn send_notifications(&mut self, now: Micros, written: bool) {
+        for (number, how, id) in std::mem::take(&mut self.pending_notifications) {
             let late = self.journal.live().get(&number).is_none_or(|live| live.message.deadline <= now);
             if written || late {
-                self.notify(number, how, id);
+                self.queue_notification(number, how, id);
             } else {
-                self.unsaid.push((number, how, id));
+                self.pending_notifications.push((number, how, id));
             }
         }
     }
@@ -580,46 +608,51 @@
     fn is_as_of_now(&self, event: &Event) -> bool {
         let (Event::Accepted(message) | Event::Recovered { message, .. }) = event else { return true };
         let MessageId(number) = message.id;
-        let fresh = self.fresh.get(&number).map(|fresh| &fresh.taken);
+        let fresh = self.submissions.get(&number).map(|fresh| &fresh.message);
         let taken =
             fresh.cloned().or_else(|| self.journal.live().get(&number).map(|live| live.message.clone()));
-        taken.is_none_or(|taken| message.remaining_time == taken.deadline.saturating_sub(self.at))
+        taken.is_none_or(|taken| message.remaining_time == taken.deadline.saturating_sub(self.iteration_time))
     }
 
-    fn say_ready(&self, name: &str, places: &[String]) {
-        let cores = self.member.as_ref().map_or(String::new(), |m| format!(", {} cores", m.team().count()));
+    fn log_ready(&self, name: &str, places: &[String]) {
+        let cores = self.shard.as_ref().map_or(String::new(), |m| format!(", {} cores", m.group().count()));
         let hand = self.journal.live().len();
         eprintln!("{name} is ready on {} with {hand} messages in hand{cores}", places.join(" and "));
     }
 
     /// At most once a second, for it is tried again in every turn.
-    fn complain(&mut self, what: &str, why: &dyn std::fmt::Display) {
+    fn warn_journal(&mut self, what: &str, why: &dyn std::fmt::Display) {
         let now = self.clock.now();
-        if now >= self.complain_at {
-            self.complain_at = now + 1_000_000;
+        if now >= self.next_journal_warning_at {
+            self.next_journal_warning_at = now + 1_000_000;
             eprintln!("the journal can't be {what}: {why}");
         }
     }
 
     /// Guards the promise that what is taken on outlasts the process: with no journal nothing is taken on
     /// and no call begins.
-    fn withhold(&mut self, records: Vec<Record>, fresh: BTreeMap<u32, Fresh>, sends: &[Send]) {
-        self.unwritten = records;
-        for &Send { message, attempt, endpoint, .. } in sends {
+    fn reject_unwritten(
+        &mut self,
+        records: Vec<Record>,
+        fresh: BTreeMap<u32, PendingSubmission>,
+        sends: &[PlannedAttempt],
+    ) {
+        self.unwritten_records = records;
+        for &PlannedAttempt { message, attempt, endpoint, .. } in sends {
             let outcome = Outcome::NotSent { no_slot: false };
-            let end = AttemptOver::unsent(message, attempt, endpoint, outcome);
+            let end = AttemptCompleted::unsent(message, attempt, endpoint, outcome);
             let _ = self.inbound.send(Inbound::CallCompleted(vec![end]));
         }
         for (number, fresh) in fresh {
-            self.forget(number, &fresh.taken.id);
-            self.ends.count(&fresh.taken.class, FinalOutcome::Throttled);
+            self.forget(number, &fresh.message.id);
+            self.outcome_counts.count(&fresh.message.class, FinalOutcome::Throttled);
             let _ = self.inbound.send(Inbound::Event(Event::Withdrawn(MessageId(number))));
-            fresh.answer(Answer::Rejected(NO_ROOM_AGAIN));
+            fresh.answer(Answer::Rejected(RETRY_AFTER_JOURNAL_FULL));
         }
     }
 
     /// The number of a message's next attempt, if it is held.
-    fn attempts_of(&mut self, message: MessageId, fresh: &BTreeMap<u32, Fresh>) -> Option<u16> {
+    fn next_attempt(&mut self, message: MessageId, fresh: &BTreeMap<u32, PendingSubmission>) -> Option<u16> {
         if !fresh.contains_key(&message.0) && !self.journal.live().contains_key(&message.0) {
             return None;
         }
@@ -629,10 +662,18 @@
     }
 
     /// Starts the calls of a turn: what goes to one endpoint travels together as far as its kind allows.
-    fn begin(&mut self, now: Micros, sends: Vec<Send>) {
+    fn start_calls(&mut self, now: Micros, sends: Vec<PlannedAttempt>) {
         let mut calls: Vec<(EndpointId, Vec<CallMessage>, WriteOptions)> = Vec::new();
         let mut last: HashMap<EndpointId, usize> = HashMap::new();
-        for Send { message, attempt, endpoint, timeout, leave_within, pace } in sends {
+        for PlannedAttempt {
+            message,
+            attempt,
+            endpoint,
+            timeout,
+            send_within: leave_within,
+            write_options: pace,
+        } in sends
+        {
             let Some(live) = self.journal.live().get(&message.0) else { continue };
             let AcceptedMessage { id, key, body, .. } = (*live.message).clone();
             // From when it was decided: the module answers for it at its end, which comes no sooner.
@@ -662,7 +703,7 @@
             let Some((carrier, route)) = place else {
                 // An address that can't be read is one where no connection can be made.
                 let over = |part: &CallMessage| {
-                    AttemptOver::unsent(part.message, part.attempt, endpoint, Outcome::ConnectFailed)
+                    AttemptCompleted::unsent(part.message, part.attempt, endpoint, Outcome::ConnectFailed)
                 };
                 let _ = self.inbound.send(Inbound::CallCompleted(parts.iter().map(over).collect()));
                 continue;
@@ -673,18 +714,18 @@
 
     /// Whether a process that was asked to end has nothing left to do that the next one can't.
     fn may_end(&self, clients: usize) -> bool {
-        let Some(at) = self.stop_at else { return false };
+        let Some(at) = self.shutdown_deadline else { return false };
         let now = self.clock.now();
         let idle = self.journal.live().is_empty() && clients == 0;
-        let called = now < at - STOP_WITHIN + STILL_CALLED;
-        (idle && !called && self.unwritten.is_empty())
+        let called = now < at - SHUTDOWN_TIMEOUT + CLIENT_GRACE;
+        (idle && !called && self.unwritten_records.is_empty())
             || (now >= at
                 && self.directory.carriers().iter().all(|carrier| carrier.attempts_in_flight() == 0))
     }
 }
 
 /// Names of endpoints at which attempts of messages that are held may have run.
-fn endpoints_of_attempts(journal: &Store) -> impl Iterator<Item = &str> {
+fn endpoints_of_attempts(journal: &JournalStore) -> impl Iterator<Item = &str> {
     let attempts = journal.live().values().flat_map(|live| &live.attempts);
     attempts.filter(|attempt| !attempt.never_ran).map(|attempt| &*attempt.endpoint)
 }
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -8,15 +8,15 @@
 use health_snapshot::belief::{LIST_GOOD_FOR, RestoredState};
 use journal::{Abandonment, PendingMessage, Record};
 
-use super::recovery_report::Without;
-use super::{Driver, NO_REQUEST, message};
+use super::recovery_report::UncalledReason;
+use super::{EventLoop, NO_REQUEST, message};
 use crate::discovery::endpoint_list::ListBody;
-use crate::persistence::journal::Store;
-use crate::persistence::snapshot::first_list;
+use crate::persistence::journal::JournalStore;
+use crate::persistence::snapshot::initial_list;
 
-impl Driver {
+impl EventLoop {
     /// What another process knew, with what is in the journal that it gave up.
-    pub(super) fn go_on(&mut self, state: HandoverState) -> Vec<Event> {
+    pub(super) fn resume_from_predecessor(&mut self, state: HandoverState) -> Vec<Event> {
         let HandoverState {
             endpoints,
             ids,
@@ -29,15 +29,14 @@
             ..
         } = state;
         self.directory.restore(endpoints, ids, given);
-        (self.index, self.next_message) = (index, next_message);
-        if let Store::Part(part) = &mut self.journal {
+        (self.list_version, self.next_message) = (index, next_message);
+        if let JournalStore::Sharded(part) = &mut self.journal {
             part.number_from(next_message);
         }
         for (message, attempt, endpoint) in out {
-            if let (Some(member), Some(destination)) =
-                (&mut self.member, self.directory.destination(endpoint))
+            if let (Some(member), Some(destination)) = (&mut self.shard, self.directory.destination(endpoint))
             {
-                member.began_before((message.0, attempt), destination, endpoint);
+                member.adopt_attempt((message.0, attempt), destination, endpoint);
             }
         }
         self.attempts = attempts.into_iter().collect();
@@ -46,9 +45,9 @@
         let mut kept = BTreeSet::new();
         for (number, live) in self.journal.live().iter() {
             let request = requests.get(number).copied().unwrap_or(0);
-            self.held.insert(live.message.id.clone(), (*number, request));
+            self.pending_by_id.insert(live.message.id.clone(), (*number, request));
             match live.abandoned {
-                Some(how) => self.unsaid.push((*number, how, live.message.id.clone())),
+                Some(how) => self.pending_notifications.push((*number, how, live.message.id.clone())),
                 None => drop(kept.insert(*number)),
             }
         }
@@ -61,25 +60,27 @@
                 continue;
             }
             let Some(live) = self.journal.live().get(&number).cloned() else { continue };
-            said.extend(self.resumed(number, &live, false));
+            said.extend(self.recovered_event(number, &live, false));
         }
         said
     }
 
     /// Whether another process may take over now: all that is said is written, and nothing is left of the one before.
-    pub(super) fn may_hand_over(&self) -> bool {
-        let written = self.unwritten.is_empty() && self.unsaid.is_empty() && self.fresh.is_empty();
-        let alone = self.before.as_ref().is_none_or(|before| before.is_gone());
-        written && alone && !self.directory.is_behind() && self.has_all()
+    pub(super) fn can_hand_over(&self) -> bool {
+        let written = self.unwritten_records.is_empty()
+            && self.pending_notifications.is_empty()
+            && self.submissions.is_empty();
+        let alone = self.predecessor.as_ref().is_none_or(|before| before.is_gone());
+        written && alone && !self.directory.is_behind() && self.has_all_destinations()
     }
 
     /// All that the journal does not hold.
-    pub(super) fn state(&self, requests: u64) -> Result<HandoverState, String> {
+    pub(super) fn handover_state(&self, requests: u64) -> Result<HandoverState, String> {
         let (endpoints, ids, given) = self.directory.save();
-        let held = self.held.iter().map(|(id, (number, request))| (id.clone(), *number, *request));
+        let held = self.pending_by_id.iter().map(|(id, (number, request))| (id.clone(), *number, *request));
         let waits = self.policy.waits().into_iter();
         let (next_message, out) = match &self.journal {
-            Store::Whole(_) => {
+            JournalStore::Exclusive(_) => {
                 let outs = self
                     .directory
                     .carriers()
@@ -89,9 +90,9 @@
                 (self.next_message, outs)
             }
             // Those on connections of other cores too.
-            Store::Part(part) => (part.next_number(), self.policy.out()),
+            JournalStore::Sharded(part) => (part.next_number(), self.policy.out()),
         };
-        let standby = match *self.door.borrow() {
+        let standby = match *self.gate.borrow() {
             AdmissionGate::Standby(since) => Some(since),
             _ => None,
         };
@@ -102,7 +103,7 @@
             endpoints,
             ids,
             ids_assigned: given,
-            index: self.index,
+            index: self.list_version,
             messages: held.collect(),
             attempts: self.attempts.iter().map(|(number, count)| (*number, *count)).collect(),
             next_message,
@@ -115,19 +116,19 @@
 
     /// The list as last known, what an earlier process learnt, and what it left in the journal. Tells the version to watch the
     /// list from, if the whole of it need not be asked for.
-    pub(super) fn start(
+    pub(super) fn recover(
         &mut self,
         known: ListBody,
         set_back: bool,
         waits: Vec<(String, Micros)>,
         belief: &mut RestoredState,
     ) -> (Vec<Event>, Option<u64>) {
-        let now = self.at;
-        let (list, from) = first_list(known, belief);
-        self.index = list.index;
-        self.list_seen = (now + belief.list.good_for).saturating_sub(LIST_GOOD_FOR);
-        let mut said = vec![self.listed(&ListBody { snapshot: true, ..list })];
-        said.extend(self.recall(belief));
+        let now = self.iteration_time;
+        let (list, from) = initial_list(known, belief);
+        self.list_version = list.index;
+        self.list_confirmed_at = (now + belief.list.good_for).saturating_sub(LIST_GOOD_FOR);
+        let mut said = vec![self.apply_list(&ListBody { snapshot: true, ..list })];
+        said.extend(self.restore_snapshot(belief));
         // A wait that the process before was told binds this one too.
         for (name, until) in waits {
             let endpoint = self.directory.listed_id(&name).filter(|_| until > now);
@@ -137,13 +138,13 @@
             self.journal.live().iter().map(|(n, l)| (*n, l.clone())).collect();
         live.sort_unstable_by_key(|live| live.0);
         for (number, live) in live {
-            self.held.insert(live.message.id.clone(), (number, NO_REQUEST));
+            self.pending_by_id.insert(live.message.id.clone(), (number, NO_REQUEST));
             let untried = live.abandoned.is_none() && live.attempts.is_empty();
             if untried {
-                self.untried.resumed(number);
+                self.recovery_report.resumed(number);
             }
             if live.abandoned.is_none()
-                && let Some(event) = self.resumed(number, &live, set_back)
+                && let Some(event) = self.recovered_event(number, &live, set_back)
             {
                 said.push(event);
                 continue;
@@ -154,17 +155,17 @@
                 None if !live.may_have_run() => Abandonment::Deferred(0),
                 None => Abandonment::Undeliverable,
             };
-            self.untried.ended(number, Without::Unknown);
-            self.unwritten.push(Record::Abandoned(number, given_up));
-            self.unsaid.push((number, given_up, live.message.id.clone()));
+            self.recovery_report.completed(number, UncalledReason::UnknownClass);
+            self.unwritten_records.push(Record::Abandoned(number, given_up));
+            self.pending_notifications.push((number, given_up, live.message.id.clone()));
         }
         (said, from)
     }
 
     /// A message that an earlier process took on, as the journal has it; none where its class is not one of the
     /// settings' any more.
-    fn resumed(&mut self, number: u32, live: &PendingMessage, set_back: bool) -> Option<Event> {
-        let now = self.at;
+    fn recovered_event(&mut self, number: u32, live: &PendingMessage, set_back: bool) -> Option<Event> {
+        let now = self.iteration_time;
         let class = self.directory.class(&live.message.class)?;
         // Guards against a repeat outside the time for which it would be dropped: an age that is not known is beyond
         // any such time.
@@ -175,7 +176,7 @@
         let attempts = live.attempts.last().map_or(0, |last| last.number + 1);
         self.attempts.insert(number, attempts);
         let message = message(number, class, &live.message, now);
-        let effect = self.meanings.get(&*live.message.class).copied();
+        let effect = self.class_idempotency.get(&*live.message.class).copied();
         Some(Event::Recovered { message, attempts: attempts.into(), may_have_run, idempotency: effect })
     }
 }
--- a/crates/sender/src/event_loop/shard.rs
+++ b/crates/sender/src/event_loop/shard.rs
@@ -13,51 +13,51 @@
 use sharding::{AttemptRouter, DestinationLoad, OwnershipMap, Plan, Planner, ShardId};
 use tokio::sync::oneshot;
 
-use super::Driver;
-use crate::persistence::journal::Store;
+use super::EventLoop;
+use crate::persistence::journal::JournalStore;
 use crate::ports::{AdminResponse, Answer, Frontend, Inbound};
 use crate::shards::{BUSY_AGAIN, Bundle, Elsewhere, Figures, Post, Say, Team};
 
 /// A destination that can't go for so long stays.
-const DEPART_WITHIN: Micros = 1_000_000;
+const MIGRATION_TIMEOUT: Micros = 1_000_000;
 /// What binds all cores does so within this time, or on-call staff are told that it does not yet.
-const BINDS_WITHIN: Duration = Duration::from_millis(800);
+const BROADCAST_TIMEOUT: Duration = Duration::from_millis(800);
 /// The planner looks so often.
-const PLAN_EVERY: Micros = 250_000;
+const PLAN_INTERVAL: Micros = 250_000;
 /// A core shows its figures so often at most, and at least while anything changes them.
-const SHOW_EVERY: Micros = 100_000;
+const PUBLISH_INTERVAL: Micros = 100_000;
 
 /// A destination that was told to go.
-struct Departing {
+struct PendingMigration {
     destination: u16,
     to: ShardId,
-    until: Micros,
+    deadline: Micros,
 }
 
 /// What a driver has beside what one of a single core has.
-pub struct Member {
-    post: Rc<Post>,
+pub struct Shard {
+    handle: Rc<Post>,
     router: AttemptRouter<EndpointId>,
     /// As of this turn.
     owners: Arc<OwnershipMap>,
     /// What the module may use, as it was last told.
-    told: (usize, usize),
-    connections: usize,
+    announced_capacity: (usize, usize),
+    leased_connections: usize,
     work: HashMap<u16, u32>,
-    departing: Option<Departing>,
+    pending_migration: Option<PendingMigration>,
     /// All that it has is to go to the first core.
-    gathers: bool,
+    gathering: bool,
     /// Figures are shown again then.
-    show_at: Micros,
-    came: u64,
-    went: u64,
+    publish_at: Micros,
+    attached: u64,
+    detached: u64,
     /// The first core plans for all.
     planner: Option<(Planner, Micros)>,
     /// The planner has said that no move helps.
-    stuck: bool,
+    imbalance_logged: bool,
 }
 
-impl Member {
+impl Shard {
     /// Nothing is out.
     pub fn new(post: Rc<Post>) -> Self {
         let (me, team) = (post.me(), post.team());
@@ -66,56 +66,56 @@
         Self {
             router: AttemptRouter::new(me),
             owners,
-            told: (0, 0),
-            connections: 0,
+            announced_capacity: (0, 0),
+            leased_connections: 0,
             work: HashMap::new(),
-            departing: None,
-            gathers: false,
-            show_at: 0,
-            came: 0,
-            went: 0,
+            pending_migration: None,
+            gathering: false,
+            publish_at: 0,
+            attached: 0,
+            detached: 0,
             planner,
-            stuck: false,
-            post,
+            imbalance_logged: false,
+            handle: post,
         }
     }
 
     /// What all share.
-    pub fn team(&self) -> &Arc<Team> {
-        self.post.team()
+    pub fn group(&self) -> &Arc<Team> {
+        self.handle.team()
     }
 
     /// Which core this is.
-    pub fn me(&self) -> ShardId {
-        self.post.me()
+    pub fn id(&self) -> ShardId {
+        self.handle.me()
     }
 
-    fn is_mine(&self, destination: u16) -> bool {
-        self.owners.owner(destination) == self.me()
+    fn owns(&self, destination: u16) -> bool {
+        self.owners.owner(destination) == self.id()
     }
 
-    fn to_owner(&self, destination: u16, say: Say) {
-        self.post.say(self.owners.owner(destination), say);
+    fn send_to_owner(&self, destination: u16, say: Say) {
+        self.handle.say(self.owners.owner(destination), say);
     }
 
     fn others(&self) -> impl Iterator<Item = ShardId> {
-        let me = self.me();
-        self.team().all().filter(move |core| *core != me)
+        let me = self.id();
+        self.group().all().filter(move |core| *core != me)
     }
 
-    fn worked(&mut self, destination: u16) {
+    fn record_work(&mut self, destination: u16) {
         *self.work.entry(destination).or_default() += 1;
     }
 
-    fn let_depart(&mut self, destination: u16, to: ShardId, now: Micros) {
-        let until = now + DEPART_WITHIN;
-        if self.departing.replace(Departing { destination, to, until }).is_some() {
-            self.team().stayed();
+    fn schedule_migration(&mut self, destination: u16, to: ShardId, now: Micros) {
+        let until = now + MIGRATION_TIMEOUT;
+        if self.pending_migration.replace(PendingMigration { destination, to, deadline: until }).is_some() {
+            self.group().stayed();
         }
     }
 
     /// Attempts that were begun by an earlier process, on connections that it has.
-    pub(super) fn began_before(&mut self, attempt: (u32, u16), destination: u16, endpoint: EndpointId) {
+    pub(super) fn adopt_attempt(&mut self, attempt: (u32, u16), destination: u16, endpoint: EndpointId) {
         // One that goes on after all knows its own.
         if !self.router.knows(attempt) {
             self.router.attempt_started(attempt, destination, endpoint);
@@ -123,29 +123,29 @@
     }
 
     /// What is out on connections of other cores.
-    pub(super) fn elsewhere(
+    pub(super) fn remote_shards(
         &self,
         out: &[(MessageId, u16, EndpointId)],
         ids: &[(String, EndpointId)],
     ) -> Elsewhere {
         let on = |(message, attempt, endpoint): &(MessageId, u16, EndpointId)| {
             let core = self.router.connection((message.0, *attempt));
-            (core != self.me()).then_some(((*message, *attempt), (core, *endpoint)))
+            (core != self.id()).then_some(((*message, *attempt), (core, *endpoint)))
         };
-        Elsewhere::new(self.post.clone(), out.iter().filter_map(on).collect(), ids)
+        Elsewhere::new(self.handle.clone(), out.iter().filter_map(on).collect(), ids)
     }
 
     /// Whether it is to be looked at soon though nothing happens.
-    fn is_watchful(&self) -> bool {
-        self.departing.is_some() || self.gathers || self.post.is_behind()
+    fn needs_polling(&self) -> bool {
+        self.pending_migration.is_some() || self.gathering || self.handle.is_behind()
     }
 
     /// When it is to be looked at, though nothing happens.
-    pub(super) fn looks_at(&self, now: Micros) -> Micros {
-        let soon = if self.is_watchful() { now + 5_000 } else { Micros::MAX };
+    pub(super) fn next_due(&self, now: Micros) -> Micros {
+        let soon = if self.needs_polling() { now + 5_000 } else { Micros::MAX };
         // Once more behind the last change: figures are as old as that at most.
-        let shows = if self.router.begun() > 0 || self.show_at > now {
-            self.show_at.max(now + 1)
+        let shows = if self.router.begun() > 0 || self.publish_at > now {
+            self.publish_at.max(now + 1)
         } else {
             Micros::MAX
         };
@@ -154,56 +154,56 @@
 }
 
 /// Other cores said something to this one.
-pub(super) async fn woken(member: Option<&Member>) {
+pub(super) async fn wait_for_messages(member: Option<&Shard>) {
     match member {
-        Some(member) => member.team().mailbox(member.me()).woken().await,
+        Some(member) => member.group().mailbox(member.id()).woken().await,
         None => std::future::pending().await,
     }
 }
 
-impl Driver {
+impl EventLoop {
     /// Takes in what other cores said. Guards the one owner of each destination in this order, which the package `cores`
     /// checks in all interleavings: the owners are read, then all that came is taken, parcels first, and only then is
     /// anything judged by those owners. So what is this core's by them is here, and all else is sent on.
-    pub(super) fn hear_cores(&mut self, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
-        let Some(member) = &mut self.member else { return };
-        member.owners = member.team().owners();
-        let came = member.team().mailbox(member.me()).drain();
+    pub(super) fn receive_shard_messages(&mut self, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
+        let Some(member) = &mut self.shard else { return };
+        member.owners = member.group().owners();
+        let came = member.group().mailbox(member.id()).drain();
         let (parcels, others): (Vec<_>, Vec<_>) =
             came.into_iter().partition(|say| matches!(say, Say::Parcel(_)));
         for say in parcels {
             if let Say::Parcel(bundle) = say {
-                self.join(*bundle);
+                self.attach_destination(*bundle);
             }
         }
         for say in others {
-            self.hear(say, fronts, said);
+            self.handle_shard_message(say, fronts, said);
         }
     }
 
-    fn hear(&mut self, say: Say, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
-        let Some(member) = &mut self.member else { return };
+    fn handle_shard_message(&mut self, say: Say, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
+        let Some(member) = &mut self.shard else { return };
         match say {
-            Say::HandedIn(message) => self.fold(Inbound::Submitted(message), said),
+            Say::HandedIn(message) => self.handle_inbound(Inbound::Submitted(message), said),
             Say::Withdrawn { id, request, destination } => {
-                self.fold(Inbound::Withdrawn { id, request, destination }, said);
+                self.handle_inbound(Inbound::Withdrawn { id, request, destination }, said);
             }
-            Say::Ended { destination, .. } if !member.is_mine(destination) => {
-                member.to_owner(destination, say)
+            Say::Ended { destination, .. } if !member.owns(destination) => {
+                member.send_to_owner(destination, say)
             }
             Say::Ended { destination, name, mut over } => {
-                member.worked(destination);
+                member.record_work(destination);
                 member.router.add_foreign((over.message.0, over.attempt));
                 over.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
-                said.push(self.ended(over));
+                said.push(self.attempt_completed(over));
             }
-            Say::Wait { destination, .. } if !member.is_mine(destination) => {
-                member.to_owner(destination, say)
+            Say::Wait { destination, .. } if !member.owns(destination) => {
+                member.send_to_owner(destination, say)
             }
             Say::Wait { destination, name, wait } => said.push(self.wait(destination, &name, wait)),
-            Say::Parcel(bundle) => self.join(*bundle),
-            Say::Depart { destination, to } => member.let_depart(destination, to, self.clock.now()),
-            Say::Gather => member.gathers = true,
+            Say::Parcel(bundle) => self.attach_destination(*bundle),
+            Say::Depart { destination, to } => member.schedule_migration(destination, to, self.clock.now()),
+            Say::Gather => member.gathering = true,
             Say::Places(most) => {
                 fronts.iter().for_each(|front| front.set_max_clients(most));
                 if member.owners.all_gathered() {
@@ -214,27 +214,27 @@
             Say::Cancel(message, attempt) => {
                 self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
-            Say::Listed(list) => self.fold(Inbound::EndpointsUpdated(list), said),
+            Say::Listed(list) => self.handle_inbound(Inbound::EndpointsUpdated(list), said),
             Say::ListFailed => said.push(Event::DiscoveryFailed),
             Say::HeldOut(held_out, done) => {
                 said.push(self.directory.hold_out(held_out));
-                self.when_turned.push(done);
+                self.iteration_waiters.push(done);
             }
             Say::Client(stream) => match fronts.first() {
                 Some(front) => front.clone().adopt(stream),
-                None => member.team().client_gone(member.me()),
+                None => member.group().client_gone(member.id()),
             },
             Say::Discovery(address) => self.discovery_is_at(address),
-            Say::Status => self.fold(Inbound::Status, said),
-            Say::Terminate => self.fold(Inbound::Terminate, said),
+            Say::Status => self.handle_inbound(Inbound::Status, said),
+            Say::Terminate => self.handle_inbound(Inbound::Terminate, said),
         }
     }
 
     /// Discovery moved, for this core and, where it is the first, for all.
     pub(super) fn discovery_is_at(&mut self, address: SocketAddr) {
         self.discovery.send_if_modified(|at| std::mem::replace(at, address) != address);
-        if let Some(member) = self.member.as_ref().filter(|member| member.me() == ShardId(0)) {
-            member.others().for_each(|core| member.post.say(core, Say::Discovery(address)));
+        if let Some(member) = self.shard.as_ref().filter(|member| member.id() == ShardId(0)) {
+            member.others().for_each(|core| member.handle.say(core, Say::Discovery(address)));
         }
     }
 
@@ -254,24 +254,24 @@
     }
 
     /// What belongs to another core goes there; tells what is this one's.
-    pub(super) fn sorted(&mut self, inbound: Inbound) -> Option<Inbound> {
-        let Some(member) = &mut self.member else { return Some(inbound) };
+    pub(super) fn route_inbound(&mut self, inbound: Inbound) -> Option<Inbound> {
+        let Some(member) = &mut self.shard else { return Some(inbound) };
         match inbound {
-            Inbound::Submitted(message) if !member.is_mine(message.message.destination) => {
+            Inbound::Submitted(message) if !member.owns(message.message.destination) => {
                 let destination = message.message.destination;
                 if let Err(Say::HandedIn(message)) =
-                    member.post.try_say(member.owners.owner(destination), Say::HandedIn(message))
+                    member.handle.try_say(member.owners.owner(destination), Say::HandedIn(message))
                 {
                     let _ = message.answer.send(Answer::Rejected(BUSY_AGAIN));
                 }
                 None
             }
             Inbound::Submitted(message) => {
-                member.worked(message.message.destination);
+                member.record_work(message.message.destination);
                 Some(Inbound::Submitted(message))
             }
-            Inbound::Withdrawn { id, request, destination } if !member.is_mine(destination) => {
-                member.to_owner(destination, Say::Withdrawn { id, request, destination });
+            Inbound::Withdrawn { id, request, destination } if !member.owns(destination) => {
+                member.send_to_owner(destination, Say::Withdrawn { id, request, destination });
                 None
             }
             Inbound::CallCompleted(ends) => {
@@ -281,17 +281,17 @@
                     match member
                         .router
                         .attempt_ended(attempt)
-                        .filter(|destination| !member.is_mine(*destination))
+                        .filter(|destination| !member.owns(*destination))
                     {
                         Some(destination) => {
                             let name = self.directory.name(over.endpoint);
-                            member.to_owner(destination, Say::Ended { destination, name, over });
+                            member.send_to_owner(destination, Say::Ended { destination, name, over });
                         }
                         None => {
                             self.directory
                                 .destination(over.endpoint)
                                 .into_iter()
-                                .for_each(|d| member.worked(d));
+                                .for_each(|d| member.record_work(d));
                             member.router.add_foreign(attempt);
                             ours.push(over);
                         }
@@ -303,30 +303,30 @@
             Inbound::Event(Event::RetryAfter { endpoint, wait }) => {
                 let listed = self.directory.destination(endpoint);
                 let destination = listed.or_else(|| member.router.destination(endpoint));
-                match destination.filter(|destination| !member.is_mine(*destination)) {
+                match destination.filter(|destination| !member.owns(*destination)) {
                     Some(destination) => {
                         let name = self.directory.name(endpoint);
-                        member.to_owner(destination, Say::Wait { destination, name, wait });
+                        member.send_to_owner(destination, Say::Wait { destination, name, wait });
                         None
                     }
                     None => Some(Inbound::Event(Event::RetryAfter { endpoint, wait })),
                 }
             }
             // What one core hears for all.
-            Inbound::EndpointsUpdated(list) if member.me() == ShardId(0) => {
-                member.others().for_each(|core| member.post.say(core, Say::Listed(list.clone())));
+            Inbound::EndpointsUpdated(list) if member.id() == ShardId(0) => {
+                member.others().for_each(|core| member.handle.say(core, Say::Listed(list.clone())));
                 Some(Inbound::EndpointsUpdated(list))
             }
-            Inbound::Event(Event::DiscoveryFailed) if member.me() == ShardId(0) => {
-                member.others().for_each(|core| member.post.say(core, Say::ListFailed));
+            Inbound::Event(Event::DiscoveryFailed) if member.id() == ShardId(0) => {
+                member.others().for_each(|core| member.handle.say(core, Say::ListFailed));
                 Some(Inbound::Event(Event::DiscoveryFailed))
             }
-            Inbound::Terminate if member.me() == ShardId(0) => {
-                member.others().for_each(|core| member.post.say(core, Say::Terminate));
+            Inbound::Terminate if member.id() == ShardId(0) => {
+                member.others().for_each(|core| member.handle.say(core, Say::Terminate));
                 Some(Inbound::Terminate)
             }
-            Inbound::Status if member.me() == ShardId(0) => {
-                member.others().for_each(|core| member.post.say(core, Say::Status));
+            Inbound::Status if member.id() == ShardId(0) => {
+                member.others().for_each(|core| member.handle.say(core, Say::Status));
                 Some(Inbound::Status)
             }
             inbound => Some(inbound),
@@ -334,11 +334,11 @@
     }
 
     /// Tells the other cores who is held out; the answer comes once each has done it.
-    fn held_out_everywhere(&self, held_out: &Ejections) -> Vec<oneshot::Receiver<()>> {
-        let Some(member) = &self.member else { return Vec::new() };
+    fn eject_everywhere(&self, held_out: &Ejections) -> Vec<oneshot::Receiver<()>> {
+        let Some(member) = &self.shard else { return Vec::new() };
         let tell = |core| {
             let (done, heard) = oneshot::channel();
-            member.post.say(core, Say::HeldOut(held_out.clone(), done));
+            member.handle.say(core, Say::HeldOut(held_out.clone(), done));
             heard
         };
         member.others().map(tell).collect()
@@ -352,19 +352,19 @@
         said: &mut Vec<Event>,
     ) {
         let binds = matches!(call, AdminRequest::Eject(_) | AdminRequest::Reinstate(_));
-        let told = self.asked(call, said);
-        if !binds || told.status != 200 || self.member.is_none() {
+        let told = self.handle_admin_request(call, said);
+        if !binds || told.status != 200 || self.shard.is_none() {
             let _ = answer.send(told);
             return;
         }
-        let waits = self.held_out_everywhere(self.directory.held_out());
+        let waits = self.eject_everywhere(self.directory.held_out());
         tokio::task::spawn_local(async move {
             let all = async {
                 for heard in waits {
                     let _ = heard.await;
                 }
             };
-            let told = match tokio::time::timeout(BINDS_WITHIN, all).await {
+            let told = match tokio::time::timeout(BROADCAST_TIMEOUT, all).await {
                 Ok(()) => told,
                 Err(_) => AdminResponse {
                     status: 503,
@@ -376,8 +376,8 @@
     }
 
     /// Asks for what this turn needs of what belongs to the whole process, before the module decides.
-    pub(super) fn lease(&mut self, said: &mut Vec<Event>) {
-        let Some(member) = &mut self.member else { return };
+    pub(super) fn update_leases(&mut self, said: &mut Vec<Event>) {
+        let Some(member) = &mut self.shard else { return };
         let come =
             said.iter().filter(|event| matches!(event, Event::Accepted(_) | Event::Recovered { .. })).count();
         let (held, out, waiting) = (self.policy.held(), self.policy.calls_out(), self.policy.waiting());
@@ -385,77 +385,80 @@
         let room_for = (held + come) * 16 / 15 + 2;
         let used: usize = self.directory.carriers().iter().map(|carrier| carrier.connections()).sum();
         let (slots, messages, connections) = {
-            let mut room = member.team().room();
-            let slots = room.slots.update(member.me(), out, out + waiting + come);
-            let messages = room.held.update(member.me(), held, room_for);
+            let mut room = member.group().room();
+            let slots = room.slots.update(member.id(), out, out + waiting + come);
+            let messages = room.held.update(member.id(), held, room_for);
             let more = slots.lease.saturating_sub(out).min(waiting + come);
-            (slots, messages, room.connections.update(member.me(), used, used + more))
+            (slots, messages, room.connections.update(member.id(), used, used + more))
         };
         for leased in [&slots, &messages, &connections] {
-            leased.concerned.iter().for_each(|core| member.team().mailbox(*core).wake());
+            leased.concerned.iter().for_each(|core| member.group().mailbox(*core).wake());
         }
-        if std::mem::replace(&mut member.connections, connections.lease) != connections.lease {
+        if std::mem::replace(&mut member.leased_connections, connections.lease) != connections.lease {
             self.directory
                 .carriers()
                 .iter()
                 .for_each(|carrier| carrier.set_max_connections(connections.lease));
         }
-        if member.told != (slots.lease, messages.lease) {
-            member.told = (slots.lease, messages.lease);
+        if member.announced_capacity != (slots.lease, messages.lease) {
+            member.announced_capacity = (slots.lease, messages.lease);
             said.push(Event::CapacityChanged { max_calls: slots.lease, max_messages: messages.lease });
         }
     }
 
     /// A call begins on a connection of this core.
-    pub(super) fn note_out(&mut self, message: MessageId, attempt: u16, endpoint: EndpointId) {
-        if let (Some(member), Some(destination)) = (&mut self.member, self.directory.destination(endpoint)) {
+    pub(super) fn record_attempt(&mut self, message: MessageId, attempt: u16, endpoint: EndpointId) {
+        if let (Some(member), Some(destination)) = (&mut self.shard, self.directory.destination(endpoint)) {
             member.router.attempt_started((message.0, attempt), destination, endpoint);
         }
     }
 
     /// An attempt of this core's module is called off, wherever its connection is.
-    pub(super) fn call_off(&self, message: MessageId, attempt: u16) {
-        if let Some(member) = &self.member {
+    pub(super) fn cancel_attempt(&self, message: MessageId, attempt: u16) {
+        if let Some(member) = &self.shard {
             let at = member.router.connection((message.0, attempt));
-            if at != member.me() {
-                return member.post.say(at, Say::Cancel(message, attempt));
+            if at != member.id() {
+                return member.handle.say(at, Say::Cancel(message, attempt));
             }
         }
         self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
     }
 
     /// What is left to do once a turn is over: what it came to is shown, and destinations go.
-    pub(super) fn after_turn(&mut self) {
-        for done in self.when_turned.drain(..) {
+    pub(super) fn finish_iteration(&mut self) {
+        for done in self.iteration_waiters.drain(..) {
             let _ = done.send(());
         }
         let now = self.clock.now();
-        self.plan(now);
-        self.depart(now);
-        self.show(now);
-        let Some(member) = &mut self.member else { return };
-        let me = member.me();
-        member.post.team().worked(me, member.work.drain());
-        member.post.flush();
+        self.plan_migrations(now);
+        self.run_pending_migration(now);
+        self.publish_figures(now);
+        let Some(member) = &mut self.shard else { return };
+        let me = member.id();
+        member.handle.team().worked(me, member.work.drain());
+        member.handle.flush();
     }
 
     /// Shows what this core counts. Guards turns against figures that take a look at all endpoints: once in a while.
-    fn show(&mut self, now: Micros) {
-        let Some(member) = self.member.as_mut().filter(|member| member.show_at <= now) else { return };
-        member.show_at = now + SHOW_EVERY;
-        let (me, team, moves) = (member.me(), member.team().clone(), (member.came, member.went));
+    fn publish_figures(&mut self, now: Micros) {
+        let Some(member) = self.shard.as_mut().filter(|member| member.publish_at <= now) else { return };
+        member.publish_at = now + PUBLISH_INTERVAL;
+        let (me, team, moves) = (member.id(), member.group().clone(), (member.attached, member.detached));
         let now = Gauges { out_of_rotation: self.policy.shut(), ..self.figures() };
-        team.show(me, Figures { ends: Some(self.ends.clone()), now, out: self.policy.calls_out(), moves });
+        team.show(
+            me,
+            Figures { ends: Some(self.outcome_counts.clone()), now, out: self.policy.calls_out(), moves },
+        );
     }
 
     /// Says once in a while which destination should go where, on the first core.
-    fn plan(&mut self, now: Micros) {
-        let Some(member) = &mut self.member else { return };
+    fn plan_migrations(&mut self, now: Micros) {
+        let Some(member) = &mut self.shard else { return };
         let Some((planner, at)) = member.planner.as_mut().filter(|planner| planner.1 <= now) else { return };
-        *at = now + PLAN_EVERY;
+        *at = now + PLAN_INTERVAL;
         let owners = &member.owners;
         let loads: Vec<DestinationLoad> = member
-            .post
+            .handle
             .team()
             .take_work()
             .into_iter()
@@ -468,16 +471,16 @@
         match planner.round(now, &loads) {
             Plan::Migrate(advised) => {
                 planner.migrated(advised);
-                member.stuck = false;
+                member.imbalance_logged = false;
                 let say = Say::Depart { destination: advised.destination, to: advised.to };
-                if advised.from == member.post.me() {
-                    member.let_depart(advised.destination, advised.to, now);
+                if advised.from == member.handle.me() {
+                    member.schedule_migration(advised.destination, advised.to, now);
                 } else {
-                    member.post.say(advised.from, say);
+                    member.handle.say(advised.from, say);
                 }
             }
-            Plan::Stuck { core, destination, share } if !member.stuck => {
-                member.stuck = true;
+            Plan::Stuck { core, destination, share } if !member.imbalance_logged => {
+                member.imbalance_logged = true;
                 eprintln!(
                     "core {} is busier than the others and no move helps: {:.0}% of its work is for destination {destination}",
                     core.0,
@@ -485,89 +488,93 @@
                 );
             }
             Plan::Stuck { .. } => {}
-            Plan::Stay => member.stuck = false,
+            Plan::Stay => member.imbalance_logged = false,
         }
     }
 
     /// On-call staff want a destination on another core.
-    pub(super) fn asked_to_move(&mut self, destination: u16, core: u8) -> AdminResponse {
+    pub(super) fn request_migration(&mut self, destination: u16, core: u8) -> AdminResponse {
         let told = |status, text: &str| AdminResponse { status, text: text.to_owned() };
         let to = ShardId(core);
-        let Some(member) = &mut self.member else { return told(409, "there is one core\n") };
-        if to.index() >= member.team().count() {
+        let Some(member) = &mut self.shard else { return told(409, "there is one core\n") };
+        if to.index() >= member.group().count() {
             return told(404, "there is no such core\n");
         }
-        let from = member.team().owner(destination);
+        let from = member.group().owner(destination);
         if from == to {
             return told(200, "it is there\n");
         }
-        if from == member.me() {
-            member.let_depart(destination, to, self.clock.now());
+        if from == member.id() {
+            member.schedule_migration(destination, to, self.clock.now());
         } else {
-            member.post.say(from, Say::Depart { destination, to });
+            member.handle.say(from, Say::Depart { destination, to });
         }
         told(202, "it is told to go; the figures say when it has\n")
     }
 
     /// Parts with what was told to go, as soon as it can be.
-    fn depart(&mut self, now: Micros) {
-        let Some(member) = &mut self.member else { return };
-        if let Some(Departing { destination, to, until }) = member.departing.take() {
-            let to_itself = to == member.me() || to.index() >= member.team().count();
-            if to_itself || !member.is_mine(destination) || self.stop_at.is_some() {
-                member.team().stayed();
-            } else if !self.goes(destination, to) {
-                let Some(member) = &mut self.member else { return };
+    fn run_pending_migration(&mut self, now: Micros) {
+        let Some(member) = &mut self.shard else { return };
+        if let Some(PendingMigration { destination, to, deadline: until }) = member.pending_migration.take() {
+            let to_itself = to == member.id() || to.index() >= member.group().count();
+            if to_itself || !member.owns(destination) || self.shutdown_deadline.is_some() {
+                member.group().stayed();
+            } else if !self.detach_destination(destination, to) {
+                let Some(member) = &mut self.shard else { return };
                 if now < until {
-                    member.departing = Some(Departing { destination, to, until });
+                    member.pending_migration = Some(PendingMigration { destination, to, deadline: until });
                 } else {
                     eprintln!("destination {destination} stays: something of it is not written or said yet");
-                    member.team().stayed();
+                    member.group().stayed();
                 }
             }
         }
-        self.gather();
+        self.gather_on_first_shard();
     }
 
     /// Gives all that this core has to the first, which is to hand over: what it knows first, and then what it never heard
     /// of, by one change of the owners.
-    fn gather(&mut self) {
-        let Some(member) = self.member.as_ref().filter(|member| member.gathers) else { return };
-        let owners = member.team().owners();
+    fn gather_on_first_shard(&mut self) {
+        let Some(member) = self.shard.as_ref().filter(|member| member.gathering) else { return };
+        let owners = member.group().owners();
         let of_module = self.policy.known_destinations().into_iter().map(|destination| destination.0);
         let held = self.journal.live().values().map(|live| live.message.destination);
-        let all: BTreeSet<u16> = of_module.chain(held).filter(|d| owners.owner(*d) == member.me()).collect();
-        if all.into_iter().all(|destination| self.goes(destination, ShardId(0)))
-            && let Some(member) = &mut self.member
+        let all: BTreeSet<u16> = of_module.chain(held).filter(|d| owners.owner(*d) == member.id()).collect();
+        if all.into_iter().all(|destination| self.detach_destination(destination, ShardId(0)))
+            && let Some(member) = &mut self.shard
         {
-            member.gathers = false;
-            member.team().has_gathered(member.me());
-            eprintln!("core {} has given all it had to core 0", member.me().0);
+            member.gathering = false;
+            member.group().has_gathered(member.id());
+            eprintln!("core {} has given all it had to core 0", member.id().0);
         }
     }
 
     /// Whether all that other cores had is here, so that another process can be told.
-    pub(super) fn has_all(&self) -> bool {
-        self.member.as_ref().is_none_or(|member| member.owners.all_gathered() && member.departing.is_none())
+    pub(super) fn has_all_destinations(&self) -> bool {
+        self.shard
+            .as_ref()
+            .is_none_or(|member| member.owners.all_gathered() && member.pending_migration.is_none())
     }
 
     /// The others are to give this core all that they have.
-    pub(super) fn gather_all(&mut self) {
-        let Some(member) = &self.member else { return };
-        member.others().for_each(|core| member.post.say(core, Say::Gather));
+    pub(super) fn request_gather(&mut self) {
+        let Some(member) = &self.shard else { return };
+        member.others().for_each(|core| member.handle.say(core, Say::Gather));
     }
 
     /// Parts with a destination, if that can be now.
-    fn goes(&mut self, destination: u16, to: ShardId) -> bool {
+    fn detach_destination(&mut self, destination: u16, to: ShardId) -> bool {
         // Guards what is written or said half: a message that was given up stays until its notice is kept.
         let given_up = |live: &journal::PendingMessage| {
             live.message.destination == destination && live.abandoned.is_some()
         };
-        let written = self.unwritten.is_empty() && self.fresh.is_empty() && self.unsaid.is_empty();
+        let written = self.unwritten_records.is_empty()
+            && self.submissions.is_empty()
+            && self.pending_notifications.is_empty();
         if !written || self.directory.is_behind() || self.journal.live().values().any(given_up) {
             return false;
         }
-        let Some(member) = &mut self.member else { return false };
+        let Some(member) = &mut self.shard else { return false };
         let parcel = match self.policy.part(DestinationId(destination)) {
             Ok(parcel) => parcel,
             Err(stays) => {
@@ -578,12 +585,12 @@
         let names = parcel.endpoints().into_iter().map(|id| (id, self.directory.name(id))).collect();
         let numbers: Vec<u32> = parcel.messages().map(|message| message.0).collect();
         let mut lives = Vec::new();
-        if let Store::Part(part) = &mut self.journal {
+        if let JournalStore::Sharded(part) = &mut self.journal {
             lives = part.detach(numbers.iter().copied());
         }
         let mut held = Vec::new();
         for (number, live) in &lives {
-            if let Some((_, request)) = self.held.remove(&live.message.id) {
+            if let Some((_, request)) = self.pending_by_id.remove(&live.message.id) {
                 held.push((live.message.id.clone(), *number, request));
             }
         }
@@ -592,18 +599,18 @@
             member.router.detach(parcel.out().map(|(message, attempt, _)| (message.0, attempt)));
         let (calls, messages) = (parcel.calls(), numbers.len());
         {
-            let mut room = member.team().room();
-            room.slots.transfer(member.me(), to, calls);
-            room.held.transfer(member.me(), to, messages);
+            let mut room = member.group().room();
+            room.slots.transfer(member.id(), to, calls);
+            room.held.transfer(member.id(), to, messages);
         }
         let bundle = Bundle { parcel, names, lives, held, attempts, connections };
-        match member.post.say_now(to, Say::Parcel(Box::new(bundle))) {
+        match member.handle.say_now(to, Say::Parcel(Box::new(bundle))) {
             // Behind the parcel: whoever reads the new owner finds the parcel there.
             Ok(()) => {
-                member.went += 1;
-                member.show_at = 0;
-                member.team().has_gone(destination, to);
-                let me = member.me().0;
+                member.detached += 1;
+                member.publish_at = 0;
+                member.group().has_gone(destination, to);
+                let me = member.id().0;
                 eprintln!(
                     "core {me} hands destination {destination} to core {}: {messages} messages, {calls} calls out",
                     to.0
@@ -611,11 +618,11 @@
                 true
             }
             Err(Say::Parcel(bundle)) => {
-                let mut room = member.team().room();
-                room.slots.transfer(to, member.me(), calls);
-                room.held.transfer(to, member.me(), messages);
+                let mut room = member.group().room();
+                room.slots.transfer(to, member.id(), calls);
+                room.held.transfer(to, member.id(), messages);
                 drop(room);
-                self.join(*bundle);
+                self.attach_destination(*bundle);
                 false
             }
             Err(_) => false,
@@ -623,13 +630,13 @@
     }
 
     /// Goes on with a destination that another core parted with.
-    fn join(&mut self, bundle: Bundle) {
+    fn attach_destination(&mut self, bundle: Bundle) {
         let Bundle { parcel, names, lives, held, attempts, connections } = bundle;
-        let Some(member) = &mut self.member else { return };
+        let Some(member) = &mut self.shard else { return };
         let mut ids = BTreeMap::new();
         for (id, name) in names {
             // One that its own core has no name for any more is like no other here.
-            let stray = || format!("?{id:?} of core {}", member.me().0);
+            let stray = || format!("?{id:?} of core {}", member.id().0);
             let ours = match name.is_empty() {
                 true => self.directory.id_of_attempt(&stray()),
                 false => {
@@ -638,26 +645,26 @@
             };
             ids.insert(id, ours);
         }
-        if let Store::Part(part) = &mut self.journal {
+        if let JournalStore::Sharded(part) = &mut self.journal {
             part.attach(lives);
         }
-        self.held.extend(held.into_iter().map(|(id, number, request)| (id, (number, request))));
+        self.pending_by_id.extend(held.into_iter().map(|(id, number, request)| (id, (number, request))));
         self.attempts.extend(attempts);
         member.router.attach(connections);
-        member.came += 1;
-        member.show_at = 0;
+        member.attached += 1;
+        member.publish_at = 0;
         self.policy.join(parcel.rename(&ids));
-        self.joined = true;
+        self.destination_attached = true;
     }
 
     /// The figures of all cores.
-    pub(super) fn figures_of_all(&self) -> (OutcomeCounts, Gauges) {
-        let Some(member) = &self.member else { return (self.ends.clone(), self.figures()) };
-        let all = member.team().figures();
-        let mut ends = self.ends.clone();
+    pub(super) fn combined_figures(&self) -> (OutcomeCounts, Gauges) {
+        let Some(member) = &self.shard else { return (self.outcome_counts.clone(), self.figures()) };
+        let all = member.group().figures();
+        let mut ends = self.outcome_counts.clone();
         let mut now = self.figures();
         now.out_of_rotation = self.policy.avoided();
-        for figures in all.iter().enumerate().filter(|(core, _)| *core != member.me().index()).map(|of| of.1)
+        for figures in all.iter().enumerate().filter(|(core, _)| *core != member.id().index()).map(|of| of.1)
         {
             figures.ends.iter().for_each(|theirs| ends.add(theirs));
             now.relayed += figures.now.relayed;
@@ -668,10 +675,10 @@
     }
 
     /// The figures of each core, as text.
-    pub(super) fn figures_by_core(&self) -> String {
+    pub(super) fn figures_by_shard(&self) -> String {
         use std::fmt::Write;
-        let Some(member) = &self.member else { return String::new() };
-        let team = member.team();
+        let Some(member) = &self.shard else { return String::new() };
+        let team = member.group();
         let mut text = String::new();
         let room = team.room();
         for (core, figures) in team.figures().iter().enumerate() {
--- a/crates/sender/src/event_loop/snapshot.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -3,12 +3,12 @@
 use decision::interface::*;
 use health_snapshot::belief::RestoredState;
 
-use super::Driver;
-use crate::persistence::snapshot::View;
+use super::EventLoop;
+use crate::persistence::snapshot::SnapshotSource;
 
-impl Driver {
+impl EventLoop {
     /// What an earlier process learnt, as far as it is believed: to be told behind the list.
-    pub(super) fn recall(&self, belief: &RestoredState) -> Vec<Event> {
+    pub(super) fn restore_snapshot(&self, belief: &RestoredState) -> Vec<Event> {
         belief.warnings.iter().for_each(|told| eprintln!("known: {told}"));
         let mut said: Vec<_> = belief
             .routes
@@ -27,8 +27,8 @@
     }
 
     /// Notes what a turn may have taught, before the module decides.
-    pub(super) fn note_learning(&mut self, said: &[Event]) {
-        if self.memory.is_none() {
+    pub(super) fn record_observations(&mut self, said: &[Event]) {
+        if self.snapshot_store.is_none() {
             return;
         }
         let now = self.clock.now();
@@ -40,54 +40,56 @@
                 Event::RetryAfter { endpoint, .. } => (endpoint, true),
                 Event::HealthChecked { endpoint, .. } => (endpoint, false),
                 Event::DiscoveryFailed => {
-                    self.list_is_good = false;
+                    self.list_is_current = false;
                     continue;
                 }
                 _ => continue,
             };
             let Some(destination) = self.directory.destination(*endpoint) else { continue };
-            match (pressing, &mut self.memory) {
-                (true, Some(memory)) => memory.pressing(destination, false, now),
-                _ => self.touched.push(destination),
+            match (pressing, &mut self.snapshot_store) {
+                (true, Some(memory)) => memory.mark_urgent(destination, false, now),
+                _ => self.touched_destinations.push(destination),
             }
         }
         for destination in self.directory.take_changed() {
-            self.memory.iter_mut().for_each(|memory| memory.pressing(destination, true, now));
+            self.snapshot_store.iter_mut().for_each(|memory| memory.mark_urgent(destination, true, now));
         }
-        if self.list_is_good {
-            self.list_seen = now;
+        if self.list_is_current {
+            self.list_confirmed_at = now;
         }
     }
 
     /// A call goes to an endpoint: what goes to a cold partner is known to the next process.
-    pub(super) fn note_call(&mut self, endpoint: EndpointId) {
-        if self.memory.is_some() {
-            self.touched.extend(self.directory.destination(endpoint));
+    pub(super) fn record_call(&mut self, endpoint: EndpointId) {
+        if self.snapshot_store.is_some() {
+            self.touched_destinations.extend(self.directory.destination(endpoint));
         }
     }
 
     /// Writes what is due of what is known, once answers and calls are out and the journal had its turn.
-    pub(super) fn keep_known(&mut self) {
-        let Some(memory) = &mut self.memory else { return };
+    pub(super) fn write_snapshot(&mut self) {
+        let Some(memory) = &mut self.snapshot_store else { return };
         let now = self.clock.now();
-        self.touched.sort_unstable();
-        self.touched.dedup();
-        self.touched.drain(..).for_each(|destination| memory.touched(destination, now));
+        self.touched_destinations.sort_unstable();
+        self.touched_destinations.dedup();
+        self.touched_destinations.drain(..).for_each(|destination| memory.mark_touched(destination, now));
         // A list that is half taken in has no version.
         if self.directory.is_behind() {
             return;
         }
-        let list = (self.index, self.list_seen);
-        let view = View { policy: &self.policy, directory: &self.directory, list, now };
-        memory.slice(self.journal.room_beside(), &view);
-        self.journal.set_beside(memory.used());
+        let list = (self.list_version, self.list_confirmed_at);
+        let view = SnapshotSource { policy: &self.policy, directory: &self.directory, list, now };
+        memory.write_slice(self.journal.free_reserved_bytes(), &view);
+        self.journal.set_reserved_bytes(memory.used());
     }
 
     /// Guards what is owed to messages: what is known makes room for it. Tells whether there was any to make.
-    pub(super) fn give_room_back(&mut self) -> bool {
-        let Some(memory) = self.memory.as_mut().filter(|memory| memory.used() > 0) else { return false };
-        memory.give_back(self.clock.now());
-        self.journal.set_beside(memory.used());
+    pub(super) fn release_snapshot_space(&mut self) -> bool {
+        let Some(memory) = self.snapshot_store.as_mut().filter(|memory| memory.used() > 0) else {
+            return false;
+        };
+        memory.release(self.clock.now());
+        self.journal.set_reserved_bytes(memory.used());
         true
     }
 }
--- a/crates/sender/src/http/client.rs
+++ b/crates/sender/src/http/client.rs
@@ -20,7 +20,7 @@
 
 use super::connection::{Conn, Leave, Passed, REST_OF_ANSWER, Unanswered};
 use crate::http::active_waits::Waits;
-use crate::ports::{AttemptOver, CallMessage, Inbound, Transport, WriteOptions};
+use crate::ports::{AttemptCompleted, CallMessage, Inbound, Transport, WriteOptions};
 
 /// Where an endpoint is dialled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -230,7 +230,7 @@
         // An endpoint without a place was never listed here, or is forgotten: it can't be connected to.
         let Some(line) = shared.line(endpoint) else {
             let over = |part: &CallMessage| {
-                AttemptOver::unsent(part.message, part.attempt, endpoint, Outcome::ConnectFailed)
+                AttemptCompleted::unsent(part.message, part.attempt, endpoint, Outcome::ConnectFailed)
             };
             let _ = shared.inbound.send(Inbound::CallCompleted(parts.iter().map(over).collect()));
             return;
@@ -570,7 +570,7 @@
                 self.written.set(self.written.get() + 1);
             }
             let (outcome, gone, report) = (*outcome, *gone, answered.report.clone());
-            over.push(AttemptOver {
+            over.push(AttemptCompleted {
                 message,
                 attempt,
                 endpoint,
--- a/crates/sender/src/persistence/class_idempotency.rs
+++ b/crates/sender/src/persistence/class_idempotency.rs
@@ -11,16 +11,20 @@
 const FILE: &str = "classes";
 const NEW: &str = "classes.new";
 /// Bytes that the file may have.
-const ROOM: usize = 8 * 1024;
+const MAX_BYTES: usize = 8 * 1024;
 /// The disk counts whole blocks.
 const BLOCK: u64 = 512;
 
 /// Effects of classes, by their names.
-pub type Meanings = BTreeMap<String, Idempotency>;
+pub type ClassIdempotency = BTreeMap<String, Idempotency>;
 
 /// What binds messages that are held, of these classes: the stricter of what they were taken on under and what the settings
 /// say now. One whose class was never written down is bound by the settings alone, as in the versions before.
-pub fn joined(before: &Meanings, now: &Meanings, held: &BTreeSet<String>) -> Meanings {
+pub fn merged(
+    before: &ClassIdempotency,
+    now: &ClassIdempotency,
+    held: &BTreeSet<String>,
+) -> ClassIdempotency {
     let joined = |(name, effect): (&String, &Idempotency)| {
         let before = before.get(name).filter(|_| held.contains(name));
         (name.clone(), before.map_or(*effect, |before| before.stricter(*effect)))
@@ -31,8 +35,8 @@
 /// What is kept free on the disk for classes of these names, in whole blocks. While the file is written anew there are two.
 pub fn reserved<'a>(names: impl Iterator<Item = &'a str>) -> u64 {
     let widest = Idempotency::Keyed { scope: IdempotencyScope::Endpoint, window: Micros::MAX };
-    let all: Meanings = names.map(|name| (name.to_owned(), widest)).collect();
-    let length = serde_json::to_vec(&all).map_or(ROOM, |text| text.len().min(ROOM));
+    let all: ClassIdempotency = names.map(|name| (name.to_owned(), widest)).collect();
+    let length = serde_json::to_vec(&all).map_or(MAX_BYTES, |text| text.len().min(MAX_BYTES));
     2 * (length as u64).next_multiple_of(BLOCK)
 }
 
@@ -40,13 +44,13 @@
 ///
 /// # Errors
 /// Fails when the file can't be read: tells why.
-pub fn read(state: &Path) -> Result<Meanings, String> {
+pub fn read(state: &Path) -> Result<ClassIdempotency, String> {
     let path = state.join(FILE);
     match fs::read(&path) {
         Ok(text) => serde_json::from_slice(&text).map_err(|e| {
             format!("{}: {e}; what was taken on is held to be what must not run twice", path.display())
         }),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Meanings::new()),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(ClassIdempotency::new()),
         Err(e) => Err(format!("{}: {e}", path.display())),
     }
 }
@@ -55,10 +59,13 @@
 ///
 /// # Errors
 /// Fails when it can't be written, or is too long; then the old one holds.
-pub fn write(state: &Path, meanings: &Meanings) -> Result<(), String> {
+pub fn write(state: &Path, meanings: &ClassIdempotency) -> Result<(), String> {
     let text = serde_json::to_vec(meanings).map_err(|e| e.to_string())?;
-    if text.len() > ROOM {
-        return Err(format!("{}: the classes' names take over {ROOM} bytes", state.join(FILE).display()));
+    if text.len() > MAX_BYTES {
+        return Err(format!(
+            "{}: the classes' names take over {MAX_BYTES} bytes",
+            state.join(FILE).display()
+        ));
     }
     let write = || {
         fs::write(state.join(NEW), &text)?;
@@ -74,8 +81,9 @@
     #[test]
     fn what_is_held_is_bound_by_both_and_what_is_not_by_the_settings_alone() {
         let keyed = |window| Idempotency::Keyed { scope: IdempotencyScope::All, window };
-        let map =
-            |of: &[(&str, Idempotency)]| of.iter().map(|(n, e)| ((*n).to_owned(), *e)).collect::<Meanings>();
+        let map = |of: &[(&str, Idempotency)]| {
+            of.iter().map(|(n, e)| ((*n).to_owned(), *e)).collect::<ClassIdempotency>()
+        };
         let before = map(&[
             ("a", Idempotency::NonIdempotent),
             ("b", keyed(5)),
@@ -89,7 +97,7 @@
             ("new", Idempotency::Idempotent),
         ]);
         let held = ["a", "b", "gone", "new"].map(str::to_owned).into();
-        let joined = joined(&before, &now, &held);
+        let joined = merged(&before, &now, &held);
         let expected = [
             ("a", Idempotency::NonIdempotent),
             ("b", keyed(5)),
@@ -102,9 +110,9 @@
     #[test]
     fn it_is_read_as_it_was_written_and_says_what_is_wrong_with_it() {
         let folder = tempfile::tempdir().unwrap();
-        assert_eq!(read(folder.path()), Ok(Meanings::new()));
+        assert_eq!(read(folder.path()), Ok(ClassIdempotency::new()));
         let keyed = Idempotency::Keyed { scope: IdempotencyScope::Zone, window: 7 };
-        let meanings: Meanings =
+        let meanings: ClassIdempotency =
             [("a".to_owned(), keyed), ("b".to_owned(), Idempotency::NonIdempotent)].into();
         write(folder.path(), &meanings).unwrap();
         let length = fs::metadata(folder.path().join(FILE)).unwrap().len();
@@ -112,7 +120,7 @@
         assert_eq!(read(folder.path()), Ok(meanings));
         fs::write(folder.path().join(FILE), "{").unwrap();
         assert!(read(folder.path()).unwrap_err().contains("classes: "));
-        let long: Meanings = [("x".repeat(ROOM), Idempotency::NonIdempotent)].into();
+        let long: ClassIdempotency = [("x".repeat(MAX_BYTES), Idempotency::NonIdempotent)].into();
         assert!(write(folder.path(), &long).unwrap_err().contains("over 8192 bytes"));
     }
 }
--- a/crates/sender/src/persistence/ejections.rs
+++ b/crates/sender/src/persistence/ejections.rs
@@ -9,9 +9,9 @@
 const FILE: &str = "held-out";
 const NEW: &str = "held-out.new";
 /// Bytes that the file may have. While it is written anew there are two.
-pub const ROOM: usize = 8 * 1024;
+pub const MAX_BYTES: usize = 8 * 1024;
 /// What is kept free on the disk for both, in whole blocks.
-pub const RESERVED: u64 = 2 * ROOM as u64 + 1024;
+pub const RESERVED: u64 = 2 * MAX_BYTES as u64 + 1024;
 
 /// Reads what the last process wrote; without a file none is held out.
 ///
@@ -19,8 +19,8 @@
 /// Fails when the file can't be read.
 pub fn read(state: &Path) -> io::Result<Ejections> {
     match fs::read_to_string(state.join(FILE)) {
-        Ok(text) => Ok(Ejections::read(&text, ROOM)),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Ejections::new(ROOM)),
+        Ok(text) => Ok(Ejections::read(&text, MAX_BYTES)),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Ejections::new(MAX_BYTES)),
         Err(e) => Err(e),
     }
 }
--- a/crates/sender/src/persistence/journal.rs
+++ b/crates/sender/src/persistence/journal.rs
@@ -8,19 +8,19 @@
 };
 
 /// Where a driver's messages are written down.
-pub enum Store {
+pub enum JournalStore {
     /// The sender has one core.
-    Whole(Box<Journal>),
+    Exclusive(Box<Journal>),
     /// One of several.
-    Part(JournalPart),
+    Sharded(JournalPart),
 }
 
-impl Store {
+impl JournalStore {
     /// The messages that are owed their end, by number, in no order.
     pub fn live(&self) -> &ByNumber<PendingMessage> {
         match self {
-            Self::Whole(journal) => journal.live(),
-            Self::Part(part) => part.live(),
+            Self::Exclusive(journal) => journal.live(),
+            Self::Sharded(part) => part.live(),
         }
     }
 
@@ -30,40 +30,40 @@
     /// As [`Journal::append`].
     pub fn append(&mut self, now: Micros, records: &mut Vec<Record>) -> Result<(), AppendError> {
         match self {
-            Self::Whole(journal) => journal.append(now, records),
-            Self::Part(part) => part.append(now, records),
+            Self::Exclusive(journal) => journal.append(now, records),
+            Self::Sharded(part) => part.append(now, records),
         }
     }
 
     /// As [`Journal::has_room`].
-    pub fn has_room(&self, taken: &AcceptedMessage, pending: u64) -> bool {
+    pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
         match self {
-            Self::Whole(journal) => journal.has_capacity(taken, pending),
-            Self::Part(part) => part.has_capacity(taken, pending),
+            Self::Exclusive(journal) => journal.has_capacity(taken, pending),
+            Self::Sharded(part) => part.has_capacity(taken, pending),
         }
     }
 
     /// As [`Journal::room_for`].
-    pub fn room_for(&self, taken: &AcceptedMessage) -> u64 {
+    pub fn space_needed(&self, taken: &AcceptedMessage) -> u64 {
         match self {
-            Self::Whole(journal) => journal.space_needed(taken),
-            Self::Part(part) => part.space_needed(taken),
+            Self::Exclusive(journal) => journal.space_needed(taken),
+            Self::Sharded(part) => part.space_needed(taken),
         }
     }
 
     /// As [`Journal::retains`].
     pub fn retains(&self, class: &str) -> bool {
         match self {
-            Self::Whole(journal) => journal.retains(class),
-            Self::Part(part) => part.retains(class),
+            Self::Exclusive(journal) => journal.retains(class),
+            Self::Sharded(part) => part.retains(class),
         }
     }
 
     /// As [`Journal::remembered`].
-    pub fn remembered(&self, id: &str, now: Micros) -> Option<LedgerEntry> {
+    pub fn ledger_entry(&self, id: &str, now: Micros) -> Option<LedgerEntry> {
         match self {
-            Self::Whole(journal) => journal.ledger_entry(id, now).cloned(),
-            Self::Part(part) => part.ledger_entry(id, now),
+            Self::Exclusive(journal) => journal.ledger_entry(id, now).cloned(),
+            Self::Sharded(part) => part.ledger_entry(id, now),
         }
     }
 
@@ -71,24 +71,24 @@
     ///
     /// # Errors
     /// As [`Journal::tidy`].
-    pub fn tidy(&mut self, now: Micros) -> io::Result<()> {
+    pub fn compact_step(&mut self, now: Micros) -> io::Result<()> {
         match self {
-            Self::Whole(journal) => journal.compact_step(now),
-            Self::Part(part) => part.compact_step(now),
+            Self::Exclusive(journal) => journal.compact_step(now),
+            Self::Sharded(part) => part.compact_step(now),
         }
     }
 
     /// As [`Journal::room_beside`]; beside one that several cores share nothing is kept.
-    pub fn room_beside(&self) -> u64 {
+    pub fn free_reserved_bytes(&self) -> u64 {
         match self {
-            Self::Whole(journal) => journal.free_reserved_bytes(),
-            Self::Part(_) => 0,
+            Self::Exclusive(journal) => journal.free_reserved_bytes(),
+            Self::Sharded(_) => 0,
         }
     }
 
     /// As [`Journal::set_beside`].
-    pub fn set_beside(&mut self, bytes: u64) {
-        if let Self::Whole(journal) = self {
+    pub fn set_reserved_bytes(&mut self, bytes: u64) {
+        if let Self::Exclusive(journal) = self {
             journal.set_reserved_bytes(bytes);
         }
     }
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -25,14 +25,14 @@
 
 /// How it is kept here; none where the operators' file says so.
 #[derive(Debug, Clone, Copy)]
-pub struct Keeping {
+pub struct SnapshotOptions {
     options: Options,
     clock: KnownClock,
     /// What is believed of it at a start.
     pub law: Config,
 }
 
-impl Keeping {
+impl SnapshotOptions {
     /// What the table says, with what it leaves out.
     pub fn of(table: &KnownTable, disk: u64, sync: bool, aim: Micros) -> Option<Self> {
         if !table.on {
@@ -66,7 +66,7 @@
 }
 
 /// The files of what is known, while this process has the journal.
-pub struct Memory {
+pub struct SnapshotStore {
     store: Store,
     clock: KnownClock,
     complain_at: Micros,
@@ -76,11 +76,13 @@
 pub fn open(
     state: &Path,
     owner: &str,
-    keeping: &Keeping,
-) -> Option<(Memory, health_snapshot::replay::Snapshot)> {
+    keeping: &SnapshotOptions,
+) -> Option<(SnapshotStore, health_snapshot::replay::Snapshot)> {
     let disk = Box::new(Folder::beside(state));
     match Store::open(disk, owner, keeping.options) {
-        Ok((store, snapshot)) => Some((Memory { store, clock: keeping.clock, complain_at: 0 }, snapshot)),
+        Ok((store, snapshot)) => {
+            Some((SnapshotStore { store, clock: keeping.clock, complain_at: 0 }, snapshot))
+        }
         Err(e) => {
             eprintln!("what was known of partners can't be read, and nothing is kept: {e}");
             None
@@ -89,9 +91,9 @@
 }
 
 /// What a process believes that starts with that snapshot and the list at that version.
-pub fn believe(
+pub fn restore(
     snapshot: &health_snapshot::replay::Snapshot,
-    keeping: &Keeping,
+    keeping: &SnapshotOptions,
     now: Micros,
     index: u64,
 ) -> RestoredState {
@@ -100,7 +102,7 @@
 }
 
 /// What the driver shows of what is known.
-pub struct View<'a> {
+pub struct SnapshotSource<'a> {
     /// The module.
     pub policy: &'a Policy,
     /// The list.
@@ -111,7 +113,7 @@
     pub now: Micros,
 }
 
-impl Source for View<'_> {
+impl Source for SnapshotSource<'_> {
     fn destinations(&self) -> Vec<u16> {
         let mut all: Vec<_> = self.policy.known_destinations().into_iter().map(|d| d.0).collect();
         all.extend(self.directory.destinations());
@@ -150,7 +152,7 @@
     }
 }
 
-impl Memory {
+impl SnapshotStore {
     /// This process's clock is so far ahead of the one that what was read was written by.
     pub fn moved_by(&mut self, shift: i64) {
         self.store.moved_by(shift);
@@ -162,12 +164,12 @@
     }
 
     /// Something may have been learnt of a destination.
-    pub fn touched(&mut self, destination: u16, now: Micros) {
+    pub fn mark_touched(&mut self, destination: u16, now: Micros) {
         self.store.touched(destination, now);
     }
 
     /// It told a wait, or the list says something else of it.
-    pub fn pressing(&mut self, destination: u16, listed: bool, now: Micros) {
+    pub fn mark_urgent(&mut self, destination: u16, listed: bool, now: Micros) {
         self.store.pressing(destination, listed, now);
     }
 
@@ -177,7 +179,7 @@
     }
 
     /// Writes what is due, into so much room.
-    pub fn slice(&mut self, room: u64, view: &View) {
+    pub fn write_slice(&mut self, room: u64, view: &SnapshotSource) {
         if self.store.next_due(view.now).is_none_or(|due| due > view.now) {
             return;
         }
@@ -188,7 +190,7 @@
     }
 
     /// Gives its room back to the journal.
-    pub fn give_back(&mut self, now: Micros) {
+    pub fn release(&mut self, now: Micros) {
         if let Err(e) = self.store.release(now) {
             self.complain(now, &e);
         }
@@ -204,7 +206,7 @@
 
 /// The list that a process begins with: what the snapshot has where that is newer, else the configuration's, with the drains
 /// that may have been told since. And the version to watch it from; none where the whole list is to be asked for.
-pub fn first_list(known: ListBody, belief: &mut RestoredState) -> (ListBody, Option<u64>) {
+pub fn initial_list(known: ListBody, belief: &mut RestoredState) -> (ListBody, Option<u64>) {
     if let Some((index, destinations)) = belief.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
             listed.into_iter().map(move |listed| Listing {
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use decision::interface::{EndpointId, Event, MessageId, Micros, RouteId};
-pub use handover::{Answer, AttemptCompleted as AttemptOver};
+pub use handover::{Answer, AttemptCompleted};
 use journal::AcceptedMessage;
 use tokio::sync::oneshot;
 
@@ -102,7 +102,7 @@
         destination: u16,
     },
     /// Attempts ended that travelled as one call.
-    CallCompleted(Vec<AttemptOver>),
+    CallCompleted(Vec<AttemptCompleted>),
     /// Goes to the module as it is.
     Event(Event),
     /// Discovery told of endpoints.
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -20,17 +20,17 @@
 use tokio::sync::watch;
 
 use crate::config::{self, Config};
-use crate::event_loop::{self, Ended, Left, Member, Parts};
+use crate::event_loop::{self, EventLoopParts, ExitReason, HandedOverShard, Shard};
 use crate::gossip_socket::Peers;
 use crate::hand_over::socket::Link;
 use crate::hand_over::{self as link, Before, Carried};
 use crate::http;
 use crate::http::client::{Calls, Limits};
 use crate::http::server::Intake;
-use crate::persistence::class_idempotency::{self, Meanings};
+use crate::persistence::class_idempotency::{self, ClassIdempotency};
 use crate::persistence::ejections;
-use crate::persistence::journal::Store;
-use crate::persistence::snapshot::{self, Keeping};
+use crate::persistence::journal::JournalStore;
+use crate::persistence::snapshot::{self, SnapshotOptions};
 use crate::ports::{Clock, Frontend, Inbound, Transport};
 use crate::shards::{Post, Room, Say, Team};
 use crate::stall_detector;
@@ -118,15 +118,15 @@
 }
 
 /// What binds what was taken on, by its class, and is written down for the next process before this one takes anything on.
-fn meanings(config: &Config, journal: &Journal) -> Meanings {
+fn meanings(config: &Config, journal: &Journal) -> ClassIdempotency {
     let effects = config.settings.classes.iter().map(|class| class.idempotency);
-    let now: Meanings = config.names.classes.iter().cloned().zip(effects).collect();
+    let now: ClassIdempotency = config.names.classes.iter().cloned().zip(effects).collect();
     let before = class_idempotency::read(&config.state).unwrap_or_else(|e| {
         eprintln!("{e}");
         now.keys().map(|name| (name.clone(), Idempotency::NonIdempotent)).collect()
     });
     let held = journal.live().values().map(|live| live.message.class.to_string()).collect();
-    let joined = class_idempotency::joined(&before, &now, &held);
+    let joined = class_idempotency::merged(&before, &now, &held);
     if joined != before
         && let Err(e) = class_idempotency::write(&config.state, &joined)
     {
@@ -253,7 +253,7 @@
     set_back: bool,
     /// Its requests are counted from there.
     requests: u64,
-    meanings: Arc<Meanings>,
+    meanings: Arc<ClassIdempotency>,
 }
 
 impl Beside {
@@ -281,24 +281,24 @@
             let sides =
                 Sides::new(&self.config, self.clock, None, &inbound, Some(post.clone()), self.door.clone());
             sides.intake.count_from(self.requests);
-            let parts = Parts {
+            let parts = EventLoopParts {
                 clock: self.clock,
-                journal: Store::Part(self.part),
-                member: Some(Member::new(post)),
-                fronts: sides.fronts(),
-                carriers: sides.carriers(),
+                journal: JournalStore::Sharded(self.part),
+                shard: Some(Shard::new(post)),
+                frontends: sides.fronts(),
+                transports: sides.carriers(),
                 peers: None,
-                door: self.door,
-                held_out: self.held_out,
-                begun: true,
-                taken_over: None,
-                before: None,
+                gate: self.door,
+                ejections: self.held_out,
+                frontends_started: true,
+                predecessor_state: None,
+                predecessor: None,
                 waits: self.waits,
-                ends: None,
-                set_back: self.set_back,
-                memory: None,
-                belief: RestoredState::default(),
-                meanings: self.meanings,
+                outcome_counts: None,
+                clock_set_back: self.set_back,
+                snapshot_store: None,
+                restored: RestoredState::default(),
+                class_idempotency: self.meanings,
             };
             event_loop::run(&self.config, parts, inbound, &mut events).await.map(drop)
         })
@@ -320,7 +320,7 @@
     let meanings = Arc::new(meanings(&config, &journal));
     let aim = config.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
     let sync = operators.journal.sync == operator_config::Sync::Group;
-    let keeping = Keeping::of(&operators.known, config.disk, sync, aim);
+    let keeping = SnapshotOptions::of(&operators.known, config.disk, sync, aim);
     let mut memory = keeping.and_then(|keeping| snapshot::open(&config.state, &config.name, &keeping));
     let written = memory.as_ref().map_or(0, |(_, snapshot)| snapshot.stamp.wall);
     let latest = told.as_ref().map_or(0, |told| told.1.stopped_at).max(journal.latest()).max(written);
@@ -352,7 +352,7 @@
     }
     let (mut begun, mut ends): (bool, Option<OutcomeCounts>) = (false, None);
     let mut journal = match &team {
-        None => Store::Whole(Box::new(journal)),
+        None => JournalStore::Exclusive(Box::new(journal)),
         Some(team) => {
             let owners = team.owners();
             let mut parts =
@@ -375,10 +375,10 @@
                 };
                 beside.start()?;
             }
-            Store::Part(first)
+            JournalStore::Sharded(first)
         }
     };
-    let mut member = post.clone().map(Member::new);
+    let mut member = post.clone().map(Shard::new);
     loop {
         // Who goes on after all opens it once more: another process had it meanwhile.
         if memory.is_none() {
@@ -386,7 +386,7 @@
         }
         let mut belief = RestoredState::default();
         let memory = memory.take().zip(keeping).map(|((mut memory, snapshot), keeping)| {
-            let believed = snapshot::believe(&snapshot, &keeping, clock.now(), config.known.index);
+            let believed = snapshot::restore(&snapshot, &keeping, clock.now(), config.known.index);
             memory.moved_by(believed.shift);
             if taken_over.is_none() {
                 belief = believed;
@@ -402,30 +402,30 @@
         let peers = Peers::open(&config, inbound.clone()).await.map_err(|e| format!("peer_listen: {e}"))?;
         let mut carriers = sides.carriers();
         carriers.extend(before.clone().map(|before| before as Rc<dyn Transport>));
-        let parts = Parts {
+        let parts = EventLoopParts {
             clock,
             journal,
-            member: member.take(),
-            fronts: sides.fronts(),
-            carriers,
+            shard: member.take(),
+            frontends: sides.fronts(),
+            transports: carriers,
             peers,
-            door: sides.door.clone(),
-            held_out: ejections::read(&config.state)
+            gate: sides.door.clone(),
+            ejections: ejections::read(&config.state)
                 .map_err(|e| format!("{}: {e}", config.state.display()))?,
-            begun,
-            taken_over: taken_over.take(),
-            before: before.take(),
+            frontends_started: begun,
+            predecessor_state: taken_over.take(),
+            predecessor: before.take(),
             waits: std::mem::take(&mut waits),
-            ends: ends.take(),
-            set_back: std::mem::take(&mut set_back),
-            memory,
-            belief,
-            meanings: meanings.clone(),
+            outcome_counts: ends.take(),
+            clock_set_back: std::mem::take(&mut set_back),
+            snapshot_store: memory,
+            restored: belief,
+            class_idempotency: meanings.clone(),
         };
         let (successor, state, so_far, left) =
             match event_loop::run(&config, parts, inbound.clone(), &mut events).await? {
-                Ended::Done => return Ok(()),
-                Ended::HandsOver { successor, state, ends, peers, member } => {
+                ExitReason::Finished => return Ok(()),
+                ExitReason::HandOver { successor, state, outcome_counts: ends, peers, shard: member } => {
                     if let Some(peers) = peers {
                         peers.close().await;
                     }
@@ -443,10 +443,10 @@
                 sides.intake.set_most(sides.most / PART);
                 let (mut fronts, mut carriers) = (sides.fronts(), sides.carriers());
                 if let Some(left) = left {
-                    left.elsewhere.set_max_clients(sides.most / PART);
-                    left.elsewhere.clone().follow(inbound.clone());
-                    fronts.push(left.elsewhere.clone());
-                    carriers.push(left.elsewhere);
+                    left.remote_shards.set_max_clients(sides.most / PART);
+                    left.remote_shards.clone().follow(inbound.clone());
+                    fronts.push(left.remote_shards.clone());
+                    carriers.push(left.remote_shards);
                 }
                 let carried = Carried { clock, fronts, carriers, door: sides.door, ends: so_far };
                 return link::carry(link, understood, carried, &mut events).await;
@@ -455,12 +455,12 @@
                 eprintln!("the next process did not take over, this one goes on: {e}");
                 journal = match left {
                     Some(left) => {
-                        let Left { member: went, mut part, .. } = *left;
+                        let HandedOverShard { shard: went, journal_part: mut part, .. } = *left;
                         part.reopen(again);
                         member = Some(went);
-                        Store::Part(part)
+                        JournalStore::Sharded(part)
                     }
-                    None => Store::Whole(Box::new(again)),
+                    None => JournalStore::Exclusive(Box::new(again)),
                 };
                 let policy = understood(&config, &state, clock.now());
                 taken_over = Some((state, policy.ok_or("its own state can't be read")?));
--- a/crates/sender/src/shards/mailbox.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -15,7 +15,7 @@
 
 use super::Team;
 use crate::discovery::endpoint_list::Listed;
-use crate::ports::{AttemptOver, Submission};
+use crate::ports::{AttemptCompleted, Submission};
 
 /// A destination that goes to another core, with all that is known, held and out.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
         /// The endpoint's name; its id is another one here.
         name: Arc<str>,
         /// How it ended.
-        over: AttemptOver,
+        over: AttemptCompleted,
     },
     /// An endpoint told that core a wait.
     Wait {
