--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -6,7 +6,7 @@
 use decision::interface::Settings;
 use serde::Deserialize;
 
-use crate::discovery::endpoint_list::ListBody;
+use crate::discovery::endpoint_list::EndpointList;
 
 /// All that the sender is told.
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
     /// Reaches all senders.
     pub peers_all: Option<SocketAddr>,
     /// The list of endpoints as last known.
-    pub known: ListBody,
+    pub initial_list: EndpointList,
     /// Its place among the senders of its tier, where the settings tell it.
     pub rank: Option<u16>,
     /// The module's settings.
@@ -83,7 +83,7 @@
     #[serde(default)]
     peers_all: Option<SocketAddr>,
     #[serde(default)]
-    known: ListBody,
+    known: EndpointList,
     settings: serde_json::Value,
 }
 
@@ -129,7 +129,7 @@
 ///
 /// # Errors
 /// Fails, in one line, when the configuration cannot be read.
-pub fn discovery_again() -> Result<SocketAddr, String> {
+pub fn reload_discovery() -> Result<SocketAddr, String> {
     let path = variable("NODE_CONFIG")?.ok_or("NODE_CONFIG is not set")?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     Ok(parse(&text).map_err(|e| format!("{path}: {e}"))?.discovery)
@@ -172,7 +172,7 @@
         peer_listen: raw.peer_listen,
         peers: raw.peers,
         peers_all: raw.peers_all,
-        known: raw.known,
+        initial_list: raw.known,
         rank: s["rank"].as_u64().and_then(|rank| u16::try_from(rank).ok()),
         settings,
         names,
--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -8,82 +8,82 @@
 use decision::interface::*;
 
 use crate::config::Names;
-use crate::discovery::endpoint_list::{ListBody, Listing as Listed};
+use crate::discovery::endpoint_list::{EndpointList, EndpointListing as Listed};
 use crate::ports::Transport;
 
 /// Entries of a long list that are taken in in one turn: bounds the pause that a list makes.
-pub const SLICE: usize = 1_000;
+pub const SLICE_ENTRIES: usize = 1_000;
 /// Entries that wait for their turn at most: over twice what there can be of destinations.
-const WAITING_LIMIT: usize = 200_000;
+const MAX_PENDING_ENTRIES: usize = 200_000;
 
 /// An endpoint as the list has it.
-struct Known {
+struct EndpointRecord {
     name: Arc<str>,
-    group: u16,
+    destination: u16,
     kind: usize,
     /// Who makes calls to it; none where its address can't be read.
-    carrier: Option<Rc<dyn Transport>>,
-    bundle: usize,
+    transport: Option<Rc<dyn Transport>>,
+    max_batch: usize,
     /// What the list says of it; nothing new goes there besides while it is held out.
     listing: Listing,
     zone: u16,
     weight: f64,
     /// A number that is another one where its address is.
-    place: u32,
+    address_hash: u32,
     /// No list names it any more.
-    gone: bool,
+    unlisted: bool,
     /// The last whole list that named it, or change since.
-    named: u64,
+    last_listed: u64,
 }
 
 /// The list as it is known here.
 pub struct Directory {
     names: Names,
     kinds: Vec<DestinationKind>,
-    carriers: Vec<Rc<dyn Transport>>,
-    endpoints: HashMap<EndpointId, Known>,
+    transports: Vec<Rc<dyn Transport>>,
+    endpoints: HashMap<EndpointId, EndpointRecord>,
     /// The id of each name, and how many ids were given out.
     ids: HashMap<String, EndpointId>,
-    given: u64,
+    ids_assigned: u64,
     /// Destinations that a list has named.
     destinations: BTreeSet<u16>,
     /// Endpoints that are gone and not forgotten yet, and names that attempts alone refer to.
-    gone: BTreeSet<EndpointId>,
-    strays: BTreeSet<String>,
+    unlisted: BTreeSet<EndpointId>,
+    attempt_only_names: BTreeSet<String>,
     /// Held out by hand, whatever the list says, and names that the list had.
-    held_out: Ejections,
-    past: RetiredNames,
+    ejections: Ejections,
+    retired_names: RetiredNames,
     /// Whole lists so far; the last one may not be at its end yet.
     lists: u64,
-    whole: bool,
+    full_list_pending: bool,
     /// What waits to be taken in, and endpoints of which it is to be said that they are gone.
-    waiting: VecDeque<Rest>,
-    going: Vec<EndpointId>,
+    pending: VecDeque<PendingList>,
+    pending_removals: Vec<EndpointId>,
     /// Destinations of which a list said something else than before, since that was last asked.
     changed: BTreeSet<u16>,
 }
 
 /// What is left of a list that is taken in bit by bit. All cores have the same list, and each takes from it for itself.
-struct Rest {
-    list: Arc<ListBody>,
-    taken: usize,
+struct PendingList {
+    list: Arc<EndpointList>,
+    applied: usize,
 }
 
-impl Rest {
+impl PendingList {
     fn len(&self) -> usize {
-        self.list.endpoints.len() - self.taken
+        self.list.endpoints.len() - self.applied
     }
 
     fn next(&mut self) -> Option<&Listed> {
-        let next = self.list.endpoints.get(self.taken)?;
-        self.taken += 1;
+        let next = self.list.endpoints.get(self.applied)?;
+        self.applied += 1;
         Some(next)
     }
 }
 
 /// More entries wait than are kept: the whole list must be asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooMany;
+pub struct TooManyPending;
 
 impl Directory {
     /// Nothing is known yet. The first carrier that can read an endpoint's address makes the calls to it.
@@ -94,21 +94,21 @@
         held_out: Ejections,
     ) -> Self {
         Self {
-            held_out,
-            past: RetiredNames::default(),
+            ejections: held_out,
+            retired_names: RetiredNames::default(),
             names,
             kinds,
-            carriers,
+            transports: carriers,
             endpoints: HashMap::new(),
             ids: HashMap::new(),
-            given: 0,
+            ids_assigned: 0,
             destinations: BTreeSet::new(),
-            gone: BTreeSet::new(),
-            strays: BTreeSet::new(),
+            unlisted: BTreeSet::new(),
+            attempt_only_names: BTreeSet::new(),
             lists: 0,
-            whole: false,
-            waiting: VecDeque::new(),
-            going: Vec::new(),
+            full_list_pending: false,
+            pending: VecDeque::new(),
+            pending_removals: Vec::new(),
             changed: BTreeSet::new(),
         }
     }
@@ -120,7 +120,7 @@
         ids: Vec<(String, EndpointId)>,
         given: u64,
     ) {
-        self.given = given;
+        self.ids_assigned = given;
         for known in endpoints {
             let handover::HandoverEndpoint {
                 id,
@@ -135,41 +135,52 @@
             } = known;
             let place =
                 |carrier: &&Rc<dyn Transport>| address.as_ref().is_some_and(|a| carrier.set_address(id, a));
-            let carrier = self.carriers.iter().find(place).cloned();
+            let carrier = self.transports.iter().find(place).cloned();
             let kind = kind.map_or(usize::MAX, usize::from);
             let bundle = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
             if gone {
-                self.gone.insert(id);
+                self.unlisted.insert(id);
             }
-            let open = listing == Listing::Ready && !gone && !self.held_out.contains(&name);
+            let open = listing == Listing::Ready && !gone && !self.ejections.contains(&name);
             carrier.iter().for_each(|carrier| carrier.set_accepting(id, open));
             self.destinations.insert(group);
             let (name, named) = (name.into(), self.lists);
             let place = crc32fast::hash(address.as_deref().unwrap_or_default().as_bytes());
-            let known =
-                Known { name, group, kind, carrier, bundle, listing, zone, weight, place, gone, named };
+            let known = EndpointRecord {
+                name,
+                destination: group,
+                kind,
+                transport: carrier,
+                max_batch: bundle,
+                listing,
+                zone,
+                weight,
+                address_hash: place,
+                unlisted: gone,
+                last_listed: named,
+            };
             self.endpoints.insert(id, known);
         }
         let strays = ids.iter().filter(|(_, id)| !self.endpoints.contains_key(id));
-        self.strays = strays.map(|(name, _)| name.clone()).collect();
+        self.attempt_only_names = strays.map(|(name, _)| name.clone()).collect();
         self.ids = ids.into_iter().collect();
     }
 
     /// What is known, for another process: endpoints, ids by name, and how many ids were given out.
     pub fn save(&self) -> (Vec<handover::HandoverEndpoint>, Vec<(String, EndpointId)>, u64) {
-        let saved = |(id, known): (&EndpointId, &Known)| handover::HandoverEndpoint {
+        let saved = |(id, known): (&EndpointId, &EndpointRecord)| handover::HandoverEndpoint {
             id: *id,
             name: known.name.to_string(),
-            address: known.carrier.as_ref().and_then(|carrier| carrier.address(*id)),
+            address: known.transport.as_ref().and_then(|carrier| carrier.address(*id)),
             zone: known.zone,
             kind: u16::try_from(known.kind).ok(),
-            group: known.group,
+            group: known.destination,
             listing: known.listing,
             weight: known.weight,
-            unlisted: known.gone,
+            unlisted: known.unlisted,
         };
         let ids = self.ids.iter().map(|(name, id)| (name.clone(), *id));
-        (self.endpoints.iter().map(saved).collect(), ids.collect(), self.given)
+        (self.endpoints.iter().map(saved).collect(), ids.collect(), self.ids_assigned)
     }
 
     /// The id of an endpoint that is listed.
@@ -179,12 +190,12 @@
 
     /// The destination of an endpoint that is known.
     pub fn destination(&self, endpoint: EndpointId) -> Option<u16> {
-        self.endpoints.get(&endpoint).map(|known| known.group)
+        self.endpoints.get(&endpoint).map(|known| known.destination)
     }
 
     /// Destinations of endpoints that are known.
     pub fn destinations(&self) -> impl Iterator<Item = u16> {
-        self.endpoints.values().map(|known| known.group)
+        self.endpoints.values().map(|known| known.destination)
     }
 
     /// Destinations of which a list said something else than before, since this was last asked.
@@ -196,14 +207,14 @@
     pub fn describe(&self, endpoint: EndpointId) -> Option<health_snapshot::ListedEndpoint> {
         let known = self.endpoints.get(&endpoint)?;
         let text = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
-        let address = known.carrier.as_ref().and_then(|carrier| carrier.address(endpoint));
+        let address = known.transport.as_ref().and_then(|carrier| carrier.address(endpoint));
         Some(health_snapshot::ListedEndpoint {
             name: known.name.to_string(),
             address: address.unwrap_or_default(),
             zone: text(&self.names.zones, known.zone.into()),
             kind: text(&self.names.kinds, known.kind),
             status: match known.listing {
-                _ if known.gone => health_snapshot::EndpointStatus::Removed,
+                _ if known.unlisted => health_snapshot::EndpointStatus::Removed,
                 Listing::Ready => health_snapshot::EndpointStatus::Active,
                 Listing::Draining => health_snapshot::EndpointStatus::Draining,
                 Listing::Gone => health_snapshot::EndpointStatus::Removed,
@@ -233,47 +244,47 @@
     }
 
     /// Messages that one call to an endpoint carries at most.
-    pub fn bundle(&self, endpoint: EndpointId) -> usize {
-        self.endpoints.get(&endpoint).map_or(1, |known| known.bundle)
+    pub fn max_batch(&self, endpoint: EndpointId) -> usize {
+        self.endpoints.get(&endpoint).map_or(1, |known| known.max_batch)
     }
 
     /// All who make calls.
     pub fn carriers(&self) -> &[Rc<dyn Transport>] {
-        &self.carriers
+        &self.transports
     }
 
     /// Who makes calls to an endpoint.
-    pub fn carrier(&self, endpoint: EndpointId) -> Option<&Rc<dyn Transport>> {
-        self.endpoints.get(&endpoint)?.carrier.as_ref()
+    pub fn transport(&self, endpoint: EndpointId) -> Option<&Rc<dyn Transport>> {
+        self.endpoints.get(&endpoint)?.transport.as_ref()
     }
 
     /// The route that leads to an endpoint: its destination's, or its own where its kind has routes apart.
     pub fn route(&self, endpoint: EndpointId) -> Option<RouteId> {
         let known = self.endpoints.get(&endpoint)?;
         let apart = self.kinds.get(known.kind).is_some_and(|kind| kind.separate_routes);
-        Some((DestinationId(known.group), apart.then_some(endpoint)))
+        Some((DestinationId(known.destination), apart.then_some(endpoint)))
     }
 
     /// Endpoints in the list.
     pub fn listed_endpoints(&self) -> usize {
-        self.endpoints.values().filter(|known| !known.gone).count()
+        self.endpoints.values().filter(|known| !known.unlisted).count()
     }
 
     /// Which endpoints are held out by hand.
     pub fn held_out(&self) -> &Ejections {
-        &self.held_out
+        &self.ejections
     }
 
     /// What is held out by hand once this endpoint is, or is no longer. Nothing changes by it.
     ///
     /// # Errors
     /// Fails when no list has named it, or there is no room.
-    pub fn would_hold_out(&self, name: &str, out: bool) -> Result<Ejections, EjectError> {
+    pub fn plan_ejection(&self, name: &str, out: bool) -> Result<Ejections, EjectError> {
         let known = self.ids.get(name).is_some_and(|id| self.endpoints.contains_key(id));
-        if !known && !self.past.contains(name) && !self.held_out.contains(name) {
+        if !known && !self.retired_names.contains(name) && !self.ejections.contains(name) {
             return Err(EjectError::Unknown);
         }
-        let mut held_out = self.held_out.clone();
+        let mut held_out = self.ejections.clone();
         if out {
             held_out.enter(name)?;
         } else {
@@ -283,19 +294,21 @@
     }
 
     /// These are held out from now on; tells what changes by it.
-    pub fn hold_out(&mut self, held_out: Ejections) -> Event {
-        let before = std::mem::replace(&mut self.held_out, held_out);
-        let changed = |known: &&Known| before.contains(&known.name) != self.held_out.contains(&known.name);
-        let listed = self.endpoints.iter().filter(|(_, known)| !known.gone);
+    pub fn apply_ejections(&mut self, held_out: Ejections) -> Event {
+        let before = std::mem::replace(&mut self.ejections, held_out);
+        let changed =
+            |known: &&EndpointRecord| before.contains(&known.name) != self.ejections.contains(&known.name);
+        let listed = self.endpoints.iter().filter(|(_, known)| !known.unlisted);
         let changes = listed.filter(|(_, known)| changed(known)).map(|(id, known)| {
-            let listing = if self.held_out.contains(&known.name) { Listing::Draining } else { known.listing };
-            if let Some(carrier) = &known.carrier {
+            let listing =
+                if self.ejections.contains(&known.name) { Listing::Draining } else { known.listing };
+            if let Some(carrier) = &known.transport {
                 carrier.set_accepting(*id, listing == Listing::Ready);
                 if listing == Listing::Draining {
                     carrier.close_idle(*id);
                 }
             }
-            let destination = DestinationId(known.group);
+            let destination = DestinationId(known.destination);
             let (zone, kind, weight) = (known.zone, known.kind, known.weight);
             EndpointEntry { endpoint: *id, destination, zone, kind, weight, listing }
         });
@@ -304,7 +317,7 @@
 
     /// The id of the endpoint that an attempt went to, which no list need have named.
     pub fn id_of_attempt(&mut self, name: &str) -> EndpointId {
-        self.strays.insert(name.to_owned());
+        self.attempt_only_names.insert(name.to_owned());
         self.id_of(name)
     }
 
@@ -312,29 +325,29 @@
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
-        self.given += 1;
+        self.ids_assigned += 1;
         let mut bytes = [0; 6];
-        bytes.copy_from_slice(&self.given.to_be_bytes()[2..]);
+        bytes.copy_from_slice(&self.ids_assigned.to_be_bytes()[2..]);
         self.ids.insert(name.to_owned(), EndpointId(bytes));
         EndpointId(bytes)
     }
 
     /// Takes in the list or changes of it, at once. Endpoints that are gone are forgotten, their connections and their
     /// names, unless one of these attempts refers to one: under churn there are ever new ones.
-    pub fn listed<'a, I: Iterator<Item = &'a str>>(
+    pub fn apply<'a, I: Iterator<Item = &'a str>>(
         &mut self,
-        list: &ListBody,
+        list: &EndpointList,
         attempts: impl FnOnce() -> I,
     ) -> Event {
         let mut entries = Vec::with_capacity(list.endpoints.len());
         self.lists += u64::from(list.snapshot);
         for listed in &list.endpoints {
-            self.take_in(listed, &mut entries);
+            self.apply_entry(listed, &mut entries);
         }
         if list.snapshot {
-            self.find_going();
-            for id in std::mem::take(&mut self.going) {
-                self.goes(id);
+            self.collect_removals();
+            for id in std::mem::take(&mut self.pending_removals) {
+                self.remove_endpoint(id);
             }
         }
         self.prune(attempts);
@@ -342,58 +355,58 @@
     }
 
     /// Whether a list is to be taken in bit by bit: it is long, takes much away, or comes behind one that is.
-    pub fn wants_slices(&self, list: &ListBody) -> bool {
+    pub fn needs_slicing(&self, list: &EndpointList) -> bool {
         let going = if list.snapshot { self.endpoints.len() } else { 0 };
-        self.is_behind() || list.endpoints.len().max(going) > SLICE
+        self.has_pending() || list.endpoints.len().max(going) > SLICE_ENTRIES
     }
 
     /// Keeps a long list to be taken in bit by bit; a whole one makes up for all that waits.
     ///
     /// # Errors
     /// Fails when too much waits; then nothing does any more, and the whole list must be had.
-    pub fn put_off(&mut self, list: Arc<ListBody>) -> Result<(), TooMany> {
+    pub fn enqueue(&mut self, list: Arc<EndpointList>) -> Result<(), TooManyPending> {
         if list.snapshot {
-            self.waiting.clear();
-            self.going.clear();
+            self.pending.clear();
+            self.pending_removals.clear();
             self.lists += 1;
-            self.whole = true;
+            self.full_list_pending = true;
         }
         if !list.endpoints.is_empty() {
-            self.waiting.push_back(Rest { list, taken: 0 });
+            self.pending.push_back(PendingList { list, applied: 0 });
         }
-        if self.waiting.iter().map(Rest::len).sum::<usize>() > WAITING_LIMIT {
-            self.waiting.clear();
-            self.whole = false;
-            return Err(TooMany);
+        if self.pending.iter().map(PendingList::len).sum::<usize>() > MAX_PENDING_ENTRIES {
+            self.pending.clear();
+            self.full_list_pending = false;
+            return Err(TooManyPending);
         }
         Ok(())
     }
 
     /// Whether something waits to be taken in.
-    pub fn is_behind(&self) -> bool {
-        self.whole || !self.waiting.is_empty() || !self.going.is_empty()
+    pub fn has_pending(&self) -> bool {
+        self.full_list_pending || !self.pending.is_empty() || !self.pending_removals.is_empty()
     }
 
     /// The next bit of what waits, of so many entries, as changes. What a whole list did not name is gone once it is at
     /// its end.
-    pub fn slice<'a, I: Iterator<Item = &'a str>>(
+    pub fn apply_slice<'a, I: Iterator<Item = &'a str>>(
         &mut self,
         size: usize,
         attempts: impl FnOnce() -> I,
     ) -> Event {
         let mut entries = Vec::new();
         for _ in 0..size {
-            if let Some(mut rest) = self.waiting.pop_front() {
+            if let Some(mut rest) = self.pending.pop_front() {
                 if let Some(listed) = rest.next() {
-                    self.take_in(listed, &mut entries);
+                    self.apply_entry(listed, &mut entries);
                 }
                 if rest.len() > 0 {
-                    self.waiting.push_front(rest);
+                    self.pending.push_front(rest);
                 }
-            } else if std::mem::take(&mut self.whole) {
-                self.find_going();
-            } else if let Some(id) = self.going.pop() {
-                entries.extend(self.goes(id));
+            } else if std::mem::take(&mut self.full_list_pending) {
+                self.collect_removals();
+            } else if let Some(id) = self.pending_removals.pop() {
+                entries.extend(self.remove_endpoint(id));
             } else {
                 break;
             }
@@ -403,20 +416,21 @@
     }
 
     /// What the last whole list did not name, nor a change since.
-    fn find_going(&mut self) {
-        let going = self.endpoints.iter().filter(|(_, known)| !known.gone && known.named != self.lists);
-        self.going = going.map(|(id, _)| *id).collect();
+    fn collect_removals(&mut self) {
+        let going =
+            self.endpoints.iter().filter(|(_, known)| !known.unlisted && known.last_listed != self.lists);
+        self.pending_removals = going.map(|(id, _)| *id).collect();
     }
 
     /// No list names it any more.
-    fn goes(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
-        let known = self.endpoints.get_mut(&endpoint).filter(|known| known.named != self.lists)?;
-        known.gone = true;
-        known.carrier.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
-        self.past.left(&known.name);
-        self.gone.insert(endpoint);
-        self.changed.insert(known.group);
-        let destination = DestinationId(known.group);
+    fn remove_endpoint(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
+        let known = self.endpoints.get_mut(&endpoint).filter(|known| known.last_listed != self.lists)?;
+        known.unlisted = true;
+        known.transport.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
+        self.retired_names.left(&known.name);
+        self.unlisted.insert(endpoint);
+        self.changed.insert(known.destination);
+        let destination = DestinationId(known.destination);
         Some(EndpointEntry {
             endpoint,
             destination,
@@ -427,23 +441,23 @@
         })
     }
 
-    fn take_in(&mut self, listing: &Listed, entries: &mut Vec<EndpointEntry>) {
+    fn apply_entry(&mut self, listing: &Listed, entries: &mut Vec<EndpointEntry>) {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let zone = position(&self.names.zones, &listing.zone).map_or(u16::MAX, |zone| zone as u16);
         let kind = position(&self.names.kinds, &listing.kind).unwrap_or(usize::MAX);
         let mut endpoint = self.id_of(&listing.name);
-        let before = self.endpoints.get(&endpoint).filter(|known| known.group != listing.group);
+        let before = self.endpoints.get(&endpoint).filter(|known| known.destination != listing.group);
         let mut entry = |endpoint, group, listing| {
             let destination = DestinationId(group);
             entries.push(EndpointEntry { endpoint, destination, zone, kind, weight: 0.0, listing });
         };
-        if let Some(group) = before.map(|known| known.group) {
+        if let Some(group) = before.map(|known| known.destination) {
             // Guards against a name that moves to another destination: it is another endpoint there.
             entry(endpoint, group, Listing::Gone);
             if let Some(known) = self.endpoints.get_mut(&endpoint) {
-                known.gone = true;
-                known.carrier.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
-                self.gone.insert(endpoint);
+                known.unlisted = true;
+                known.transport.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
+                self.unlisted.insert(endpoint);
             }
             self.changed.insert(group);
             self.ids.remove(&listing.name);
@@ -455,7 +469,7 @@
             _ => Listing::Draining,
         };
         // Whatever the list says, who was taken out by hand comes back by hand.
-        let held_out = listed == Listing::Ready && self.held_out.contains(&listing.name);
+        let held_out = listed == Listing::Ready && self.ejections.contains(&listing.name);
         let state = if held_out { Listing::Draining } else { listed };
         entry(endpoint, listing.group, state);
         self.destinations.insert(listing.group);
@@ -467,16 +481,16 @@
         let gone = state == Listing::Gone;
         let place = crc32fast::hash(listing.address.as_bytes());
         if gone {
-            self.past.left(&listing.name);
-            self.gone.insert(endpoint)
+            self.retired_names.left(&listing.name);
+            self.unlisted.insert(endpoint)
         } else {
-            self.gone.remove(&endpoint)
+            self.unlisted.remove(&endpoint)
         };
         let carrier =
-            self.carriers.iter().find(|carrier| carrier.set_address(endpoint, &listing.address)).cloned();
+            self.transports.iter().find(|carrier| carrier.set_address(endpoint, &listing.address)).cloned();
         let keeps = |other: &&Rc<dyn Transport>| carrier.as_ref().is_some_and(|c| Rc::ptr_eq(c, other));
         // Who made calls to it at the address that it had has no more to do with it.
-        self.carriers.iter().filter(|other| !keeps(other)).for_each(|other| other.forget(endpoint));
+        self.transports.iter().filter(|other| !keeps(other)).for_each(|other| other.forget(endpoint));
         if let Some(carrier) = &carrier {
             carrier.set_accepting(endpoint, state == Listing::Ready);
             if state != Listing::Ready {
@@ -485,9 +499,23 @@
         }
         let (name, group, named) = (listing.name.as_str().into(), listing.group, self.lists);
         let listing = listed;
-        let known = Known { name, group, kind, carrier, bundle, listing, zone, weight, place, gone, named };
-        let same = |before: &Known| {
-            let all = |k: &Known| (k.kind, k.listing, k.zone, k.weight.to_bits(), k.place, k.gone);
+        let known = EndpointRecord {
+            name,
+            destination: group,
+            kind,
+            transport: carrier,
+            max_batch: bundle,
+            listing,
+            zone,
+            weight,
+            address_hash: place,
+            unlisted: gone,
+            last_listed: named,
+        };
+        let same = |before: &EndpointRecord| {
+            let all = |k: &EndpointRecord| {
+                (k.kind, k.listing, k.zone, k.weight.to_bits(), k.address_hash, k.unlisted)
+            };
             all(before) == all(&known)
         };
         if !self.endpoints.get(&endpoint).is_some_and(same) {
@@ -497,15 +525,15 @@
     }
 
     fn prune<'a, I: Iterator<Item = &'a str>>(&mut self, attempts: impl FnOnce() -> I) {
-        if self.gone.is_empty() && self.strays.is_empty() {
+        if self.unlisted.is_empty() && self.attempt_only_names.is_empty() {
             return;
         }
         let referred: HashSet<&str> = attempts().collect();
         let (endpoints, ids) = (&mut self.endpoints, &mut self.ids);
-        self.gone.retain(|id| {
+        self.unlisted.retain(|id| {
             let Some(known) = endpoints.get(id) else { return false };
             let keep = referred.contains(&*known.name);
-            if let Some(carrier) = &known.carrier {
+            if let Some(carrier) = &known.transport {
                 if keep { carrier.close_idle(*id) } else { carrier.forget(*id) }
             }
             if !keep {
@@ -517,7 +545,7 @@
             }
             keep
         });
-        self.strays.retain(|name| {
+        self.attempt_only_names.retain(|name| {
             let listed = ids.get(name).is_none_or(|id| endpoints.contains_key(id));
             let keep = !listed && referred.contains(name.as_str());
             if !listed && !keep {
@@ -612,7 +640,7 @@
         }
     }
 
-    fn list(rng: &mut fastrand::Rng) -> ListBody {
+    fn list(rng: &mut fastrand::Rng) -> EndpointList {
         let snapshot = rng.u8(..3) == 0;
         let most = rng.usize(1..30);
         let endpoints = (0..most)
@@ -626,7 +654,7 @@
                 weight: 1.0,
             })
             .collect();
-        ListBody { index: 0, snapshot, endpoints }
+        EndpointList { index: 0, snapshot, endpoints }
     }
 
     /// Bit by bit and at once come to the same, whatever comes in between. Another first seed in LIST_SEED gives other
@@ -642,27 +670,27 @@
             let referred = || referred.iter().map(String::as_str);
             for _ in 0..12 {
                 let list = list(&mut rng);
-                let said = once.directory.listed(&list, referred);
+                let said = once.directory.apply(&list, referred);
                 once.hear(said);
-                bits.directory.put_off(Arc::new(list)).unwrap();
+                bits.directory.enqueue(Arc::new(list)).unwrap();
                 // Now and then the next one comes before this one is at its end.
                 let patience = if rng.bool() { rng.usize(..6) } else { usize::MAX };
                 for _ in 0..patience {
-                    if !bits.directory.is_behind() {
+                    if !bits.directory.has_pending() {
                         break;
                     }
                     let size = rng.usize(1..10);
-                    let said = bits.directory.slice(size, referred);
+                    let said = bits.directory.apply_slice(size, referred);
                     // A name that moves to another destination brings two entries.
                     assert!(matches!(&said, Event::EndpointChanges(entries) if entries.len() <= 2 * size));
                     bits.hear(said);
                 }
-                if !bits.directory.is_behind() {
+                if !bits.directory.has_pending() {
                     assert_eq!(bits.all(), once.all(), "seed {seed}");
                 }
             }
-            while bits.directory.is_behind() {
-                let said = bits.directory.slice(7, referred);
+            while bits.directory.has_pending() {
+                let said = bits.directory.apply_slice(7, referred);
                 bits.hear(said);
             }
             assert_eq!(bits.all(), once.all(), "seed {seed}");
@@ -681,27 +709,29 @@
             status: "active".to_owned(),
             weight: 1.0,
         };
-        let list = |count: usize, snapshot| ListBody {
+        let list = |count: usize, snapshot| EndpointList {
             index: 0,
             snapshot,
             endpoints: (0..count).map(entry).collect(),
         };
-        side.directory.put_off(Arc::new(list(WAITING_LIMIT, false))).unwrap();
-        assert_eq!(side.directory.put_off(Arc::new(list(1, false))), Err(TooMany));
-        assert!(!side.directory.is_behind());
-        side.directory.put_off(Arc::new(list(WAITING_LIMIT, false))).unwrap();
-        side.directory.put_off(Arc::new(list(10, true))).unwrap();
-        let said = side.directory.slice(SLICE, || [].into_iter());
+        side.directory.enqueue(Arc::new(list(MAX_PENDING_ENTRIES, false))).unwrap();
+        assert_eq!(side.directory.enqueue(Arc::new(list(1, false))), Err(TooManyPending));
+        assert!(!side.directory.has_pending());
+        side.directory.enqueue(Arc::new(list(MAX_PENDING_ENTRIES, false))).unwrap();
+        side.directory.enqueue(Arc::new(list(10, true))).unwrap();
+        let said = side.directory.apply_slice(SLICE_ENTRIES, || [].into_iter());
         side.hear(said);
-        assert_eq!((side.directory.is_behind(), side.told.len()), (false, 10));
+        assert_eq!((side.directory.has_pending(), side.told.len()), (false, 10));
         // Short ones come at once, unless they take much away or come behind what waits.
         assert!(
-            !side.directory.wants_slices(&list(5, true))
-                && side.directory.wants_slices(&list(SLICE + 1, true))
+            !side.directory.needs_slicing(&list(5, true))
+                && side.directory.needs_slicing(&list(SLICE_ENTRIES + 1, true))
+        );
+        side.directory.apply(&list(2 * SLICE_ENTRIES, true), || [].into_iter());
+        assert!(
+            side.directory.needs_slicing(&list(5, true)) && !side.directory.needs_slicing(&list(5, false))
         );
-        side.directory.listed(&list(2 * SLICE, true), || [].into_iter());
-        assert!(side.directory.wants_slices(&list(5, true)) && !side.directory.wants_slices(&list(5, false)));
-        side.directory.put_off(Arc::new(list(5, true))).unwrap();
-        assert!(side.directory.wants_slices(&list(5, false)));
+        side.directory.enqueue(Arc::new(list(5, true))).unwrap();
+        assert!(side.directory.needs_slicing(&list(5, false)));
     }
 }
--- a/crates/sender/src/discovery/endpoint_list.rs
+++ b/crates/sender/src/discovery/endpoint_list.rs
@@ -6,7 +6,7 @@
 
 /// The list of endpoints, whole or changes of it, as discovery writes it.
 #[derive(Debug, Default, Clone, Deserialize)]
-pub struct ListBody {
+pub struct EndpointList {
     /// Its version.
     #[serde(default)]
     pub index: u64,
@@ -15,12 +15,12 @@
     pub snapshot: bool,
     /// Its entries.
     #[serde(default)]
-    pub endpoints: Vec<Listing>,
+    pub endpoints: Vec<EndpointListing>,
 }
 
 /// One entry.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Listing {
+pub struct EndpointListing {
     /// The same at every sender.
     pub name: String,
     /// Where this sender dials it.
@@ -43,4 +43,4 @@
 
 /// News of the list: one list for all cores, from which each takes as it goes on.
 #[derive(Debug, Clone)]
-pub struct Listed(pub Arc<ListBody>);
+pub struct EndpointUpdate(pub Arc<EndpointList>);
--- a/crates/sender/src/discovery/poll_schedule.rs
+++ b/crates/sender/src/discovery/poll_schedule.rs
@@ -6,7 +6,7 @@
 /// nobody anything, and a watch goes on if it comes back within 200 ms.
 const BROKEN: Duration = Duration::from_millis(50);
 /// What a sender's call takes of the time of a discovery that serves all senders, about.
-const TURN: Duration = Duration::from_millis(25);
+const SPREAD_PER_SENDER: Duration = Duration::from_millis(25);
 /// The longest mean rest after a call was turned away: every sender gets a turn within that.
 const LONGEST: Duration = Duration::from_secs(8);
 
@@ -16,7 +16,7 @@
     /// The connection broke, nothing came in time, or what came can't be read.
     Broken,
     /// Discovery turned the call away: it has more of them than it can answer.
-    TurnedAway,
+    Rejected,
 }
 
 /// Guards discovery against all its senders: each call that it turns away costs it too, so that many senders that ask
@@ -24,7 +24,7 @@
 /// number of senders, twice as long with each, and by chance, so that those who begin together don't go on together. It
 /// costs a list that comes some seconds later where a single call was turned away by chance.
 #[derive(Debug)]
-pub struct Again {
+pub struct PollSchedule {
     senders: u32,
     /// What the list says of drains has to be known so soon.
     grace: Duration,
@@ -32,7 +32,7 @@
     rng: fastrand::Rng,
 }
 
-impl Again {
+impl PollSchedule {
     /// For one of so many senders, which keep drains within that time.
     pub fn new(senders: usize, grace: Duration, seed: u64) -> Self {
         let senders = u32::try_from(senders).unwrap_or(u32::MAX).max(1);
@@ -43,7 +43,7 @@
     /// the list that they have is good for so long. One alone doesn't wait. Guards drains that were told before the process
     /// began, which bind it from its first moment: half of their time is left for the start and the answer.
     pub fn first(&mut self, good_for: Duration) -> Duration {
-        let apart = TURN.saturating_mul(self.senders - 1).min(LONGEST / 4).min(self.grace / 2);
+        let apart = SPREAD_PER_SENDER.saturating_mul(self.senders - 1).min(LONGEST / 4).min(self.grace / 2);
         apart.max(good_for.min(2 * apart)).mul_f64(self.rng.f64())
     }
 
@@ -53,13 +53,14 @@
     }
 
     /// How long to rest before the next call.
-    pub fn rest(&mut self, how: Unanswered) -> Duration {
+    pub fn backoff(&mut self, how: Unanswered) -> Duration {
         if how == Unanswered::Broken {
             return BROKEN;
         }
         let times = 1u32.checked_shl(self.turned_away).unwrap_or(u32::MAX);
         self.turned_away = self.turned_away.saturating_add(1);
-        let mean = TURN.saturating_mul(self.senders).max(BROKEN).saturating_mul(times).min(LONGEST);
+        let mean =
+            SPREAD_PER_SENDER.saturating_mul(self.senders).max(BROKEN).saturating_mul(times).min(LONGEST);
         mean.mul_f64(0.5 + self.rng.f64())
     }
 }
@@ -75,31 +76,33 @@
     #[test]
     fn the_first_call_leaves_half_of_the_time_for_drains() {
         let grace = Duration::from_secs(1);
-        let latest = (0..99).map(|seed| Again::new(300, grace, seed).first(Duration::ZERO)).max().unwrap();
+        let latest =
+            (0..99).map(|seed| PollSchedule::new(300, grace, seed).first(Duration::ZERO)).max().unwrap();
         assert!(latest > grace / 3 && latest <= grace / 2, "{latest:?}");
     }
 
     #[test]
     fn who_is_turned_away_rests_longer_each_time_and_begins_anew_after_a_list() {
-        let mut again = Again::new(48, GRACE, 1);
+        let mut again = PollSchedule::new(48, GRACE, 1);
         let mut mean = Duration::from_millis(1_200);
         for _ in 0..40 {
-            let rest = again.rest(Unanswered::TurnedAway);
+            let rest = again.backoff(Unanswered::Rejected);
             assert!(rest >= mean / 2 && rest <= mean * 3 / 2, "{rest:?} about {mean:?}");
             mean = (mean * 2).min(LONGEST);
         }
-        assert_eq!(again.rest(Unanswered::Broken), BROKEN, "the agent itself is asked at once");
+        assert_eq!(again.backoff(Unanswered::Broken), BROKEN, "the agent itself is asked at once");
         again.answered();
-        assert!(again.rest(Unanswered::TurnedAway) <= Duration::from_millis(1_800));
+        assert!(again.backoff(Unanswered::Rejected) <= Duration::from_millis(1_800));
     }
 
     #[test]
     fn one_alone_asks_at_once() {
         let good = Duration::from_secs(4);
-        assert_eq!(Again::new(1, GRACE, 1).first(good), Duration::ZERO);
-        assert_eq!(Again::new(0, GRACE, 1).first(good), Duration::ZERO);
-        assert!(Again::new(usize::MAX, GRACE, 1).first(Duration::ZERO) <= LONGEST / 4);
-        let latest = |good| (0..99).map(|seed| Again::new(100, GRACE, seed).first(good)).max().unwrap();
+        assert_eq!(PollSchedule::new(1, GRACE, 1).first(good), Duration::ZERO);
+        assert_eq!(PollSchedule::new(0, GRACE, 1).first(good), Duration::ZERO);
+        assert!(PollSchedule::new(usize::MAX, GRACE, 1).first(Duration::ZERO) <= LONGEST / 4);
+        let latest =
+            |good| (0..99).map(|seed| PollSchedule::new(100, GRACE, seed).first(good)).max().unwrap();
         assert!(latest(good) > LONGEST / 4 && latest(good) <= good, "a good list leaves discovery time");
         assert!(latest(Duration::from_secs(3)) <= Duration::from_secs(3));
     }
@@ -109,7 +112,7 @@
     #[test]
     fn all_of_many_senders_get_their_list() {
         let served_by = |rests: bool| {
-            let mut senders: Vec<_> = (0..48).map(|n| Again::new(48, GRACE, n)).collect();
+            let mut senders: Vec<_> = (0..48).map(|n| PollSchedule::new(48, GRACE, n)).collect();
             let mut at: Vec<_> = senders.iter_mut().map(|s| Some(s.first(Duration::ZERO))).collect();
             let (mut busy_until, mut last) = (Duration::ZERO, Duration::ZERO);
             while let Some((now, n)) = at.iter().enumerate().filter_map(|(n, at)| Some(((*at)?, n))).min() {
@@ -119,7 +122,7 @@
                 busy_until = busy_until.max(now);
                 if busy_until - now > Duration::from_secs(2) {
                     busy_until += LONGEST / 96;
-                    let rest = senders[n].rest(Unanswered::TurnedAway);
+                    let rest = senders[n].backoff(Unanswered::Rejected);
                     at[n] = Some(now + if rests { rest } else { BROKEN });
                 } else {
                     busy_until += LONGEST / 48;
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -12,22 +12,22 @@
 use tokio::sync::{Notify, watch::Receiver};
 use tokio::time::timeout;
 
-use crate::discovery::endpoint_list::{ListBody, Listed};
-use crate::discovery::poll_schedule::{Again, Unanswered};
+use crate::discovery::endpoint_list::{EndpointList, EndpointUpdate};
+use crate::discovery::poll_schedule::{PollSchedule, Unanswered};
 use crate::platform_client::ask;
 use crate::ports::Inbound;
 
 /// How long a watch may be held open.
-const HOLD: Duration = Duration::from_secs(20);
+const LONG_POLL: Duration = Duration::from_secs(20);
 /// How much later its answer may come; one that need not wait comes at once. What a silent watch missed counts as told 2 s
 /// after its wait: it is known to be silent before.
-const HOLD_SLACK: Duration = Duration::from_millis(1_500);
+const LONG_POLL_SLACK: Duration = Duration::from_millis(1_500);
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
 /// One of more bytes takes a millisecond and more to read.
 const LONG_LIST: usize = 128 << 10;
 
 /// Guards turns against the time that a long list takes to read: another thread does it.
-async fn read_list(body: Bytes) -> Option<ListBody> {
+async fn read_list(body: Bytes) -> Option<EndpointList> {
     if body.len() <= LONG_LIST {
         return serde_json::from_slice(&body).ok();
     }
@@ -41,7 +41,7 @@
     mut discovery: Receiver<SocketAddr>,
     known: Option<u64>,
     whole: Rc<Notify>,
-    mut again: Again,
+    mut again: PollSchedule,
     good_for: Duration,
     inbound: UnboundedSender<Inbound>,
 ) {
@@ -51,9 +51,10 @@
     loop {
         let address = *discovery.borrow_and_update();
         let (path, within) = match from {
-            Some(from) => {
-                (format!("/v1/endpoints?from={from}&hold_ms={}", HOLD.as_millis()), HOLD + HOLD_SLACK)
-            }
+            Some(from) => (
+                format!("/v1/endpoints?from={from}&hold_ms={}", LONG_POLL.as_millis()),
+                LONG_POLL + LONG_POLL_SLACK,
+            ),
             None => ("/v1/endpoints".to_owned(), LIST_TIMEOUT),
         };
         let Ok(request) = Request::get(path).header("host", address.to_string()).body(Bytes::new()) else {
@@ -73,7 +74,7 @@
         let list = match answer {
             Ok(Ok((StatusCode::OK, body))) => read_list(body).await.ok_or(Unanswered::Broken),
             Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
-                Err(Unanswered::TurnedAway)
+                Err(Unanswered::Rejected)
             }
             _ => Err(Unanswered::Broken),
         };
@@ -81,11 +82,11 @@
             Ok(list) => {
                 again.answered();
                 from = Some(list.index);
-                Inbound::EndpointsUpdated(Listed(Arc::new(list)))
+                Inbound::EndpointsUpdated(EndpointUpdate(Arc::new(list)))
             }
             Err(how) => {
                 conn = None;
-                if let Ok(Ok(())) = timeout(again.rest(how), discovery.changed()).await {
+                if let Ok(Ok(())) = timeout(again.backoff(how), discovery.changed()).await {
                     from = None;
                 }
                 Inbound::Event(Event::DiscoveryFailed)
--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -51,7 +51,7 @@
             AdminRequest::Move { destination, core } => self.request_migration(destination, core),
             AdminRequest::Eject(ref name) | AdminRequest::Reinstate(ref name) => {
                 let out = matches!(call, AdminRequest::Eject(_));
-                let held_out = match self.directory.would_hold_out(name, out) {
+                let held_out = match self.directory.plan_ejection(name, out) {
                     Ok(held_out) => held_out,
                     Err(refused) => return told(refused.status(), refused.text()),
                 };
@@ -61,7 +61,7 @@
                 {
                     return told(500, &format!("it can't be kept, and nothing changes: {e}\n"));
                 }
-                said.push(self.directory.hold_out(held_out));
+                said.push(self.directory.apply_ejections(held_out));
                 done()
             }
         }
--- a/crates/sender/src/event_loop/mod.rs
+++ b/crates/sender/src/event_loop/mod.rs
@@ -21,21 +21,21 @@
 
 use crate::config::{self, Config};
 use crate::discovery;
-use crate::discovery::directory::{Directory, SLICE};
-use crate::discovery::endpoint_list::{ListBody, Listed};
-use crate::discovery::poll_schedule::Again;
-use crate::gossip_socket::Peers;
-use crate::hand_over::Before;
-use crate::hand_over::socket::Link;
+use crate::discovery::directory::{Directory, SLICE_ENTRIES};
+use crate::discovery::endpoint_list::{EndpointList, EndpointUpdate};
+use crate::discovery::poll_schedule::PollSchedule;
+use crate::gossip_socket::GossipSocket;
+use crate::hand_over::Predecessor;
+use crate::hand_over::socket::HandoverLink;
 use crate::http;
-use crate::notifications::{self, Notice};
+use crate::notifications::{self, Notification};
 use crate::persistence::class_idempotency::ClassIdempotency;
 use crate::persistence::journal::JournalStore;
 use crate::persistence::snapshot::SnapshotStore;
 use crate::ports::{
     Answer, AttemptCompleted, CallMessage, Clock, Frontend, Inbound, Transport, WriteOptions,
 };
-use crate::shards::Elsewhere;
+use crate::shards::RemoteShards;
 
 mod admin_requests;
 mod messages;
@@ -95,8 +95,8 @@
     policy: Policy,
     journal: JournalStore,
     directory: Directory,
-    peers: Option<Peers>,
-    notifications: UnboundedSender<Notice>,
+    peers: Option<GossipSocket>,
+    notifications: UnboundedSender<Notification>,
     refetch_endpoints: Rc<Notify>,
     discovery: watch::Sender<SocketAddr>,
     inbound: UnboundedSender<Inbound>,
@@ -110,8 +110,8 @@
     /// Destinations that a turn may have taught something of.
     touched_destinations: Vec<u16>,
     /// Who asks to take over, and what is left of the process before this one.
-    successor: Option<Link>,
-    predecessor: Option<Rc<Before>>,
+    successor: Option<HandoverLink>,
+    predecessor: Option<Rc<Predecessor>>,
     gate: watch::Sender<AdmissionGate>,
     outcome_counts: OutcomeCounts,
     /// Where it is kept who is held out.
@@ -156,7 +156,7 @@
     /// Make calls; the first that can read an endpoint's address makes those to it.
     pub transports: Vec<Rc<dyn Transport>>,
     /// Notes to other senders.
-    pub peers: Option<Peers>,
+    pub peers: Option<GossipSocket>,
     /// Tells the fronts whether clients may come.
     pub gate: watch::Sender<AdmissionGate>,
     /// Who is held out by hand.
@@ -166,7 +166,7 @@
     /// What another process knew, which this one goes on with.
     pub predecessor_state: Option<(HandoverState, Policy)>,
     /// What is left of the process before.
-    pub predecessor: Option<Rc<Before>>,
+    pub predecessor: Option<Rc<Predecessor>>,
     /// Endpoints of destinations that told another process a wait, and until when.
     pub waits: Vec<(String, Micros)>,
     /// Ends so far.
@@ -188,7 +188,7 @@
     /// Its part of the journal, which is closed.
     pub journal_part: journal::JournalPart,
     /// The other cores' clients and calls.
-    pub remote_shards: Rc<Elsewhere>,
+    pub remote_shards: Rc<RemoteShards>,
 }
 
 /// How the sender ended.
@@ -198,13 +198,13 @@
     /// A process that was started beside it is to take over: what it is to be told, and what is left here.
     HandOver {
         /// Who asks.
-        successor: Link,
+        successor: HandoverLink,
         /// What it is told.
         state: Box<HandoverState>,
         /// Ends so far.
         outcome_counts: OutcomeCounts,
         /// Notes to other senders, which the other process is to have.
-        peers: Option<Peers>,
+        peers: Option<GossipSocket>,
         /// What is left of one of several cores.
         shard: Option<Box<HandedOverShard>>,
     },
@@ -255,7 +255,7 @@
         refetch_endpoints: whole_list.clone(),
         discovery,
         inbound: inbound.clone(),
-        list_version: config.known.index,
+        list_version: config.initial_list.index,
         list_confirmed_at: 0,
         list_is_current: false,
         snapshot_store: memory,
@@ -285,7 +285,7 @@
             let first = driver.resume_from_predecessor(state);
             (first, Some(driver.list_version))
         }
-        None => driver.recover(config.known.clone(), set_back, waits, &mut belief),
+        None => driver.recover(config.initial_list.clone(), set_back, waits, &mut belief),
     };
     driver.update_leases(&mut first);
     driver.run_iteration(first);
@@ -301,7 +301,7 @@
     }
     tokio::task::spawn_local(notifications::send_all(found.clone(), owed, inbound.clone()));
     let grace = Duration::from_micros(config.settings.rules.drain_timeout);
-    let again = Again::new(config.settings.senders, grace, config.seed);
+    let again = PollSchedule::new(config.settings.senders, grace, config.seed);
     let good_for = Duration::from_micros(belief.list.good_for);
     // One core watches the list for all.
     let watch = (me == sharding::ShardId(0)).then(|| {
@@ -323,7 +323,7 @@
             || driver.successor.is_some()
             || !driver.unwritten_records.is_empty();
         let due = if watchful { due.min(clock.now() + 50_000) } else { due };
-        let due = if driver.directory.is_behind() { 0 } else { due };
+        let due = if driver.directory.has_pending() { 0 } else { due };
         let with_others = driver.shard.as_ref().map(|member| member.next_due(clock.now()));
         let due = due.min(with_others.unwrap_or(due));
         let to_write = driver.snapshot_store.as_ref().and_then(|memory| memory.next_due(clock.now()));
@@ -343,8 +343,8 @@
         while let Ok(inbound) = events.try_recv() {
             driver.handle_inbound(inbound, &mut said);
         }
-        if driver.directory.is_behind() {
-            said.push(driver.directory.slice(SLICE, || endpoints_of_attempts(&driver.journal)));
+        if driver.directory.has_pending() {
+            said.push(driver.directory.apply_slice(SLICE_ENTRIES, || endpoints_of_attempts(&driver.journal)));
         }
         let now = driver.iteration_time;
         while let Some(timer) = driver.timers.pop_first() {
@@ -406,7 +406,7 @@
     /// Turns what a task says into events for the module.
     fn handle_inbound(&mut self, inbound: Inbound, said: &mut Vec<Event>) {
         let Some(inbound) = self.route_inbound(inbound) else { return };
-        if let Inbound::EndpointsUpdated(Listed(list)) = &inbound {
+        if let Inbound::EndpointsUpdated(EndpointUpdate(list)) = &inbound {
             (self.list_version, self.list_is_current) = (list.index, true);
         }
         match inbound {
@@ -420,13 +420,13 @@
                 self.request_gather();
                 self.successor = Some(link);
             }
-            Inbound::EndpointsUpdated(Listed(list)) if self.directory.wants_slices(&list) => {
-                if self.directory.put_off(list).is_err() {
+            Inbound::EndpointsUpdated(EndpointUpdate(list)) if self.directory.needs_slicing(&list) => {
+                if self.directory.enqueue(list).is_err() {
                     eprintln!("the list changes faster than it can be taken in: it is asked for as a whole");
                     self.refetch_endpoints.notify_one();
                 }
             }
-            Inbound::EndpointsUpdated(Listed(list)) => said.push(self.apply_list(&list)),
+            Inbound::EndpointsUpdated(EndpointUpdate(list)) => said.push(self.apply_list(&list)),
             Inbound::NotificationsAcknowledged(messages) => {
                 for MessageId(number) in messages {
                     if let Some(id) = self.journal.live().get(&number).map(|l| l.message.id.clone()) {
@@ -444,7 +444,7 @@
                 let held = self.policy.held();
                 eprintln!("status{core} held={held} awake={awake} asleep={asleep} open={open:?}");
             }
-            Inbound::Reload => match config::discovery_again() {
+            Inbound::Reload => match config::reload_discovery() {
                 Ok(address) => self.discovery_is_at(address),
                 Err(e) => eprintln!("the configuration stays as it was: {}", e.replace(['\n', '\r'], " ")),
             },
@@ -458,12 +458,12 @@
         }
     }
 
-    fn apply_list(&mut self, list: &ListBody) -> Event {
-        self.directory.listed(list, || endpoints_of_attempts(&self.journal))
+    fn apply_list(&mut self, list: &EndpointList) -> Event {
+        self.directory.apply(list, || endpoints_of_attempts(&self.journal))
     }
 
     fn queue_notification(&self, number: u32, how: Abandonment, id: String) {
-        let _ = self.notifications.send(Notice { message: MessageId(number), id, how });
+        let _ = self.notifications.send(Notification { message: MessageId(number), id, outcome: how });
     }
 
     /// One turn: the module decides, the journal is written, then clients hear and calls begin.
@@ -508,7 +508,7 @@
                 }
                 Action::Fail(message) => given_up.push((message.0, Abandonment::Undeliverable)),
                 Action::Cancel { message, attempt } => self.cancel_attempt(message, attempt),
-                Action::HealthCheck(endpoint) => match self.directory.carrier(endpoint) {
+                Action::HealthCheck(endpoint) => match self.directory.transport(endpoint) {
                     Some(carrier) => carrier.probe(endpoint),
                     None => {
                         let outcome = Outcome::ConnectFailed;
@@ -517,7 +517,7 @@
                     }
                 },
                 Action::CloseIdleConnections(endpoint) => {
-                    if let Some(carrier) = self.directory.carrier(endpoint) {
+                    if let Some(carrier) = self.directory.transport(endpoint) {
                         carrier.close_idle(endpoint);
                     }
                 }
@@ -526,7 +526,7 @@
                 Action::FetchEndpoints => self.refetch_endpoints.notify_one(),
                 Action::SendGossip { to, content } => {
                     if let Some(peers) = &self.peers {
-                        peers.tell(to, &content);
+                        peers.send(to, &content);
                     }
                 }
                 Action::SetTimer { at, token } => {
@@ -681,7 +681,7 @@
             let leave = self.clock.instant(now.saturating_add(leave_within.min(timeout)));
             let part =
                 CallMessage { message, attempt, id, key, body, answer_deadline: until, send_deadline: leave };
-            let bundle = self.directory.bundle(endpoint);
+            let bundle = self.directory.max_batch(endpoint);
             let call = last.get(&endpoint).copied().and_then(|at| calls.get_mut(at));
             match call.filter(|call| call.1.len() < bundle) {
                 Some(call) => {
@@ -699,7 +699,7 @@
             // over before the answer came, the answer was taken for none of theirs. The one that is waited for longest
             // lives as long as its call does.
             parts.sort_by_key(|part| std::cmp::Reverse(part.answer_deadline));
-            let place = self.directory.carrier(endpoint).zip(self.directory.route(endpoint));
+            let place = self.directory.transport(endpoint).zip(self.directory.route(endpoint));
             let Some((carrier, route)) = place else {
                 // An address that can't be read is one where no connection can be made.
                 let over = |part: &CallMessage| {
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -10,7 +10,7 @@
 
 use super::recovery_report::UncalledReason;
 use super::{EventLoop, NO_REQUEST, message};
-use crate::discovery::endpoint_list::ListBody;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::persistence::journal::JournalStore;
 use crate::persistence::snapshot::initial_list;
 
@@ -71,7 +71,7 @@
             && self.pending_notifications.is_empty()
             && self.submissions.is_empty();
         let alone = self.predecessor.as_ref().is_none_or(|before| before.is_gone());
-        written && alone && !self.directory.is_behind() && self.has_all_destinations()
+        written && alone && !self.directory.has_pending() && self.has_all_destinations()
     }
 
     /// All that the journal does not hold.
@@ -118,7 +118,7 @@
     /// list from, if the whole of it need not be asked for.
     pub(super) fn recover(
         &mut self,
-        known: ListBody,
+        known: EndpointList,
         set_back: bool,
         waits: Vec<(String, Micros)>,
         belief: &mut RestoredState,
@@ -127,7 +127,7 @@
         let (list, from) = initial_list(known, belief);
         self.list_version = list.index;
         self.list_confirmed_at = (now + belief.list.good_for).saturating_sub(LIST_GOOD_FOR);
-        let mut said = vec![self.apply_list(&ListBody { snapshot: true, ..list })];
+        let mut said = vec![self.apply_list(&EndpointList { snapshot: true, ..list })];
         said.extend(self.restore_snapshot(belief));
         // A wait that the process before was told binds this one too.
         for (name, until) in waits {
--- a/crates/sender/src/event_loop/shard.rs
+++ b/crates/sender/src/event_loop/shard.rs
@@ -16,7 +16,9 @@
 use super::EventLoop;
 use crate::persistence::journal::JournalStore;
 use crate::ports::{AdminResponse, Answer, Frontend, Inbound};
-use crate::shards::{BUSY_AGAIN, Bundle, Elsewhere, Figures, Post, Say, Team};
+use crate::shards::{
+    BUSY_AGAIN, Figures, MigratedDestination, RemoteShards, ShardGroup, ShardHandle, ShardMessage,
+};
 
 /// A destination that can't go for so long stays.
 const MIGRATION_TIMEOUT: Micros = 1_000_000;
@@ -36,7 +38,7 @@
 
 /// What a driver has beside what one of a single core has.
 pub struct Shard {
-    handle: Rc<Post>,
+    handle: Rc<ShardHandle>,
     router: AttemptRouter<EndpointId>,
     /// As of this turn.
     owners: Arc<OwnershipMap>,
@@ -59,8 +61,8 @@
 
 impl Shard {
     /// Nothing is out.
-    pub fn new(post: Rc<Post>) -> Self {
-        let (me, team) = (post.me(), post.team());
+    pub fn new(post: Rc<ShardHandle>) -> Self {
+        let (me, team) = (post.id(), post.group());
         let planner = (me == ShardId(0)).then(|| (Planner::new(team.count()), 0));
         let owners = team.owners();
         Self {
@@ -81,21 +83,21 @@
     }
 
     /// What all share.
-    pub fn group(&self) -> &Arc<Team> {
-        self.handle.team()
+    pub fn group(&self) -> &Arc<ShardGroup> {
+        self.handle.group()
     }
 
     /// Which core this is.
     pub fn id(&self) -> ShardId {
-        self.handle.me()
+        self.handle.id()
     }
 
     fn owns(&self, destination: u16) -> bool {
         self.owners.owner(destination) == self.id()
     }
 
-    fn send_to_owner(&self, destination: u16, say: Say) {
-        self.handle.say(self.owners.owner(destination), say);
+    fn send_to_owner(&self, destination: u16, say: ShardMessage) {
+        self.handle.send(self.owners.owner(destination), say);
     }
 
     fn others(&self) -> impl Iterator<Item = ShardId> {
@@ -110,7 +112,7 @@
     fn schedule_migration(&mut self, destination: u16, to: ShardId, now: Micros) {
         let until = now + MIGRATION_TIMEOUT;
         if self.pending_migration.replace(PendingMigration { destination, to, deadline: until }).is_some() {
-            self.group().stayed();
+            self.group().migration_failed();
         }
     }
 
@@ -127,12 +129,12 @@
         &self,
         out: &[(MessageId, u16, EndpointId)],
         ids: &[(String, EndpointId)],
-    ) -> Elsewhere {
+    ) -> RemoteShards {
         let on = |(message, attempt, endpoint): &(MessageId, u16, EndpointId)| {
             let core = self.router.connection((message.0, *attempt));
             (core != self.id()).then_some(((*message, *attempt), (core, *endpoint)))
         };
-        Elsewhere::new(self.handle.clone(), out.iter().filter_map(on).collect(), ids)
+        RemoteShards::new(self.handle.clone(), out.iter().filter_map(on).collect(), ids)
     }
 
     /// Whether it is to be looked at soon though nothing happens.
@@ -156,7 +158,7 @@
 /// Other cores said something to this one.
 pub(super) async fn wait_for_messages(member: Option<&Shard>) {
     match member {
-        Some(member) => member.group().mailbox(member.id()).woken().await,
+        Some(member) => member.group().mailbox(member.id()).notified().await,
         None => std::future::pending().await,
     }
 }
@@ -170,9 +172,9 @@
         member.owners = member.group().owners();
         let came = member.group().mailbox(member.id()).drain();
         let (parcels, others): (Vec<_>, Vec<_>) =
-            came.into_iter().partition(|say| matches!(say, Say::Parcel(_)));
+            came.into_iter().partition(|say| matches!(say, ShardMessage::Migrate(_)));
         for say in parcels {
-            if let Say::Parcel(bundle) = say {
+            if let ShardMessage::Migrate(bundle) = say {
                 self.attach_destination(*bundle);
             }
         }
@@ -181,52 +183,59 @@
         }
     }
 
-    fn handle_shard_message(&mut self, say: Say, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
+    fn handle_shard_message(
+        &mut self,
+        say: ShardMessage,
+        fronts: &[Rc<dyn Frontend>],
+        said: &mut Vec<Event>,
+    ) {
         let Some(member) = &mut self.shard else { return };
         match say {
-            Say::HandedIn(message) => self.handle_inbound(Inbound::Submitted(message), said),
-            Say::Withdrawn { id, request, destination } => {
+            ShardMessage::Submitted(message) => self.handle_inbound(Inbound::Submitted(message), said),
+            ShardMessage::Withdrawn { id, request, destination } => {
                 self.handle_inbound(Inbound::Withdrawn { id, request, destination }, said);
             }
-            Say::Ended { destination, .. } if !member.owns(destination) => {
+            ShardMessage::Ended { destination, .. } if !member.owns(destination) => {
                 member.send_to_owner(destination, say)
             }
-            Say::Ended { destination, name, mut over } => {
+            ShardMessage::Ended { destination, name, mut over } => {
                 member.record_work(destination);
                 member.router.add_foreign((over.message.0, over.attempt));
                 over.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
                 said.push(self.attempt_completed(over));
             }
-            Say::Wait { destination, .. } if !member.owns(destination) => {
+            ShardMessage::Wait { destination, .. } if !member.owns(destination) => {
                 member.send_to_owner(destination, say)
             }
-            Say::Wait { destination, name, wait } => said.push(self.wait(destination, &name, wait)),
-            Say::Parcel(bundle) => self.attach_destination(*bundle),
-            Say::Depart { destination, to } => member.schedule_migration(destination, to, self.clock.now()),
-            Say::Gather => member.gathering = true,
-            Say::Places(most) => {
+            ShardMessage::Wait { destination, name, wait } => said.push(self.wait(destination, &name, wait)),
+            ShardMessage::Migrate(bundle) => self.attach_destination(*bundle),
+            ShardMessage::Depart { destination, to } => {
+                member.schedule_migration(destination, to, self.clock.now())
+            }
+            ShardMessage::Gather => member.gathering = true,
+            ShardMessage::MaxConnections(most) => {
                 fronts.iter().for_each(|front| front.set_max_clients(most));
                 if member.owners.all_gathered() {
                     // Another process calls from now on: what stands idle is closed.
                     self.directory.carriers().iter().for_each(|carrier| carrier.set_max_connections(0));
                 }
             }
-            Say::Cancel(message, attempt) => {
+            ShardMessage::Cancel(message, attempt) => {
                 self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
-            Say::Listed(list) => self.handle_inbound(Inbound::EndpointsUpdated(list), said),
-            Say::ListFailed => said.push(Event::DiscoveryFailed),
-            Say::HeldOut(held_out, done) => {
-                said.push(self.directory.hold_out(held_out));
+            ShardMessage::Listed(list) => self.handle_inbound(Inbound::EndpointsUpdated(list), said),
+            ShardMessage::ListFailed => said.push(Event::DiscoveryFailed),
+            ShardMessage::Ejections(held_out, done) => {
+                said.push(self.directory.apply_ejections(held_out));
                 self.iteration_waiters.push(done);
             }
-            Say::Client(stream) => match fronts.first() {
+            ShardMessage::Client(stream) => match fronts.first() {
                 Some(front) => front.clone().adopt(stream),
                 None => member.group().client_gone(member.id()),
             },
-            Say::Discovery(address) => self.discovery_is_at(address),
-            Say::Status => self.handle_inbound(Inbound::Status, said),
-            Say::Terminate => self.handle_inbound(Inbound::Terminate, said),
+            ShardMessage::Discovery(address) => self.discovery_is_at(address),
+            ShardMessage::Status => self.handle_inbound(Inbound::Status, said),
+            ShardMessage::Terminate => self.handle_inbound(Inbound::Terminate, said),
         }
     }
 
@@ -234,7 +243,7 @@
     pub(super) fn discovery_is_at(&mut self, address: SocketAddr) {
         self.discovery.send_if_modified(|at| std::mem::replace(at, address) != address);
         if let Some(member) = self.shard.as_ref().filter(|member| member.id() == ShardId(0)) {
-            member.others().for_each(|core| member.handle.say(core, Say::Discovery(address)));
+            member.others().for_each(|core| member.handle.send(core, ShardMessage::Discovery(address)));
         }
     }
 
@@ -259,8 +268,8 @@
         match inbound {
             Inbound::Submitted(message) if !member.owns(message.message.destination) => {
                 let destination = message.message.destination;
-                if let Err(Say::HandedIn(message)) =
-                    member.handle.try_say(member.owners.owner(destination), Say::HandedIn(message))
+                if let Err(ShardMessage::Submitted(message)) =
+                    member.handle.try_send(member.owners.owner(destination), ShardMessage::Submitted(message))
                 {
                     let _ = message.answer.send(Answer::Rejected(BUSY_AGAIN));
                 }
@@ -271,7 +280,7 @@
                 Some(Inbound::Submitted(message))
             }
             Inbound::Withdrawn { id, request, destination } if !member.owns(destination) => {
-                member.send_to_owner(destination, Say::Withdrawn { id, request, destination });
+                member.send_to_owner(destination, ShardMessage::Withdrawn { id, request, destination });
                 None
             }
             Inbound::CallCompleted(ends) => {
@@ -285,7 +294,8 @@
                     {
                         Some(destination) => {
                             let name = self.directory.name(over.endpoint);
-                            member.send_to_owner(destination, Say::Ended { destination, name, over });
+                            member
+                                .send_to_owner(destination, ShardMessage::Ended { destination, name, over });
                         }
                         None => {
                             self.directory
@@ -306,7 +316,7 @@
                 match destination.filter(|destination| !member.owns(*destination)) {
                     Some(destination) => {
                         let name = self.directory.name(endpoint);
-                        member.send_to_owner(destination, Say::Wait { destination, name, wait });
+                        member.send_to_owner(destination, ShardMessage::Wait { destination, name, wait });
                         None
                     }
                     None => Some(Inbound::Event(Event::RetryAfter { endpoint, wait })),
@@ -314,19 +324,19 @@
             }
             // What one core hears for all.
             Inbound::EndpointsUpdated(list) if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.say(core, Say::Listed(list.clone())));
+                member.others().for_each(|core| member.handle.send(core, ShardMessage::Listed(list.clone())));
                 Some(Inbound::EndpointsUpdated(list))
             }
             Inbound::Event(Event::DiscoveryFailed) if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.say(core, Say::ListFailed));
+                member.others().for_each(|core| member.handle.send(core, ShardMessage::ListFailed));
                 Some(Inbound::Event(Event::DiscoveryFailed))
             }
             Inbound::Terminate if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.say(core, Say::Terminate));
+                member.others().for_each(|core| member.handle.send(core, ShardMessage::Terminate));
                 Some(Inbound::Terminate)
             }
             Inbound::Status if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.say(core, Say::Status));
+                member.others().for_each(|core| member.handle.send(core, ShardMessage::Status));
                 Some(Inbound::Status)
             }
             inbound => Some(inbound),
@@ -338,7 +348,7 @@
         let Some(member) = &self.shard else { return Vec::new() };
         let tell = |core| {
             let (done, heard) = oneshot::channel();
-            member.handle.say(core, Say::HeldOut(held_out.clone(), done));
+            member.handle.send(core, ShardMessage::Ejections(held_out.clone(), done));
             heard
         };
         member.others().map(tell).collect()
@@ -385,9 +395,9 @@
         let room_for = (held + come) * 16 / 15 + 2;
         let used: usize = self.directory.carriers().iter().map(|carrier| carrier.connections()).sum();
         let (slots, messages, connections) = {
-            let mut room = member.group().room();
-            let slots = room.slots.update(member.id(), out, out + waiting + come);
-            let messages = room.held.update(member.id(), held, room_for);
+            let mut room = member.group().quotas();
+            let slots = room.calls.update(member.id(), out, out + waiting + come);
+            let messages = room.messages.update(member.id(), held, room_for);
             let more = slots.lease.saturating_sub(out).min(waiting + come);
             (slots, messages, room.connections.update(member.id(), used, used + more))
         };
@@ -418,7 +428,7 @@
         if let Some(member) = &self.shard {
             let at = member.router.connection((message.0, attempt));
             if at != member.id() {
-                return member.handle.say(at, Say::Cancel(message, attempt));
+                return member.handle.send(at, ShardMessage::Cancel(message, attempt));
             }
         }
         self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
@@ -435,7 +445,7 @@
         self.publish_figures(now);
         let Some(member) = &mut self.shard else { return };
         let me = member.id();
-        member.handle.team().worked(me, member.work.drain());
+        member.handle.group().worked(me, member.work.drain());
         member.handle.flush();
     }
 
@@ -459,7 +469,7 @@
         let owners = &member.owners;
         let loads: Vec<DestinationLoad> = member
             .handle
-            .team()
+            .group()
             .take_work()
             .into_iter()
             .map(|(destination, events)| DestinationLoad {
@@ -472,11 +482,11 @@
             Plan::Migrate(advised) => {
                 planner.migrated(advised);
                 member.imbalance_logged = false;
-                let say = Say::Depart { destination: advised.destination, to: advised.to };
-                if advised.from == member.handle.me() {
+                let say = ShardMessage::Depart { destination: advised.destination, to: advised.to };
+                if advised.from == member.handle.id() {
                     member.schedule_migration(advised.destination, advised.to, now);
                 } else {
-                    member.handle.say(advised.from, say);
+                    member.handle.send(advised.from, say);
                 }
             }
             Plan::Stuck { core, destination, share } if !member.imbalance_logged => {
@@ -507,7 +517,7 @@
         if from == member.id() {
             member.schedule_migration(destination, to, self.clock.now());
         } else {
-            member.handle.say(from, Say::Depart { destination, to });
+            member.handle.send(from, ShardMessage::Depart { destination, to });
         }
         told(202, "it is told to go; the figures say when it has\n")
     }
@@ -518,14 +528,14 @@
         if let Some(PendingMigration { destination, to, deadline: until }) = member.pending_migration.take() {
             let to_itself = to == member.id() || to.index() >= member.group().count();
             if to_itself || !member.owns(destination) || self.shutdown_deadline.is_some() {
-                member.group().stayed();
+                member.group().migration_failed();
             } else if !self.detach_destination(destination, to) {
                 let Some(member) = &mut self.shard else { return };
                 if now < until {
                     member.pending_migration = Some(PendingMigration { destination, to, deadline: until });
                 } else {
                     eprintln!("destination {destination} stays: something of it is not written or said yet");
-                    member.group().stayed();
+                    member.group().migration_failed();
                 }
             }
         }
@@ -544,7 +554,7 @@
             && let Some(member) = &mut self.shard
         {
             member.gathering = false;
-            member.group().has_gathered(member.id());
+            member.group().gathered(member.id());
             eprintln!("core {} has given all it had to core 0", member.id().0);
         }
     }
@@ -559,7 +569,7 @@
     /// The others are to give this core all that they have.
     pub(super) fn request_gather(&mut self) {
         let Some(member) = &self.shard else { return };
-        member.others().for_each(|core| member.handle.say(core, Say::Gather));
+        member.others().for_each(|core| member.handle.send(core, ShardMessage::Gather));
     }
 
     /// Parts with a destination, if that can be now.
@@ -571,7 +581,7 @@
         let written = self.unwritten_records.is_empty()
             && self.submissions.is_empty()
             && self.pending_notifications.is_empty();
-        if !written || self.directory.is_behind() || self.journal.live().values().any(given_up) {
+        if !written || self.directory.has_pending() || self.journal.live().values().any(given_up) {
             return false;
         }
         let Some(member) = &mut self.shard else { return false };
@@ -599,17 +609,18 @@
             member.router.detach(parcel.out().map(|(message, attempt, _)| (message.0, attempt)));
         let (calls, messages) = (parcel.calls(), numbers.len());
         {
-            let mut room = member.group().room();
-            room.slots.transfer(member.id(), to, calls);
-            room.held.transfer(member.id(), to, messages);
+            let mut room = member.group().quotas();
+            room.calls.transfer(member.id(), to, calls);
+            room.messages.transfer(member.id(), to, messages);
         }
-        let bundle = Bundle { parcel, names, lives, held, attempts, connections };
-        match member.handle.say_now(to, Say::Parcel(Box::new(bundle))) {
+        let bundle =
+            MigratedDestination { parcel, names, messages: lives, requests: held, attempts, connections };
+        match member.handle.send_now(to, ShardMessage::Migrate(Box::new(bundle))) {
             // Behind the parcel: whoever reads the new owner finds the parcel there.
             Ok(()) => {
                 member.detached += 1;
                 member.publish_at = 0;
-                member.group().has_gone(destination, to);
+                member.group().migrated(destination, to);
                 let me = member.id().0;
                 eprintln!(
                     "core {me} hands destination {destination} to core {}: {messages} messages, {calls} calls out",
@@ -617,10 +628,10 @@
                 );
                 true
             }
-            Err(Say::Parcel(bundle)) => {
-                let mut room = member.group().room();
-                room.slots.transfer(to, member.id(), calls);
-                room.held.transfer(to, member.id(), messages);
+            Err(ShardMessage::Migrate(bundle)) => {
+                let mut room = member.group().quotas();
+                room.calls.transfer(to, member.id(), calls);
+                room.messages.transfer(to, member.id(), messages);
                 drop(room);
                 self.attach_destination(*bundle);
                 false
@@ -630,8 +641,9 @@
     }
 
     /// Goes on with a destination that another core parted with.
-    fn attach_destination(&mut self, bundle: Bundle) {
-        let Bundle { parcel, names, lives, held, attempts, connections } = bundle;
+    fn attach_destination(&mut self, bundle: MigratedDestination) {
+        let MigratedDestination { parcel, names, messages: lives, requests: held, attempts, connections } =
+            bundle;
         let Some(member) = &mut self.shard else { return };
         let mut ids = BTreeMap::new();
         for (id, name) in names {
@@ -680,7 +692,7 @@
         let Some(member) = &self.shard else { return String::new() };
         let team = member.group();
         let mut text = String::new();
-        let room = team.room();
+        let room = team.quotas();
         for (core, figures) in team.figures().iter().enumerate() {
             let of = ShardId(core as u8);
             let (said, wakes) = team.mailbox(of).figures();
@@ -688,8 +700,8 @@
             let _ = writeln!(text, "svc_core_open_requests{label} {}", figures.now.open);
             let _ = writeln!(text, "svc_core_calls_out{label} {}", figures.out);
             let _ = writeln!(text, "svc_core_relayed{label} {}", figures.now.relayed);
-            let _ = writeln!(text, "svc_core_slots{label} {}", room.slots.lease(of));
-            let _ = writeln!(text, "svc_core_room{label} {}", room.held.lease(of));
+            let _ = writeln!(text, "svc_core_slots{label} {}", room.calls.lease(of));
+            let _ = writeln!(text, "svc_core_room{label} {}", room.messages.lease(of));
             let _ = writeln!(text, "svc_core_connections{label} {}", room.connections.lease(of));
             let _ = writeln!(text, "svc_core_said_to{label} {said}\nsvc_core_woken{label} {wakes}");
             let _ = writeln!(
@@ -698,7 +710,7 @@
                 figures.moves.0, figures.moves.1
             );
         }
-        let (moved, stayed) = team.moves();
+        let (moved, stayed) = team.migration_counts();
         let _ = writeln!(text, "svc_destinations_moved {moved}\nsvc_destinations_stayed {stayed}");
         text
     }
--- a/crates/sender/src/event_loop/snapshot.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -74,7 +74,7 @@
         self.touched_destinations.dedup();
         self.touched_destinations.drain(..).for_each(|destination| memory.mark_touched(destination, now));
         // A list that is half taken in has no version.
-        if self.directory.is_behind() {
+        if self.directory.has_pending() {
             return;
         }
         let list = (self.list_version, self.list_confirmed_at);
--- a/crates/sender/src/gossip_socket.rs
+++ b/crates/sender/src/gossip_socket.rs
@@ -13,17 +13,17 @@
 use crate::ports::Inbound;
 
 /// A longer note is not sent.
-const NOTE_LIMIT: usize = 256;
+const MAX_MESSAGE_BYTES: usize = 256;
 
 /// The way to the other senders.
-pub struct Peers {
+pub struct GossipSocket {
     socket: Rc<UdpSocket>,
     peers: Vec<SocketAddr>,
     all: Option<SocketAddr>,
     receiving: JoinHandle<()>,
 }
 
-impl Peers {
+impl GossipSocket {
     /// Listens for notes, where the deployment has them.
     ///
     /// # Errors
@@ -33,7 +33,7 @@
         let socket = Rc::new(UdpSocket::bind(listen).await?);
         let (receiving, peers) = (socket.clone(), config.peers.clone());
         let task = tokio::task::spawn_local(async move {
-            let mut note = [0; NOTE_LIMIT + 1];
+            let mut note = [0; MAX_MESSAGE_BYTES + 1];
             loop {
                 // An error here is an earlier note's that did not arrive.
                 let Ok((size, from)) = receiving.recv_from(&mut note).await else {
@@ -41,7 +41,8 @@
                     continue;
                 };
                 let rank = peers.iter().position(|peer| *peer == from);
-                let (Some(rank), true) = (rank.and_then(|r| u16::try_from(r).ok()), size <= NOTE_LIMIT)
+                let (Some(rank), true) =
+                    (rank.and_then(|r| u16::try_from(r).ok()), size <= MAX_MESSAGE_BYTES)
                 else {
                     continue;
                 };
@@ -61,12 +62,12 @@
     }
 
     /// Sends a note to one sender, or to all; it may be lost.
-    pub fn tell(&self, to: Option<u16>, content: &[u8]) {
+    pub fn send(&self, to: Option<u16>, content: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.get(usize::from(rank)).copied(),
             None => self.all,
         };
-        if let (Some(address), true) = (address, content.len() <= NOTE_LIMIT) {
+        if let (Some(address), true) = (address, content.len() <= MAX_MESSAGE_BYTES) {
             let _ = self.socket.try_send_to(content, address);
         }
     }
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -23,7 +23,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use crate::hand_over::socket::Link;
+use crate::hand_over::socket::HandoverLink;
 use crate::ports::{
     AdminResponse, CallMessage, Clock, Frontend, Inbound, Submission, Transport, WriteOptions,
 };
@@ -32,7 +32,7 @@
 /// Who connects and does not ask within this time is sent away.
 const ASK_WITHIN: Duration = Duration::from_millis(500);
 /// An old process looks so often whether it has nothing left to carry.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The socket's name by way of the open folder: a path to a socket may have a hundred bytes only.
 fn name(folder: &File) -> PathBuf {
@@ -53,10 +53,10 @@
     let listening = tokio::task::spawn_local(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             };
-            let mut link = Link::of(stream);
+            let mut link = HandoverLink::of(stream);
             let asked = timeout(ASK_WITHIN, link.receive()).await;
             if matches!(asked, Ok(Ok(ToPredecessor::RequestTakeover)))
                 && inbound.send(Inbound::Successor(link)).is_err()
@@ -69,16 +69,16 @@
 }
 
 /// The process that holds the folder, where one listens.
-pub async fn connect(state: &Path) -> Option<Link> {
+pub async fn connect(state: &Path) -> Option<HandoverLink> {
     let folder = File::open(state).ok()?;
-    Some(Link::of(UnixStream::connect(name(&folder)).await.ok()?))
+    Some(HandoverLink::of(UnixStream::connect(name(&folder)).await.ok()?))
 }
 
 /// Asks it for its state.
 ///
 /// # Errors
 /// Fails when the other process breaks off, or says something else.
-pub async fn ask(mut link: Link) -> Result<(Link, HandoverState), String> {
+pub async fn request_takeover(mut link: HandoverLink) -> Result<(HandoverLink, HandoverState), String> {
     link.send(&ToPredecessor::RequestTakeover).await?;
     match link.receive().await? {
         ToSuccessor::State(state) => Ok((link, *state)),
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 /// Fails when the other process breaks off.
-pub async fn took(link: &mut Link, understood: bool) -> Result<(), String> {
+pub async fn confirm_takeover(link: &mut HandoverLink, understood: bool) -> Result<(), String> {
     link.send(&ToPredecessor::TookOver { understood }).await?;
     if understood {
         return Ok(());
@@ -106,7 +106,10 @@
 ///
 /// # Errors
 /// Fails when it did not take over, as far as is known.
-pub async fn offer(mut link: Link, state: &HandoverState) -> Result<(Link, bool), String> {
+pub async fn offer_state(
+    mut link: HandoverLink,
+    state: &HandoverState,
+) -> Result<(HandoverLink, bool), String> {
     link.send(&ToSuccessor::State(Box::new(state.clone()))).await?;
     match timeout(Duration::from_micros(step::TAKE_WITHIN), link.receive()).await {
         Ok(Ok(ToPredecessor::TookOver { understood })) => Ok((link, understood)),
@@ -117,7 +120,7 @@
 }
 
 /// What an old process still has.
-pub struct Carried {
+pub struct CarriedConnections {
     /// The time.
     pub clock: Clock,
     /// Clients' connections.
@@ -130,7 +133,7 @@
     pub ends: admin::figures::OutcomeCounts,
 }
 
-impl Carried {
+impl CarriedConnections {
     fn out(&self) -> usize {
         self.carriers.iter().map(|carrier| carrier.attempts_in_flight()).sum()
     }
@@ -149,9 +152,9 @@
 /// # Errors
 /// Fails when the new process is gone: what is out may have run, as the journal has it.
 pub async fn carry(
-    link: Link,
+    link: HandoverLink,
     understood: bool,
-    carried: Carried,
+    carried: CarriedConnections,
     events: &mut UnboundedReceiver<Inbound>,
 ) -> Result<(), String> {
     let clock = carried.clock;
@@ -171,7 +174,7 @@
     let mut waiting: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
     let mut callers: HashMap<u64, oneshot::Sender<AdminResponse>> = HashMap::new();
     let (mut number, mut stopping) = (0, None);
-    let mut look = tokio::time::interval(LOOK);
+    let mut look = tokio::time::interval(POLL_INTERVAL);
     loop {
         tokio::select! {
             biased;
@@ -247,14 +250,14 @@
 }
 
 /// The old process, as what has calls out for the new one.
-pub struct Before {
+pub struct Predecessor {
     outs: RefCell<OutstandingAttempts>,
     say: UnboundedSender<ToPredecessor>,
     /// It is still there.
     there: Cell<bool>,
 }
 
-impl Before {
+impl Predecessor {
     /// Whether nothing is left of the old process.
     pub fn is_gone(&self) -> bool {
         !self.there.get()
@@ -262,7 +265,7 @@
 
     /// Hears the old process from now on, until it is gone.
     pub fn follow(
-        link: Link,
+        link: HandoverLink,
         out: Vec<(MessageId, u16, EndpointId)>,
         clock: Clock,
         class: impl Fn(&str) -> Option<usize> + 'static,
@@ -334,7 +337,7 @@
     }
 }
 
-impl Transport for Before {
+impl Transport for Predecessor {
     fn set_address(&self, _: EndpointId, _: &str) -> bool {
         false
     }
--- a/crates/sender/src/hand_over/socket.rs
+++ b/crates/sender/src/hand_over/socket.rs
@@ -11,12 +11,12 @@
 
 /// The two processes' connection.
 #[derive(Debug)]
-pub struct Link {
+pub struct HandoverLink {
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
 }
 
-impl Link {
+impl HandoverLink {
     /// Of a socket that the two have between them.
     pub fn of(stream: UnixStream) -> Self {
         let (reader, writer) = stream.into_split();
--- a/crates/sender/src/http/active_waits.rs
+++ b/crates/sender/src/http/active_waits.rs
@@ -14,11 +14,11 @@
 
 /// Until when nothing may leave for each route.
 #[derive(Debug, Default)]
-pub struct Waits(RefCell<HashMap<RouteId, Instant>>);
+pub struct ActiveWaits(RefCell<HashMap<RouteId, Instant>>);
 
-impl Waits {
+impl ActiveWaits {
     /// A route told a wait. It never shortens one that was told before.
-    pub fn told(&self, route: RouteId, now: Instant, wait: Duration) {
+    pub fn record(&self, route: RouteId, now: Instant, wait: Duration) {
         let mut until = self.0.borrow_mut();
         if until.len() >= TIDY_AT {
             until.retain(|_, until| *until > now);
@@ -28,7 +28,7 @@
     }
 
     /// Whether a wait runs that the route told.
-    pub fn run(&self, route: RouteId, now: Instant) -> bool {
+    pub fn is_active(&self, route: RouteId, now: Instant) -> bool {
         self.0.borrow().get(&route).is_some_and(|until| now < *until)
     }
 }
@@ -40,27 +40,27 @@
 
     #[test]
     fn a_wait_holds_for_its_route_alone_and_is_never_shortened() {
-        let (waits, now) = (Waits::default(), Instant::now());
+        let (waits, now) = (ActiveWaits::default(), Instant::now());
         let second = Duration::from_secs(1);
         let (seven, eight) = ((DestinationId(7), None), (DestinationId(8), None));
         let apart = (DestinationId(7), Some(EndpointId([0; 6])));
-        waits.told(seven, now, 3 * second);
-        waits.told(seven, now, second);
-        assert!(waits.run(seven, now + 3 * second - Duration::from_millis(1)));
-        assert!(!waits.run(seven, now + 3 * second));
-        assert!(!waits.run(eight, now) && !waits.run(apart, now));
+        waits.record(seven, now, 3 * second);
+        waits.record(seven, now, second);
+        assert!(waits.is_active(seven, now + 3 * second - Duration::from_millis(1)));
+        assert!(!waits.is_active(seven, now + 3 * second));
+        assert!(!waits.is_active(eight, now) && !waits.is_active(apart, now));
     }
 
     #[test]
     fn waits_that_are_over_are_dropped_and_those_that_run_stay() {
-        let (waits, now) = (Waits::default(), Instant::now());
+        let (waits, now) = (ActiveWaits::default(), Instant::now());
         let route = |n| (DestinationId(n), None);
-        waits.told(route(0), now, Duration::from_secs(9));
+        waits.record(route(0), now, Duration::from_secs(9));
         for n in 1..2_000u16 {
             let at = now + Duration::from_millis(n.into());
-            waits.told(route(n), at, Duration::from_millis(1));
+            waits.record(route(n), at, Duration::from_millis(1));
         }
         assert!(waits.0.borrow().len() <= TIDY_AT);
-        assert!(waits.run(route(0), now + Duration::from_secs(8)));
+        assert!(waits.is_active(route(0), now + Duration::from_secs(8)));
     }
 }
--- a/crates/sender/src/http/connection.rs
+++ b/crates/sender/src/http/connection.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use hyper::client::conn::http1::{Connection, SendRequest};
+use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
@@ -27,7 +27,7 @@
 /// A head of an answer that has more bytes is spoilt.
 const HEAD_LIMIT: usize = 16 * 1024;
 /// Endpoints write an answer in one go: what has not come so long after its first byte is spoilt.
-pub(super) const REST_OF_ANSWER: Duration = Duration::from_millis(500);
+pub(super) const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What an answer's first line says, told from its bytes as they come: it holds although the rest be spoilt.
 #[derive(Debug, Default)]
@@ -80,7 +80,7 @@
 
 /// What passed over a stream.
 #[derive(Debug, Default)]
-pub(super) struct Passed {
+pub(super) struct Traffic {
     pub(super) written: Cell<u64>,
     pub(super) heard: RefCell<FirstLine>,
     /// Nothing may come now: what does spoils the connection.
@@ -90,7 +90,7 @@
 /// A stream that notes what passes over it.
 struct Counted {
     stream: TcpStream,
-    passed: Rc<Passed>,
+    passed: Rc<Traffic>,
 }
 
 impl AsyncRead for Counted {
@@ -128,7 +128,7 @@
 }
 
 /// Tells in the end whether the last byte may leave.
-pub(super) type Leave = Pin<Box<dyn Future<Output = bool>>>;
+pub(super) type SendPermit = Pin<Box<dyn Future<Output = bool>>>;
 
 /// The last byte may not leave any more.
 #[derive(Debug)]
@@ -152,13 +152,13 @@
     rest: Bytes,
     hold: Duration,
     /// Asked once the hold is over.
-    leave: Option<Leave>,
-    waiting: Option<Leave>,
+    leave: Option<SendPermit>,
+    waiting: Option<SendPermit>,
     /// Set where the last byte stays here.
     stayed: Rc<Cell<bool>>,
     /// Set along with the last byte.
     may_run: Rc<Cell<bool>>,
-    passed: Rc<Passed>,
+    passed: Rc<Traffic>,
 }
 
 impl Body for Paced {
@@ -203,29 +203,29 @@
     }
 }
 
-type Wire = Pin<Box<Connection<TokioIo<Counted>, Paced>>>;
+type Wire = Pin<Box<http1::Connection<TokioIo<Counted>, Paced>>>;
 
 /// A connection for one request at a time. It is driven only along with a request, so that dropping it
 /// closes its socket there and then.
-pub struct Conn {
+pub struct Connection {
     sender: SendRequest<Paced>,
     driver: Option<Wire>,
     /// It ended otherwise than by an orderly close.
     failed: bool,
-    pub(super) passed: Rc<Passed>,
+    pub(super) traffic: Rc<Traffic>,
 }
 
 /// Why there is no answer to a request.
-pub enum Unanswered {
+pub enum ExchangeError {
     /// The connection broke.
     Broken,
     /// What came can't be read as an answer.
-    Spoilt,
+    InvalidResponse,
     /// Its last byte was held back, and then was not to leave.
-    Stayed,
+    NotSent,
 }
 
-impl Conn {
+impl Connection {
     /// Opens a connection.
     ///
     /// # Errors
@@ -233,11 +233,11 @@
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let passed = Rc::new(Passed::default());
+        let passed = Rc::new(Traffic::default());
         let io = TokioIo::new(Counted { stream, passed: passed.clone() });
         let mut http = hyper::client::conn::http1::Builder::new();
         let (sender, driver) = http.max_buf_size(HEAD_LIMIT).handshake(io).await.map_err(io::Error::other)?;
-        Ok(Self { sender, driver: Some(Box::pin(driver)), failed: false, passed })
+        Ok(Self { sender, driver: Some(Box::pin(driver)), failed: false, traffic: passed })
     }
 
     /// Moves its bytes, as far as they can be moved now.
@@ -250,14 +250,14 @@
 
     /// Whether nothing has come that would be taken for the answer to a further request.
     pub async fn quiet(&mut self) -> bool {
-        self.passed.quiet.set(true);
+        self.traffic.quiet.set(true);
         let (driver, failed) = (&mut self.driver, &mut self.failed);
         poll_fn(|cx| {
             Self::step(driver, failed, cx);
             Poll::Ready(())
         })
         .await;
-        self.passed.quiet.set(false);
+        self.traffic.quiet.set(false);
         !self.failed
     }
 
@@ -270,7 +270,7 @@
     ///
     /// # Errors
     /// Fails when the connection breaks, or what comes is no answer.
-    pub async fn send(&mut self, request: Request<Bytes>) -> Result<Response<Incoming>, Unanswered> {
+    pub async fn send(&mut self, request: Request<Bytes>) -> Result<Response<Incoming>, ExchangeError> {
         let at_once = Box::pin(std::future::ready(true));
         self.send_paced(request, Duration::ZERO, false, &Rc::default(), at_once).await
     }
@@ -286,10 +286,10 @@
         hold: Duration,
         reused: bool,
         may_run: &Rc<Cell<bool>>,
-        leave: Leave,
-    ) -> Result<Response<Incoming>, Unanswered> {
-        *self.passed.heard.borrow_mut() = FirstLine::default();
-        let passed = self.passed.clone();
+        leave: SendPermit,
+    ) -> Result<Response<Incoming>, ExchangeError> {
+        *self.traffic.heard.borrow_mut() = FirstLine::default();
+        let passed = self.traffic.clone();
         may_run.set(request.body().is_empty());
         passed.quiet.set(reused && !hold.is_zero() && !may_run.get());
         let (may_run, quiet) = (may_run.clone(), passed.clone());
@@ -313,7 +313,7 @@
                 return Poll::Ready(Some(answer));
             }
             if late.is_some() != begun() {
-                late.set(begun().then(|| sleep(REST_OF_ANSWER)));
+                late.set(begun().then(|| sleep(BODY_TIMEOUT)));
             }
             match late.as_mut().as_pin_mut() {
                 Some(late) => late.poll(cx).map(|()| None),
@@ -322,10 +322,10 @@
         });
         match answer.await {
             Some(Ok(answer)) => Ok(answer),
-            Some(Err(_)) if stayed.get() => Err(Unanswered::Stayed),
-            Some(Err(_)) if begun() => Err(Unanswered::Spoilt),
-            Some(Err(_)) => Err(Unanswered::Broken),
-            None => Err(Unanswered::Spoilt),
+            Some(Err(_)) if stayed.get() => Err(ExchangeError::NotSent),
+            Some(Err(_)) if begun() => Err(ExchangeError::InvalidResponse),
+            Some(Err(_)) => Err(ExchangeError::Broken),
+            None => Err(ExchangeError::InvalidResponse),
         }
     }
 
@@ -334,7 +334,7 @@
     /// # Errors
     /// Fails when it breaks off, is too long or does not come.
     pub async fn body(&mut self, body: Incoming) -> Result<Bytes, ()> {
-        self.body_within(body, MAX_BODY_BYTES, REST_OF_ANSWER).await
+        self.body_within(body, MAX_BODY_BYTES, BODY_TIMEOUT).await
     }
 
     /// Reads the rest of an answer that may be so long and take so long.
@@ -374,7 +374,7 @@
         });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
-            let mut conn = Conn::open(address).await.unwrap();
+            let mut conn = Connection::open(address).await.unwrap();
             let request = Request::get("/").header("host", "e").body(Bytes::new()).unwrap();
             let answer = conn.send(request).await.ok().unwrap();
             assert!(conn.body(answer.into_body()).await.is_ok());
@@ -397,12 +397,12 @@
         });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async {
-            let mut conn = Conn::open(address).await.unwrap();
+            let mut conn = Connection::open(address).await.unwrap();
             let request = Request::post("/").header("host", "e").body(Bytes::from("order")).unwrap();
             let (may_run, no) = (Rc::default(), Box::pin(std::future::ready(false)));
             let hold = Duration::from_millis(1);
             let answer = conn.send_paced(request, hold, false, &may_run, no).await;
-            assert!(matches!(answer, Err(Unanswered::Stayed)));
+            assert!(matches!(answer, Err(ExchangeError::NotSent)));
             assert!(!may_run.get());
         });
         let came = String::from_utf8(endpoint.join().unwrap()).unwrap();
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -29,7 +29,7 @@
 use journal::AcceptedMessage;
 
 use crate::ports::{Answer, Clock, Frontend, Inbound, MAX_BODY_BYTES, Submission};
-use crate::shards::{Post, Say};
+use crate::shards::{ShardHandle, ShardMessage};
 use crate::stall_detector;
 
 /// Guards the places for clients: a connection that brings no request for so long is closed.
@@ -41,7 +41,7 @@
 /// A head of more bytes is not read to its end.
 const HEAD_LIMIT: usize = 16 * 1024;
 /// How long one waits for the rest of a request on a connection that is to be closed, before one looks again.
-const LOOK_AGAIN: Micros = 50_000;
+const POLL_INTERVAL: Micros = 50_000;
 /// How long one looks for a place before one looks again.
 const PLACE_WITHIN: Duration = Duration::from_millis(5);
 /// A deadline is told in whole milliseconds: it may be so much longer than its class's.
@@ -63,7 +63,7 @@
 }
 
 /// What all client connections share.
-pub struct Intake {
+pub struct HttpFrontend {
     address: SocketAddr,
     /// Connections at a time.
     most: Cell<usize>,
@@ -72,7 +72,7 @@
     classes: Vec<(Arc<str>, Micros)>,
     inbound: UnboundedSender<Inbound>,
     /// The way to other cores, which get their part of the connections and what is theirs of the messages.
-    post: Option<Rc<Post>>,
+    post: Option<Rc<ShardHandle>>,
     door: watch::Receiver<AdmissionGate>,
     /// The platform's own listening socket, until it is listened on.
     inherited: Cell<Option<std::net::TcpListener>>,
@@ -137,7 +137,7 @@
     destination: u16,
     /// Whom the message was handed to: guards a withdrawal against overtaking its message.
     to: Option<sharding::ShardId>,
-    intake: &'a Intake,
+    intake: &'a HttpFrontend,
 }
 
 impl Drop for Withdrawal<'_> {
@@ -145,7 +145,7 @@
         let Some(id) = self.id.take() else { return };
         let (request, destination) = (self.request, self.destination);
         match (self.to, &self.intake.post) {
-            (Some(to), Some(post)) => post.say(to, Say::Withdrawn { id, request, destination }),
+            (Some(to), Some(post)) => post.send(to, ShardMessage::Withdrawn { id, request, destination }),
             _ => drop(self.intake.inbound.send(Inbound::Withdrawn { id, request, destination })),
         }
     }
@@ -199,7 +199,7 @@
     headers.get(name)?.to_str().ok().map(str::trim).filter(|text| !text.is_empty())
 }
 
-impl Frontend for Intake {
+impl Frontend for HttpFrontend {
     fn start(self: Rc<Self>) -> io::Result<SocketAddr> {
         if let Some(listener) = self.inherited.take() {
             listener.set_nonblocking(true)?;
@@ -243,7 +243,7 @@
     }
 }
 
-impl Intake {
+impl HttpFrontend {
     /// A front that is to listen on that address, or on a socket that listens there already, with so many connections
     /// at a time; it does not take any yet.
     pub fn new(
@@ -251,7 +251,7 @@
         clock: Clock,
         classes: Vec<(Arc<str>, Micros)>,
         inbound: UnboundedSender<Inbound>,
-        post: Option<Rc<Post>>,
+        post: Option<Rc<ShardHandle>>,
         door: watch::Receiver<AdmissionGate>,
     ) -> Self {
         let (places, freed) = (RefCell::default(), Notify::new());
@@ -310,16 +310,16 @@
     /// Gives a connection to the core that has the fewest, which may be this one: then it is told.
     fn deal(&self, stream: TcpStream) -> Option<TcpStream> {
         let Some(post) = &self.post else { return Some(stream) };
-        let to = post.team().deal();
-        if to == post.me() {
+        let to = post.group().deal();
+        if to == post.id() {
             return Some(stream);
         }
         let dealt = stream.into_std().map_err(drop).and_then(|stream| {
             // A core that takes nothing in gets no clients: they come again.
-            post.try_say(to, Say::Client(stream)).map_err(drop)
+            post.try_send(to, ShardMessage::Client(stream)).map_err(drop)
         });
         if dealt.is_err() {
-            post.team().client_gone(to);
+            post.group().client_gone(to);
         }
         None
     }
@@ -327,7 +327,7 @@
     /// A client's connection is gone.
     fn gone(&self) {
         if let Some(post) = &self.post {
-            post.team().client_gone(post.me());
+            post.group().client_gone(post.id());
         }
         self.freed.notify_one();
     }
@@ -354,10 +354,12 @@
 
     /// Hands a message to the core that owns its destination, as the owners are now; tells which, if it is another.
     fn hand_on(&self, message: Submission) -> Option<sharding::ShardId> {
-        let other = self.post.as_ref().map(|post| (post, post.team().owner(message.message.destination)));
-        match other.filter(|(post, owner)| *owner != post.me()) {
+        let other = self.post.as_ref().map(|post| (post, post.group().owner(message.message.destination)));
+        match other.filter(|(post, owner)| *owner != post.id()) {
             Some((post, owner)) => {
-                if let Err(Say::HandedIn(message)) = post.try_say(owner, Say::HandedIn(message)) {
+                if let Err(ShardMessage::Submitted(message)) =
+                    post.try_send(owner, ShardMessage::Submitted(message))
+                {
                     let _ = message.answer.send(Answer::Rejected(crate::shards::BUSY_AGAIN));
                 }
                 Some(owner)
@@ -426,7 +428,7 @@
                         return;
                     }
                     // Its answer is the last; of one that is not read whole yet it may never come.
-                    idle_until = (!place.asking.get()).then(|| self.clock.now() + LOOK_AGAIN);
+                    idle_until = (!place.asking.get()).then(|| self.clock.now() + POLL_INTERVAL);
                 }
             }
         }
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -14,22 +14,22 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::timeout;
 
-use crate::http::connection::Conn;
+use crate::http::connection::Connection;
 use crate::platform_client::ask;
 use crate::ports::{Inbound, MAX_BODY_BYTES};
 
 /// Rest before a failed notice is sent again.
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How long a notice may take; it is sent again after that.
-const NOTICE_TIMEOUT: Duration = Duration::from_millis(500);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 /// After that time it goes over a second connection too. The platform answers at once, and a message's end is owed to it within
 /// 300 ms: guards that against a kept connection that has fallen silent. The first is not given up for it: one that
 /// comes up late may still be the sooner.
-const NOTICE_BESIDE: Duration = Duration::from_millis(100);
+const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
 /// One request to the platform that does no harm if it comes twice: over a second connection too where the first takes long.
-async fn ask_twice(
-    kept: &mut Option<Conn>,
+async fn ask_hedged(
+    kept: &mut Option<Connection>,
     address: SocketAddr,
     request: Request<Bytes>,
 ) -> Result<(StatusCode, Bytes), ()> {
@@ -37,7 +37,7 @@
     let answer = {
         let mut first = pin!(ask(kept, address, request.clone()));
         let mut second = pin!(async {
-            tokio::time::sleep(NOTICE_BESIDE).await;
+            tokio::time::sleep(HEDGE_DELAY).await;
             ask(&mut other, address, request).await
         });
         tokio::select! {
@@ -56,30 +56,30 @@
 
 /// A message's end that the platform is owed.
 #[derive(Debug)]
-pub struct Notice {
+pub struct Notification {
     /// The message.
     pub message: MessageId,
     /// Its `Req-Id`.
     pub id: String,
     /// How it ended.
-    pub how: Abandonment,
+    pub outcome: Abandonment,
 }
 
 #[derive(Serialize)]
-struct NoticeLine<'a> {
+struct NotificationLine<'a> {
     id: &'a str,
     status: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     again_ms: Option<u64>,
 }
 
-fn line(notice: &Notice) -> Vec<u8> {
-    let (status, again) = match notice.how {
+fn line(notice: &Notification) -> Vec<u8> {
+    let (status, again) = match notice.outcome {
         Abandonment::Deferred(again) => ("deferred", Some(again.div_ceil(1000)).filter(|ms| *ms > 0)),
         Abandonment::Undeliverable => ("undeliverable", None),
     };
     let mut line =
-        serde_json::to_vec(&NoticeLine { id: &notice.id, status, again_ms: again }).unwrap_or_default();
+        serde_json::to_vec(&NotificationLine { id: &notice.id, status, again_ms: again }).unwrap_or_default();
     line.push(b'\n');
     line
 }
@@ -87,11 +87,11 @@
 /// Sends notices, each until the platform has it, wherever that is by then.
 pub async fn send_all(
     mut discovery: Receiver<SocketAddr>,
-    mut notices: UnboundedReceiver<Notice>,
+    mut notices: UnboundedReceiver<Notification>,
     inbound: UnboundedSender<Inbound>,
 ) {
     let mut owed: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
-    let mut conn: Option<Conn> = None;
+    let mut conn: Option<Connection> = None;
     let mut most = usize::MAX;
     loop {
         if owed.is_empty() {
@@ -125,7 +125,7 @@
             conn = Some(kept);
         }
         let answer = tokio::select! {
-            answer = timeout(NOTICE_TIMEOUT, ask_twice(&mut conn, address, request)) => answer,
+            answer = timeout(ATTEMPT_TIMEOUT, ask_hedged(&mut conn, address, request)) => answer,
             Ok(()) = discovery.changed() => {
                 conn = None;
                 continue;
@@ -148,7 +148,7 @@
             }
             _ => {
                 conn = None;
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -13,7 +13,7 @@
 use operator_config::{KnownClock, KnownTable};
 
 use crate::discovery::directory::Directory;
-use crate::discovery::endpoint_list::{ListBody, Listing};
+use crate::discovery::endpoint_list::{EndpointList, EndpointListing};
 use crate::ports::Clock;
 
 /// For how long limits and answer times are believed, unless it is told.
@@ -206,10 +206,10 @@
 
 /// The list that a process begins with: what the snapshot has where that is newer, else the configuration's, with the drains
 /// that may have been told since. And the version to watch it from; none where the whole list is to be asked for.
-pub fn initial_list(known: ListBody, belief: &mut RestoredState) -> (ListBody, Option<u64>) {
+pub fn initial_list(known: EndpointList, belief: &mut RestoredState) -> (EndpointList, Option<u64>) {
     if let Some((index, destinations)) = belief.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
-            listed.into_iter().map(move |listed| Listing {
+            listed.into_iter().map(move |listed| EndpointListing {
                 name: listed.name,
                 address: listed.address,
                 zone: listed.zone,
@@ -219,7 +219,7 @@
                 weight: listed.weight,
             })
         });
-        let list = ListBody { index, snapshot: true, endpoints: endpoints.collect() };
+        let list = EndpointList { index, snapshot: true, endpoints: endpoints.collect() };
         return (list, Some(index));
     }
     let drains = std::mem::take(&mut belief.list.drains);
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -13,8 +13,8 @@
 use journal::AcceptedMessage;
 use tokio::sync::oneshot;
 
-use crate::discovery::endpoint_list::Listed;
-use crate::hand_over::socket::Link;
+use crate::discovery::endpoint_list::EndpointUpdate;
+use crate::hand_over::socket::HandoverLink;
 
 /// Takes messages on from clients. What it is handed goes to the driver as [`Inbound::HandedIn`], and a client that
 /// goes away before its answer as [`Inbound::Withdrawn`]; it answers nobody before the driver has.
@@ -106,13 +106,13 @@
     /// Goes to the module as it is.
     Event(Event),
     /// Discovery told of endpoints.
-    EndpointsUpdated(Listed),
+    EndpointsUpdated(EndpointUpdate),
     /// The platform has these notices.
     NotificationsAcknowledged(Vec<MessageId>),
     /// On-call staff ask for something.
     AdminRequest(admin::call::AdminRequest, oneshot::Sender<AdminResponse>),
     /// A process that was started beside this one asks to take over.
-    Successor(Link),
+    Successor(HandoverLink),
     /// A line on the state is to be written to the log.
     Status,
     /// The configuration is to be read again.
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -21,31 +21,31 @@
 
 use crate::config::{self, Config};
 use crate::event_loop::{self, EventLoopParts, ExitReason, HandedOverShard, Shard};
-use crate::gossip_socket::Peers;
-use crate::hand_over::socket::Link;
-use crate::hand_over::{self as link, Before, Carried};
+use crate::gossip_socket::GossipSocket;
+use crate::hand_over::socket::HandoverLink;
+use crate::hand_over::{self as link, CarriedConnections, Predecessor};
 use crate::http;
-use crate::http::client::{Calls, Limits};
-use crate::http::server::Intake;
+use crate::http::client::{HttpTransport, Limits};
+use crate::http::server::HttpFrontend;
 use crate::persistence::class_idempotency::{self, ClassIdempotency};
 use crate::persistence::ejections;
 use crate::persistence::journal::JournalStore;
 use crate::persistence::snapshot::{self, SnapshotOptions};
 use crate::ports::{Clock, Frontend, Inbound, Transport};
-use crate::shards::{Post, Room, Say, Team};
+use crate::shards::{ShardGroup, ShardHandle, ShardMessage, ShardQuotas};
 use crate::stall_detector;
 
 /// Descriptors that are neither clients' nor endpoints'.
 const OWN_SOCKETS: usize = 32;
 /// While two processes run, each has this part of the places for clients and for endpoints: with what the old one has
 /// out, both stay within the descriptors of one.
-const PART: usize = 3;
+const SHARE_DURING_HANDOVER: usize = 3;
 /// Descriptors of a core beside the first: its runtime's, and its way to the platform.
 const CORE_SOCKETS: usize = 8;
 /// The requests of the next process are counted from so far beyond those of this one.
-const REQUESTS_APART: u64 = 1 << 32;
+const REQUEST_NUMBER_GAP: u64 = 1 << 32;
 /// A process that starts looks so often whether the one before is gone.
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 fn journal_options(config: &Config, operators: &Operators) -> journal::Options {
     let table = &operators.journal;
@@ -87,11 +87,11 @@
 }
 
 /// Opens the journal, and where another process has it takes over from that one.
-async fn begin(
+async fn open_or_take_over(
     config: &Config,
     operators: &Operators,
     beside: bool,
-) -> Result<(Journal, Option<(Link, HandoverState)>), String> {
+) -> Result<(Journal, Option<(HandoverLink, HandoverState)>), String> {
     let locked = || format!("journal in {}: {}", config.state.display(), OpenError::Locked);
     let began = Clock::new();
     let start = began.now();
@@ -102,7 +102,7 @@
         let other = if beside { link::connect(&config.state).await } else { None };
         let found = if other.is_some() { Found::Running } else { Found::Mute };
         match (step::start(found, beside, began.now() - start), other) {
-            (Start::Ask, Some(other)) => match link::ask(other).await {
+            (Start::Ask, Some(other)) => match link::request_takeover(other).await {
                 // It gave the journal up before it said so.
                 Ok(told) => {
                     let journal = open_journal(config, operators)?.ok_or_else(locked)?;
@@ -113,12 +113,12 @@
             (Start::GiveUp, _) => return Err(locked()),
             _ => {}
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
 /// What binds what was taken on, by its class, and is written down for the next process before this one takes anything on.
-fn meanings(config: &Config, journal: &Journal) -> ClassIdempotency {
+fn record_class_idempotency(config: &Config, journal: &Journal) -> ClassIdempotency {
     let effects = config.settings.classes.iter().map(|class| class.idempotency);
     let now: ClassIdempotency = config.names.classes.iter().cloned().zip(effects).collect();
     let before = class_idempotency::read(&config.state).unwrap_or_else(|e| {
@@ -136,7 +136,7 @@
 }
 
 /// What another process knew, if this one can read it.
-fn understood(config: &Config, state: &HandoverState, now: Micros) -> Option<Policy> {
+fn restore_policy(config: &Config, state: &HandoverState, now: Micros) -> Option<Policy> {
     let names = &config.names;
     if state.names != [names.classes.clone(), names.kinds.clone(), names.zones.clone()] {
         eprintln!("the settings name other classes, kinds or zones than the process before knows");
@@ -152,27 +152,27 @@
 }
 
 /// The sockets' sides of a process, for as long as it runs.
-struct Sides {
+struct SocketSides {
     clock: Clock,
-    intake: Rc<Intake>,
-    calls: Calls,
-    door: watch::Sender<AdmissionGate>,
+    frontend: Rc<HttpFrontend>,
+    transport: HttpTransport,
+    gate: watch::Sender<AdmissionGate>,
     /// Connections of either side.
-    most: usize,
+    max_connections: usize,
 }
 
-impl Sides {
+impl SocketSides {
     /// Of one of so many cores.
     fn new(
         config: &Config,
         clock: Clock,
         inherited: Option<TcpListener>,
         inbound: &UnboundedSender<Inbound>,
-        post: Option<Rc<Post>>,
+        post: Option<Rc<ShardHandle>>,
         door: watch::Sender<AdmissionGate>,
     ) -> Self {
-        let cores = post.as_ref().map_or(1, |post| post.team().count());
-        let most = (places(config, cores) / cores).max(1);
+        let cores = post.as_ref().map_or(1, |post| post.group().count());
+        let most = (connection_limit(config, cores) / cores).max(1);
         let limits = Limits {
             connect: config.settings.connect_timeout.max(1),
             idle: config.settings.idle_timeout,
@@ -182,22 +182,22 @@
         let longest = config.settings.classes.iter().map(|class| class.deadline);
         let classes = config.names.classes.iter().map(|name| name.as_str().into()).zip(longest).collect();
         let address = (config.listen, inherited, most);
-        let intake = Intake::new(address, clock, classes, inbound.clone(), post, seen);
-        let calls = Calls::new(limits, most, inbound.clone());
-        Self { clock, intake: Rc::new(intake), calls, door, most }
+        let intake = HttpFrontend::new(address, clock, classes, inbound.clone(), post, seen);
+        let calls = HttpTransport::new(limits, most, inbound.clone());
+        Self { clock, frontend: Rc::new(intake), transport: calls, gate: door, max_connections: most }
     }
 
-    fn fronts(&self) -> Vec<Rc<dyn Frontend>> {
-        vec![self.intake.clone()]
+    fn frontends(&self) -> Vec<Rc<dyn Frontend>> {
+        vec![self.frontend.clone()]
     }
 
-    fn carriers(&self) -> Vec<Rc<dyn Transport>> {
-        vec![Rc::new(self.calls.clone())]
+    fn transports(&self) -> Vec<Rc<dyn Transport>> {
+        vec![Rc::new(self.transport.clone())]
     }
 }
 
 /// Places for clients, and as many for endpoints, of all cores together.
-fn places(config: &Config, cores: usize) -> usize {
+fn connection_limit(config: &Config, cores: usize) -> usize {
     let own = OWN_SOCKETS + config.ops.map_or(0, |_| http::admin::CALLERS + 1);
     let own = own + if cores > 1 { cores * CORE_SOCKETS } else { 0 };
     (config.sockets.saturating_sub(own) / 2).max(1)
@@ -205,7 +205,7 @@
 
 /// What settings say of the whole process and each module keeps for itself is divided: the pace and the number of those that
 /// wake, and what is remembered of those that sleep.
-fn divide(settings: &mut Settings, cores: usize) {
+fn divide_by_shards(settings: &mut Settings, cores: usize) {
     if let Some(dormant) = &mut settings.idle {
         dormant.activations_per_second /= cores as f64;
         dormant.max_retained = (dormant.max_retained / cores).max(1);
@@ -214,7 +214,11 @@
 }
 
 /// What several cores share, with as many as the operators' file says; none where it says one.
-fn team(config: &Config, operators: &Operators, taken_over: bool) -> Result<Option<Arc<Team>>, String> {
+fn shard_group(
+    config: &Config,
+    operators: &Operators,
+    taken_over: bool,
+) -> Result<Option<Arc<ShardGroup>>, String> {
     let count = operators.cores.count as usize;
     if count < 2 {
         return Ok(None);
@@ -227,39 +231,43 @@
         ));
     }
     let settings = &config.settings;
-    let room = Room {
-        slots: LeasePool::new(settings.max_calls, count),
-        held: LeasePool::new(settings.max_messages, count),
-        connections: LeasePool::new(places(config, count) / if taken_over { PART } else { 1 }, count),
+    let room = ShardQuotas {
+        calls: LeasePool::new(settings.max_calls, count),
+        messages: LeasePool::new(settings.max_messages, count),
+        connections: LeasePool::new(
+            connection_limit(config, count) / if taken_over { SHARE_DURING_HANDOVER } else { 1 },
+            count,
+        ),
     };
     // What must arrive is bounded by what is out, held and open; as much again can be turned away.
-    let queue =
-        2 * (settings.max_calls * 2 + settings.max_messages.min(16_384) + places(config, count)).max(1024);
+    let queue = 2
+        * (settings.max_calls * 2 + settings.max_messages.min(16_384) + connection_limit(config, count))
+            .max(1024);
     let owners =
         if taken_over { OwnershipMap::all_on(count, ShardId(0)) } else { OwnershipMap::hashed(count) };
-    Ok(Some(Team::new(owners, room, queue)))
+    Ok(Some(ShardGroup::new(owners, room, queue)))
 }
 
 /// What one core beside the first is started with.
-struct Beside {
-    core: ShardId,
-    team: Arc<Team>,
+struct ShardThread {
+    id: ShardId,
+    group: Arc<ShardGroup>,
     config: Config,
     clock: Clock,
-    part: JournalPart,
-    held_out: Ejections,
-    door: watch::Sender<AdmissionGate>,
+    journal_part: JournalPart,
+    ejections: Ejections,
+    gate: watch::Sender<AdmissionGate>,
     waits: Vec<(String, Micros)>,
-    set_back: bool,
+    clock_set_back: bool,
     /// Its requests are counted from there.
     requests: u64,
-    meanings: Arc<ClassIdempotency>,
+    class_idempotency: Arc<ClassIdempotency>,
 }
 
-impl Beside {
+impl ShardThread {
     /// Runs the core on a thread of its own. One that fails ends the process: what it had is in the journal.
     fn start(self) -> Result<(), String> {
-        let name = format!("core-{}", self.core.0);
+        let name = format!("core-{}", self.id.0);
         let thread = std::thread::Builder::new().name(name.clone()).spawn(move || {
             let ran = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.run()));
             if let Err(e) = ran.unwrap_or_else(|_| Err("failed, as it said above".to_owned())) {
@@ -277,28 +285,34 @@
         tokio::task::LocalSet::new().block_on(&runtime, async {
             tokio::task::spawn_local(stall_detector::beat());
             let (inbound, mut events) = tokio::sync::mpsc::unbounded_channel();
-            let post = Rc::new(Post::new(self.core, self.team));
-            let sides =
-                Sides::new(&self.config, self.clock, None, &inbound, Some(post.clone()), self.door.clone());
-            sides.intake.count_from(self.requests);
+            let post = Rc::new(ShardHandle::new(self.id, self.group));
+            let sides = SocketSides::new(
+                &self.config,
+                self.clock,
+                None,
+                &inbound,
+                Some(post.clone()),
+                self.gate.clone(),
+            );
+            sides.frontend.count_from(self.requests);
             let parts = EventLoopParts {
                 clock: self.clock,
-                journal: JournalStore::Sharded(self.part),
+                journal: JournalStore::Sharded(self.journal_part),
                 shard: Some(Shard::new(post)),
-                frontends: sides.fronts(),
-                transports: sides.carriers(),
+                frontends: sides.frontends(),
+                transports: sides.transports(),
                 peers: None,
-                gate: self.door,
-                ejections: self.held_out,
+                gate: self.gate,
+                ejections: self.ejections,
                 frontends_started: true,
                 predecessor_state: None,
                 predecessor: None,
                 waits: self.waits,
                 outcome_counts: None,
-                clock_set_back: self.set_back,
+                clock_set_back: self.clock_set_back,
                 snapshot_store: None,
                 restored: RestoredState::default(),
-                class_idempotency: self.meanings,
+                class_idempotency: self.class_idempotency,
             };
             event_loop::run(&self.config, parts, inbound, &mut events).await.map(drop)
         })
@@ -316,8 +330,8 @@
     (inbound, mut events): (UnboundedSender<Inbound>, UnboundedReceiver<Inbound>),
 ) -> Result<(), String> {
     let beside = inherited.is_some();
-    let (journal, told) = begin(&config, operators, beside).await?;
-    let meanings = Arc::new(meanings(&config, &journal));
+    let (journal, told) = open_or_take_over(&config, operators, beside).await?;
+    let meanings = Arc::new(record_class_idempotency(&config, &journal));
     let aim = config.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
     let sync = operators.journal.sync == operator_config::Sync::Group;
     let keeping = SnapshotOptions::of(&operators.known, config.disk, sync, aim);
@@ -328,23 +342,23 @@
     if set_back {
         eprintln!("the clock was set back since the last process: how old its attempts are is not known");
     }
-    let team = team(&config, operators, told.is_some())?;
-    divide(&mut config.settings, team.as_ref().map_or(1, |team| team.count()));
-    let post = team.clone().map(|team| Rc::new(Post::new(ShardId(0), team)));
+    let team = shard_group(&config, operators, told.is_some())?;
+    divide_by_shards(&mut config.settings, team.as_ref().map_or(1, |team| team.count()));
+    let post = team.clone().map(|team| Rc::new(ShardHandle::new(ShardId(0), team)));
     let door = watch::Sender::new(AdmissionGate::default());
-    let sides = Sides::new(&config, clock, inherited, &inbound, post.clone(), door);
+    let sides = SocketSides::new(&config, clock, inherited, &inbound, post.clone(), door);
     let (mut taken_over, mut before, mut waits) = (None, None, Vec::new());
     if let Some((mut other, state)) = told {
-        let policy = understood(&config, &state, clock.now());
-        link::took(&mut other, policy.is_some())
+        let policy = restore_policy(&config, &state, clock.now());
+        link::confirm_takeover(&mut other, policy.is_some())
             .await
             .map_err(|e| format!("the process before breaks off: {e}"))?;
-        sides.intake.count_from(state.requests.saturating_add(REQUESTS_APART));
+        sides.frontend.count_from(state.requests.saturating_add(REQUEST_NUMBER_GAP));
         if let Some(since) = state.standby {
-            sides.door.send_replace(AdmissionGate::Standby(since));
+            sides.gate.send_replace(AdmissionGate::Standby(since));
         }
         let out = if policy.is_some() { state.attempts_in_flight.clone() } else { Vec::new() };
-        before = Some(share_with(&sides, &config, other, out, &inbound, post.clone()));
+        before = Some(follow_predecessor(&sides, &config, other, out, &inbound, post.clone()));
         match policy {
             Some(policy) => taken_over = Some((state, policy)),
             None => waits = state.waits,
@@ -360,18 +374,18 @@
             let first = parts.next().ok_or("no core has the journal")?;
             for (core, part) in (1..).map(ShardId).zip(parts) {
                 let held_out = ejections::read(&config.state);
-                let beside = Beside {
-                    core,
-                    team: team.clone(),
+                let beside = ShardThread {
+                    id: core,
+                    group: team.clone(),
                     config: config.clone(),
                     clock,
-                    part,
-                    held_out: held_out.map_err(|e| format!("{}: {e}", config.state.display()))?,
-                    door: sides.door.clone(),
+                    journal_part: part,
+                    ejections: held_out.map_err(|e| format!("{}: {e}", config.state.display()))?,
+                    gate: sides.gate.clone(),
                     waits: waits.clone(),
-                    set_back,
+                    clock_set_back: set_back,
                     requests: u64::from(core.0) << 40,
-                    meanings: meanings.clone(),
+                    class_idempotency: meanings.clone(),
                 };
                 beside.start()?;
             }
@@ -386,7 +400,7 @@
         }
         let mut belief = RestoredState::default();
         let memory = memory.take().zip(keeping).map(|((mut memory, snapshot), keeping)| {
-            let believed = snapshot::restore(&snapshot, &keeping, clock.now(), config.known.index);
+            let believed = snapshot::restore(&snapshot, &keeping, clock.now(), config.initial_list.index);
             memory.moved_by(believed.shift);
             if taken_over.is_none() {
                 belief = believed;
@@ -399,17 +413,18 @@
             }
             false => None,
         };
-        let peers = Peers::open(&config, inbound.clone()).await.map_err(|e| format!("peer_listen: {e}"))?;
-        let mut carriers = sides.carriers();
+        let peers =
+            GossipSocket::open(&config, inbound.clone()).await.map_err(|e| format!("peer_listen: {e}"))?;
+        let mut carriers = sides.transports();
         carriers.extend(before.clone().map(|before| before as Rc<dyn Transport>));
         let parts = EventLoopParts {
             clock,
             journal,
             shard: member.take(),
-            frontends: sides.fronts(),
+            frontends: sides.frontends(),
             transports: carriers,
             peers,
-            gate: sides.door.clone(),
+            gate: sides.gate.clone(),
             ejections: ejections::read(&config.state)
                 .map_err(|e| format!("{}: {e}", config.state.display()))?,
             frontends_started: begun,
@@ -434,21 +449,21 @@
             };
         begun = true;
         listening.inspect(|listening| listening.abort());
-        let offered = link::offer(successor, &state).await;
+        let offered = link::offer_state(successor, &state).await;
         let again = if offered.is_ok() { None } else { open_journal(&config, operators)? };
         match (step::after(offered.is_ok(), again.is_some()), offered, again) {
             (After::Carry, Ok((link, understood)), _) => {
                 eprintln!("{} has handed over", config.name);
-                sides.calls.close_all_idle();
-                sides.intake.set_most(sides.most / PART);
-                let (mut fronts, mut carriers) = (sides.fronts(), sides.carriers());
+                sides.transport.close_all_idle();
+                sides.frontend.set_most(sides.max_connections / SHARE_DURING_HANDOVER);
+                let (mut fronts, mut carriers) = (sides.frontends(), sides.transports());
                 if let Some(left) = left {
-                    left.remote_shards.set_max_clients(sides.most / PART);
+                    left.remote_shards.set_max_clients(sides.max_connections / SHARE_DURING_HANDOVER);
                     left.remote_shards.clone().follow(inbound.clone());
                     fronts.push(left.remote_shards.clone());
                     carriers.push(left.remote_shards);
                 }
-                let carried = Carried { clock, fronts, carriers, door: sides.door, ends: so_far };
+                let carried = CarriedConnections { clock, fronts, carriers, door: sides.gate, ends: so_far };
                 return link::carry(link, understood, carried, &mut events).await;
             }
             (After::GoOn, Err(e), Some(again)) => {
@@ -462,11 +477,11 @@
                     }
                     None => JournalStore::Exclusive(Box::new(again)),
                 };
-                let policy = understood(&config, &state, clock.now());
+                let policy = restore_policy(&config, &state, clock.now());
                 taken_over = Some((state, policy.ok_or("its own state can't be read")?));
                 ends = Some(so_far);
                 // It may have moved since the start.
-                config.discovery = config::discovery_again().unwrap_or(config.discovery);
+                config.discovery = config::reload_discovery().unwrap_or(config.discovery);
             }
             _ => return Err("another process has the journal, and does not answer".to_owned()),
         }
@@ -474,22 +489,22 @@
 }
 
 /// Hears the process before, and keeps to a part of the descriptors until it is gone.
-fn share_with(
-    sides: &Sides,
+fn follow_predecessor(
+    sides: &SocketSides,
     config: &Config,
-    other: Link,
+    other: HandoverLink,
     out: Vec<(MessageId, u16, EndpointId)>,
     inbound: &UnboundedSender<Inbound>,
-    post: Option<Rc<Post>>,
-) -> Rc<Before> {
-    let (intake, calls, most) = (sides.intake.clone(), sides.calls.clone(), sides.most);
-    let part = (most / PART).max(1);
+    post: Option<Rc<ShardHandle>>,
+) -> Rc<Predecessor> {
+    let (intake, calls, most) = (sides.frontend.clone(), sides.transport.clone(), sides.max_connections);
+    let part = (most / SHARE_DURING_HANDOVER).max(1);
     intake.set_most(part);
-    let post_team = post.as_ref().map(|post| post.team().clone());
+    let post_team = post.as_ref().map(|post| post.group().clone());
     let others = move |most| {
         let Some(post) = &post else { return false };
-        let others = post.team().all().filter(|core| *core != post.me());
-        others.for_each(|core| post.say(core, Say::Places(most)));
+        let others = post.group().all().filter(|core| *core != post.id());
+        others.for_each(|core| post.send(core, ShardMessage::MaxConnections(most)));
         true
     };
     // Several cores lease their connections, of fewer than there will be.
@@ -497,13 +512,13 @@
         calls.set_most(part);
     }
     let team = post_team;
-    let all = places(config, team.as_ref().map_or(1, |team| team.count()));
+    let all = connection_limit(config, team.as_ref().map_or(1, |team| team.count()));
     let names = config.names.classes.clone();
     let class = move |name: &str| names.iter().position(|class| class == name);
-    Before::follow(other, out, sides.clock, class, inbound.clone(), move || {
+    Predecessor::follow(other, out, sides.clock, class, inbound.clone(), move || {
         intake.set_most(most);
         match team.filter(|_| others(most)) {
-            Some(team) => team.room().connections.grow(all),
+            Some(team) => team.quotas().connections.grow(all),
             None => calls.set_most(most),
         }
     })
--- a/crates/sender/src/shards/group.rs
+++ b/crates/sender/src/shards/group.rs
@@ -12,11 +12,11 @@
 
 /// What belongs to the whole process, leased to cores.
 #[derive(Debug)]
-pub struct Room {
+pub struct ShardQuotas {
     /// Calls that may be out at once.
-    pub slots: LeasePool,
+    pub calls: LeasePool,
     /// Messages that may be held.
-    pub held: LeasePool,
+    pub messages: LeasePool,
     /// Connections to endpoints.
     pub connections: LeasePool,
 }
@@ -35,10 +35,10 @@
 }
 
 /// What all cores share.
-pub struct Team {
+pub struct ShardGroup {
     owners: ArcSwap<OwnershipMap>,
     mailboxes: Vec<Mailbox>,
-    room: Mutex<Room>,
+    room: Mutex<ShardQuotas>,
     figures: Vec<Mutex<Figures>>,
     /// Events by destination since the planner last asked.
     work: Vec<Mutex<HashMap<u16, u32>>>,
@@ -54,9 +54,9 @@
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Team {
+impl ShardGroup {
     /// So many cores as the owners have, and queues between them with room for so much.
-    pub fn new(owners: OwnershipMap, room: Room, queue: usize) -> Arc<Self> {
+    pub fn new(owners: OwnershipMap, room: ShardQuotas, queue: usize) -> Arc<Self> {
         let count = owners.count();
         Arc::new(Self {
             owners: ArcSwap::from_pointee(owners),
@@ -92,13 +92,13 @@
     }
 
     /// A destination's owner has sent it to another core: to be called behind that, and by the owner alone.
-    pub fn has_gone(&self, destination: u16, to: ShardId) {
+    pub fn migrated(&self, destination: u16, to: ShardId) {
         self.owners.rcu(|owners| owners.with(destination, to));
         self.moves.fetch_add(1, Ordering::Relaxed);
     }
 
     /// All that a core owned is the first's: to be called behind the parcels, and by the core alone.
-    pub fn has_gathered(&self, core: ShardId) {
+    pub fn gathered(&self, core: ShardId) {
         self.owners.rcu(|owners| owners.gather_on(core));
     }
 
@@ -109,12 +109,12 @@
     }
 
     /// A move that was asked for did not come about.
-    pub fn stayed(&self) {
+    pub fn migration_failed(&self) {
         self.failed.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Destinations that moved, and moves that did not come about.
-    pub fn moves(&self) -> (u64, u64) {
+    pub fn migration_counts(&self) -> (u64, u64) {
         (self.moves.load(Ordering::Relaxed), self.failed.load(Ordering::Relaxed))
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// What belongs to the whole process. Held for a reckoning without I/O alone.
-    pub fn room(&self) -> MutexGuard<'_, Room> {
+    pub fn quotas(&self) -> MutexGuard<'_, ShardQuotas> {
         lock(&self.room)
     }
 
--- a/crates/sender/src/shards/mailbox.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -13,21 +13,21 @@
 use sharding::{Attempt, ShardId};
 use tokio::sync::{Notify, oneshot};
 
-use super::Team;
-use crate::discovery::endpoint_list::Listed;
+use super::ShardGroup;
+use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::ports::{AttemptCompleted, Submission};
 
 /// A destination that goes to another core, with all that is known, held and out.
 #[derive(Debug)]
-pub struct Bundle {
+pub struct MigratedDestination {
     /// What the module knows.
     pub parcel: Parcel,
     /// The endpoints that it names, by the names that all cores know.
     pub names: BTreeMap<EndpointId, Arc<str>>,
     /// Its messages as the journal has them.
-    pub lives: Vec<(u32, PendingMessage)>,
+    pub messages: Vec<(u32, PendingMessage)>,
     /// Their ids, and the requests by which they came.
-    pub held: Vec<(String, u32, u64)>,
+    pub requests: Vec<(String, u32, u64)>,
     /// Attempts begun for each.
     pub attempts: Vec<(u32, u16)>,
     /// Who has the connection of each attempt that is out.
@@ -36,9 +36,9 @@
 
 /// What one core says to another.
 #[derive(Debug)]
-pub enum Say {
+pub enum ShardMessage {
     /// A client handed a message in at that core's front.
-    HandedIn(Submission),
+    Submitted(Submission),
     /// A client closed before its request was answered.
     Withdrawn {
         /// The message's `Req-Id`.
@@ -67,7 +67,7 @@
         wait: Micros,
     },
     /// A destination is this core's from now on.
-    Parcel(Box<Bundle>),
+    Migrate(Box<MigratedDestination>),
     /// A destination is to go to another core.
     Depart {
         /// Which.
@@ -78,15 +78,15 @@
     /// All that this core has is to go to the first.
     Gather,
     /// So many places for clients from now on.
-    Places(usize),
+    MaxConnections(usize),
     /// An attempt on this core's connection is to be called off.
     Cancel(MessageId, u16),
     /// Discovery told that.
-    Listed(Listed),
+    Listed(EndpointUpdate),
     /// Discovery could not be asked.
     ListFailed,
     /// These endpoints are held out by hand, from when it is answered.
-    HeldOut(Ejections, oneshot::Sender<()>),
+    Ejections(Ejections, oneshot::Sender<()>),
     /// A client's connection.
     Client(std::net::TcpStream),
     /// Discovery is there from now on.
@@ -99,7 +99,7 @@
 
 /// What came for one core from the others.
 pub struct Mailbox {
-    queue: ArrayQueue<Say>,
+    queue: ArrayQueue<ShardMessage>,
     /// The core was woken for what is in the queue, and has not looked yet.
     told: AtomicBool,
     wake: Notify,
@@ -128,12 +128,12 @@
     }
 
     /// Something came.
-    pub async fn woken(&self) {
+    pub async fn notified(&self) {
         self.wake.notified().await;
     }
 
     /// All that is there.
-    pub fn drain(&self) -> Vec<Say> {
+    pub fn drain(&self) -> Vec<ShardMessage> {
         // Before it looks: what comes from now on wakes it again.
         self.told.store(false, Ordering::Release);
         let most = self.queue.len();
@@ -145,7 +145,7 @@
         (self.said.load(Ordering::Relaxed), self.wakes.load(Ordering::Relaxed))
     }
 
-    fn push(&self, say: Say) -> Result<(), Say> {
+    fn push(&self, say: ShardMessage) -> Result<(), ShardMessage> {
         self.queue.push(say)?;
         self.said.fetch_add(1, Ordering::Relaxed);
         self.wake();
@@ -154,33 +154,33 @@
 }
 
 /// One core's way to the others. What it says to one of them arrives in order.
-pub struct Post {
+pub struct ShardHandle {
     me: ShardId,
-    team: Arc<Team>,
+    team: Arc<ShardGroup>,
     /// What found no room in a queue and may not be turned away: bounded by what is out, open or listed. It goes in order, so
     /// that whatever is said behind it waits here too.
-    outbox: RefCell<Vec<VecDeque<Say>>>,
+    outbox: RefCell<Vec<VecDeque<ShardMessage>>>,
 }
 
-impl Post {
+impl ShardHandle {
     /// Nothing was said yet.
-    pub fn new(me: ShardId, team: Arc<Team>) -> Self {
+    pub fn new(me: ShardId, team: Arc<ShardGroup>) -> Self {
         let outbox = (0..team.count()).map(|_| VecDeque::new()).collect();
         Self { me, team, outbox: RefCell::new(outbox) }
     }
 
     /// Whose it is.
-    pub fn me(&self) -> ShardId {
+    pub fn id(&self) -> ShardId {
         self.me
     }
 
     /// What all cores share.
-    pub fn team(&self) -> &Arc<Team> {
+    pub fn group(&self) -> &Arc<ShardGroup> {
         &self.team
     }
 
     /// Says what must arrive.
-    pub fn say(&self, to: ShardId, say: Say) {
+    pub fn send(&self, to: ShardId, say: ShardMessage) {
         let mut outbox = self.outbox.borrow_mut();
         let waiting = &mut outbox[to.index()];
         match if waiting.is_empty() { self.team.mailbox(to).push(say) } else { Err(say) } {
@@ -194,7 +194,7 @@
     ///
     /// # Errors
     /// Gives it back where there is no room.
-    pub fn try_say(&self, to: ShardId, say: Say) -> Result<(), Say> {
+    pub fn try_send(&self, to: ShardId, say: ShardMessage) -> Result<(), ShardMessage> {
         let mailbox = self.team.mailbox(to);
         let busy = mailbox.queue.len() * 2 >= mailbox.queue.capacity();
         if busy || !self.outbox.borrow()[to.index()].is_empty() {
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     /// Gives it back where there is no room, or something waits for some.
-    pub fn say_now(&self, to: ShardId, say: Say) -> Result<(), Say> {
+    pub fn send_now(&self, to: ShardId, say: ShardMessage) -> Result<(), ShardMessage> {
         if self.outbox.borrow()[to.index()].is_empty() { self.team.mailbox(to).push(say) } else { Err(say) }
     }
 
--- a/crates/sender/src/shards/mod.rs
+++ b/crates/sender/src/shards/mod.rs
@@ -5,9 +5,9 @@
 pub mod mailbox;
 pub mod remote;
 
-pub use mailbox::{Bundle, Post, Say};
-pub use remote::Elsewhere;
+pub use mailbox::{MigratedDestination, ShardHandle, ShardMessage};
+pub use remote::RemoteShards;
 /// Advice to clients whose destination's core has more to do than it can take in, in microseconds.
 pub const BUSY_AGAIN: u64 = 250_000;
 
-pub use group::{Figures, Room, Team};
+pub use group::{Figures, ShardGroup, ShardQuotas};
--- a/crates/sender/src/shards/remote.rs
+++ b/crates/sender/src/shards/remote.rs
@@ -10,22 +10,22 @@
 use sharding::ShardId;
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::mailbox::{Post, Say};
+use super::mailbox::{ShardHandle, ShardMessage};
 use crate::ports::{CallMessage, Frontend, Inbound, Transport, WriteOptions};
 
 /// The other cores, as a front and a carrier of the first. They own nothing any more: what comes to them is said to the
 /// first, as ever.
-pub struct Elsewhere {
-    post: Rc<Post>,
+pub struct RemoteShards {
+    post: Rc<ShardHandle>,
     outs: RefCell<BTreeMap<(MessageId, u16), (ShardId, EndpointId)>>,
     /// Endpoints by their names, as the process that took over was told.
     ids: HashMap<String, EndpointId>,
 }
 
-impl Elsewhere {
+impl RemoteShards {
     /// These attempts are out on connections of others.
     pub fn new(
-        post: Rc<Post>,
+        post: Rc<ShardHandle>,
         outs: BTreeMap<(MessageId, u16), (ShardId, EndpointId)>,
         ids: &[(String, EndpointId)],
     ) -> Self {
@@ -35,7 +35,7 @@
     /// Passes on what the other cores say, until the process ends.
     pub fn follow(self: Rc<Self>, inbound: UnboundedSender<Inbound>) {
         tokio::task::spawn_local(async move {
-            let mailbox = self.post.team().mailbox(self.post.me());
+            let mailbox = self.post.group().mailbox(self.post.id());
             loop {
                 for say in mailbox.drain() {
                     if let Some(said) = self.heard(say) {
@@ -43,28 +43,32 @@
                     }
                 }
                 self.post.flush();
-                mailbox.woken().await;
+                mailbox.notified().await;
             }
         });
     }
 
-    fn heard(&self, say: Say) -> Option<Inbound> {
+    fn heard(&self, say: ShardMessage) -> Option<Inbound> {
         let id = |name: &str| self.ids.get(name).copied();
         Some(match say {
-            Say::HandedIn(message) => Inbound::Submitted(message),
-            Say::Withdrawn { id, request, destination } => Inbound::Withdrawn { id, request, destination },
-            Say::Ended { name, mut over, .. } => {
+            ShardMessage::Submitted(message) => Inbound::Submitted(message),
+            ShardMessage::Withdrawn { id, request, destination } => {
+                Inbound::Withdrawn { id, request, destination }
+            }
+            ShardMessage::Ended { name, mut over, .. } => {
                 let known = self.outs.borrow_mut().remove(&(over.message, over.attempt));
                 over.endpoint = known.map(|known| known.1).or_else(|| id(&name)).unwrap_or(over.endpoint);
                 Inbound::CallCompleted(vec![over])
             }
-            Say::Wait { name, wait, .. } => Inbound::Event(Event::RetryAfter { endpoint: id(&name)?, wait }),
+            ShardMessage::Wait { name, wait, .. } => {
+                Inbound::Event(Event::RetryAfter { endpoint: id(&name)?, wait })
+            }
             _ => return None,
         })
     }
 }
 
-impl Frontend for Elsewhere {
+impl Frontend for RemoteShards {
     fn start(self: Rc<Self>) -> io::Result<SocketAddr> {
         Err(io::ErrorKind::Unsupported.into())
     }
@@ -74,13 +78,13 @@
     }
 
     fn open_connections(&self) -> usize {
-        self.post.team().clients_of_others(self.post.me())
+        self.post.group().clients_of_others(self.post.id())
     }
 
     fn set_max_clients(&self, most: usize) {
-        let team = self.post.team();
-        let others = team.all().filter(|core| *core != self.post.me());
-        others.for_each(|core| self.post.say(core, Say::Places(most)));
+        let team = self.post.group();
+        let others = team.all().filter(|core| *core != self.post.id());
+        others.for_each(|core| self.post.send(core, ShardMessage::MaxConnections(most)));
     }
 
     /// It has no connections of its own: the client finds it closed, and comes again.
@@ -89,7 +93,7 @@
     }
 }
 
-impl Transport for Elsewhere {
+impl Transport for RemoteShards {
     fn set_address(&self, _: EndpointId, _: &str) -> bool {
         false
     }
@@ -105,7 +109,7 @@
 
     fn cancel(&self, message: MessageId, attempt: u16) {
         if let Some((core, _)) = self.outs.borrow().get(&(message, attempt)) {
-            self.post.say(*core, Say::Cancel(message, attempt));
+            self.post.send(*core, ShardMessage::Cancel(message, attempt));
         }
     }
 
@@ -114,8 +118,8 @@
     fn close_idle(&self, _: EndpointId) {}
 
     fn messages_written(&self) -> u64 {
-        let figures = self.post.team().figures();
-        let others = figures.iter().enumerate().filter(|(core, _)| *core != self.post.me().index());
+        let figures = self.post.group().figures();
+        let others = figures.iter().enumerate().filter(|(core, _)| *core != self.post.id().index());
         others.map(|(_, figures)| figures.now.relayed).sum()
     }
 
