--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -18,7 +18,7 @@
     pub(super) fn handle_admin_request(
         &mut self,
         call: AdminRequest,
-        said: &mut Vec<Event>,
+        events: &mut Vec<Event>,
     ) -> AdminResponse {
         let told = |status, text: &str| AdminResponse { status, text: text.to_owned() };
         let done = || told(200, "done\n");
@@ -61,7 +61,7 @@
                 {
                     return told(500, &format!("it can't be kept, and nothing changes: {e}\n"));
                 }
-                said.push(self.directory.apply_ejections(held_out));
+                events.push(self.directory.apply_ejections(held_out));
                 done()
             }
         }
--- a/crates/sender/src/event_loop/messages.rs
+++ b/crates/sender/src/event_loop/messages.rs
@@ -1,17 +1,16 @@
-//! What becomes of a message between its client and its end: handed in, withdrawn, an attempt's outcome, over.
+//! The life of a message: submitted, withdrawn, its attempts' outcomes, notified and completed.
 
 use admin::figures::FinalOutcome;
 use decision::interface::*;
-use journal::{Abandonment, LedgerEntry, Record};
+use journal::{Abandonment, AcceptedMessage, LedgerEntry, Record};
 
-use super::{
-    EventLoop, NO_REQUEST, PendingSubmission, RETRY_AFTER_JOURNAL_FULL, RETRY_AFTER_UNLISTED, message,
-};
+use super::{EventLoop, NO_REQUEST, PendingSubmission, RETRY_AFTER_JOURNAL_FULL, RETRY_AFTER_UNLISTED};
+use crate::notifications::Notification;
 use crate::persistence::journal::JournalStore;
 use crate::ports::{Answer, AttemptCompleted, Submission};
 
 impl EventLoop {
-    pub(super) fn accept_submission(&mut self, message: Submission, said: &mut Vec<Event>) {
+    pub(super) fn accept_submission(&mut self, message: Submission, events: &mut Vec<Event>) {
         let Submission { message: taken, class, request, answer } = message;
         if let Some((number, by)) = self.pending_by_id.get_mut(&taken.id) {
             // The client did not hear that it is taken on, and says it once more. Guards what it is told now against the
@@ -48,7 +47,7 @@
             let _ = answer.send(Answer::Rejected(RETRY_AFTER_JOURNAL_FULL));
             return;
         };
-        said.push(Event::Accepted(self::message(number, class, &taken, self.iteration_time)));
+        events.push(Event::Accepted(decision_message(number, class, &taken, self.iteration_time)));
         self.pending_by_id.insert(taken.id.clone(), (number, request));
         self.submissions
             .insert(number, PendingSubmission { message: taken, waiters: vec![(request, answer)] });
@@ -69,7 +68,7 @@
     }
 
     /// A withdrawal belongs to its own request: guards a message against another client that used its id.
-    pub(super) fn withdraw(&mut self, id: &str, request: u64, said: &mut Vec<Event>) {
+    pub(super) fn withdraw(&mut self, id: &str, request: u64, events: &mut Vec<Event>) {
         let Some((number, taken_by)) = self.pending_by_id.get(id).copied() else { return };
         if let Some(fresh) = self.submissions.get_mut(&number) {
             fresh.waiters.retain(|waiting| waiting.0 != request);
@@ -82,7 +81,7 @@
         } else {
             return;
         }
-        said.push(Event::Withdrawn(MessageId(number)));
+        events.push(Event::Withdrawn(MessageId(number)));
         self.forget(number, id);
     }
 
@@ -139,4 +138,40 @@
         self.attempts.remove(&number);
         self.pending_by_id.remove(id);
     }
+
+    fn queue_notification(&self, number: u32, how: Abandonment, id: String) {
+        let _ = self.notifications.send(Notification { message: MessageId(number), id, outcome: how });
+    }
+
+    /// Notifies the platform of outcomes that are written. One that could not be written is notified all the same once the
+    /// message's deadline has passed: no later process would send it then. Before that it would be a second answer, should
+    /// this process end here and the next one deliver the message.
+    pub(super) fn send_notifications(&mut self, now: Micros, written: bool) {
+        for (number, how, id) in std::mem::take(&mut self.pending_notifications) {
+            let late = self.journal.live().get(&number).is_none_or(|live| live.message.deadline <= now);
+            if written || late {
+                self.queue_notification(number, how, id);
+            } else {
+                self.pending_notifications.push((number, how, id));
+            }
+        }
+    }
+}
+
+/// An accepted message as the decision module knows it, with its remaining time as of `now`.
+pub(super) fn decision_message(
+    number: u32,
+    class: usize,
+    accepted: &AcceptedMessage,
+    now: Micros,
+) -> Message {
+    Message {
+        id: MessageId(number),
+        class,
+        tenant: 0,
+        key: None,
+        remaining_time: accepted.deadline.saturating_sub(now),
+        hint: None,
+        destination: DestinationId(accepted.destination),
+    }
 }
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -5,11 +5,13 @@
 use admin::door::AdmissionGate;
 use decision::interface::*;
 use handover::HandoverState;
-use health_snapshot::belief::{LIST_GOOD_FOR, RestoredState};
+use health_snapshot::belief::LIST_GOOD_FOR;
 use journal::{Abandonment, PendingMessage, Record};
 
+use super::messages::decision_message;
 use super::recovery_report::UncalledReason;
-use super::{EventLoop, NO_REQUEST, message};
+use super::startup::Recovery;
+use super::{EventLoop, NO_REQUEST};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::persistence::journal::JournalStore;
 use crate::persistence::snapshot::initial_list;
@@ -53,16 +55,16 @@
         }
         // Guards against a module and a journal that don't agree: the journal is what binds.
         let of_module = self.policy.messages();
-        let mut said: Vec<_> =
+        let mut events: Vec<_> =
             of_module.iter().filter(|id| !kept.contains(&id.0)).map(|id| Event::Withdrawn(*id)).collect();
         for number in kept {
             if self.policy.holds(MessageId(number)) {
                 continue;
             }
             let Some(live) = self.journal.live().get(&number).cloned() else { continue };
-            said.extend(self.recovered_event(number, &live, false));
+            events.extend(self.recovered_event(number, &live, false));
         }
-        said
+        events
     }
 
     /// Whether another process may take over now: all that is said is written, and nothing is left of the one before.
@@ -119,20 +121,20 @@
     pub(super) fn recover(
         &mut self,
         known: EndpointList,
-        set_back: bool,
-        waits: Vec<(String, Micros)>,
-        belief: &mut RestoredState,
+        recovery: &mut Recovery,
     ) -> (Vec<Event>, Option<u64>) {
         let now = self.iteration_time;
+        let (set_back, waits) = (recovery.clock_set_back, std::mem::take(&mut recovery.waits));
+        let belief = &mut recovery.restored;
         let (list, from) = initial_list(known, belief);
         self.list_version = list.index;
         self.list_confirmed_at = (now + belief.list.good_for).saturating_sub(LIST_GOOD_FOR);
-        let mut said = vec![self.apply_list(&EndpointList { snapshot: true, ..list })];
-        said.extend(self.restore_snapshot(belief));
+        let mut events = vec![self.apply_list(&EndpointList { snapshot: true, ..list })];
+        events.extend(self.restore_snapshot(belief));
         // A wait that the process before was told binds this one too.
         for (name, until) in waits {
             let endpoint = self.directory.listed_id(&name).filter(|_| until > now);
-            said.extend(endpoint.map(|endpoint| Event::RetryAfter { endpoint, wait: until - now }));
+            events.extend(endpoint.map(|endpoint| Event::RetryAfter { endpoint, wait: until - now }));
         }
         let mut live: Vec<(u32, PendingMessage)> =
             self.journal.live().iter().map(|(n, l)| (*n, l.clone())).collect();
@@ -146,7 +148,7 @@
             if live.abandoned.is_none()
                 && let Some(event) = self.recovered_event(number, &live, set_back)
             {
-                said.push(event);
+                events.push(event);
                 continue;
             }
             let given_up = match live.abandoned {
@@ -159,7 +161,7 @@
             self.unwritten_records.push(Record::Abandoned(number, given_up));
             self.pending_notifications.push((number, given_up, live.message.id.clone()));
         }
-        (said, from)
+        (events, from)
     }
 
     /// A message that an earlier process took on, as the journal has it; none where its class is not one of the
@@ -175,7 +177,7 @@
             ran.map(|attempt| (ago(attempt.at), self.directory.id_of_attempt(&attempt.endpoint))).collect();
         let attempts = live.attempts.last().map_or(0, |last| last.number + 1);
         self.attempts.insert(number, attempts);
-        let message = message(number, class, &live.message, now);
+        let message = decision_message(number, class, &live.message, now);
         let effect = self.class_idempotency.get(&*live.message.class).copied();
         Some(Event::Recovered { message, attempts: attempts.into(), may_have_run, idempotency: effect })
     }
--- a/crates/sender/src/event_loop/shard.rs
+++ b/crates/sender/src/event_loop/shard.rs
@@ -167,7 +167,7 @@
     /// Takes in what other cores said. Guards the one owner of each destination in this order, which the package `cores`
     /// checks in all interleavings: the owners are read, then all that came is taken, parcels first, and only then is
     /// anything judged by those owners. So what is this core's by them is here, and all else is sent on.
-    pub(super) fn receive_shard_messages(&mut self, fronts: &[Rc<dyn Frontend>], said: &mut Vec<Event>) {
+    pub(super) fn receive_shard_messages(&mut self, fronts: &[Rc<dyn Frontend>], events: &mut Vec<Event>) {
         let Some(member) = &mut self.shard else { return };
         member.owners = member.group().owners();
         let came = member.group().mailbox(member.id()).drain();
@@ -179,7 +179,7 @@
             }
         }
         for say in others {
-            self.handle_shard_message(say, fronts, said);
+            self.handle_shard_message(say, fronts, events);
         }
     }
 
@@ -187,13 +187,13 @@
         &mut self,
         say: ShardMessage,
         fronts: &[Rc<dyn Frontend>],
-        said: &mut Vec<Event>,
+        events: &mut Vec<Event>,
     ) {
         let Some(member) = &mut self.shard else { return };
         match say {
-            ShardMessage::Submitted(message) => self.handle_inbound(Inbound::Submitted(message), said),
+            ShardMessage::Submitted(message) => self.handle_inbound(Inbound::Submitted(message), events),
             ShardMessage::Withdrawn { id, request, destination } => {
-                self.handle_inbound(Inbound::Withdrawn { id, request, destination }, said);
+                self.handle_inbound(Inbound::Withdrawn { id, request, destination }, events);
             }
             ShardMessage::Ended { destination, .. } if !member.owns(destination) => {
                 member.send_to_owner(destination, say)
@@ -202,12 +202,14 @@
                 member.record_work(destination);
                 member.router.add_foreign((over.message.0, over.attempt));
                 over.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
-                said.push(self.attempt_completed(over));
+                events.push(self.attempt_completed(over));
             }
             ShardMessage::Wait { destination, .. } if !member.owns(destination) => {
                 member.send_to_owner(destination, say)
             }
-            ShardMessage::Wait { destination, name, wait } => said.push(self.wait(destination, &name, wait)),
+            ShardMessage::Wait { destination, name, wait } => {
+                events.push(self.wait(destination, &name, wait))
+            }
             ShardMessage::Migrate(bundle) => self.attach_destination(*bundle),
             ShardMessage::Depart { destination, to } => {
                 member.schedule_migration(destination, to, self.clock.now())
@@ -223,10 +225,10 @@
             ShardMessage::Cancel(message, attempt) => {
                 self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
-            ShardMessage::Listed(list) => self.handle_inbound(Inbound::EndpointsUpdated(list), said),
-            ShardMessage::ListFailed => said.push(Event::DiscoveryFailed),
+            ShardMessage::Listed(list) => self.handle_inbound(Inbound::EndpointsUpdated(list), events),
+            ShardMessage::ListFailed => events.push(Event::DiscoveryFailed),
             ShardMessage::Ejections(held_out, done) => {
-                said.push(self.directory.apply_ejections(held_out));
+                events.push(self.directory.apply_ejections(held_out));
                 self.iteration_waiters.push(done);
             }
             ShardMessage::Client(stream) => match fronts.first() {
@@ -234,8 +236,8 @@
                 None => member.group().client_gone(member.id()),
             },
             ShardMessage::Discovery(address) => self.discovery_is_at(address),
-            ShardMessage::Status => self.handle_inbound(Inbound::Status, said),
-            ShardMessage::Terminate => self.handle_inbound(Inbound::Terminate, said),
+            ShardMessage::Status => self.handle_inbound(Inbound::Status, events),
+            ShardMessage::Terminate => self.handle_inbound(Inbound::Terminate, events),
         }
     }
 
@@ -359,10 +361,10 @@
         &mut self,
         call: AdminRequest,
         answer: oneshot::Sender<AdminResponse>,
-        said: &mut Vec<Event>,
+        events: &mut Vec<Event>,
     ) {
         let binds = matches!(call, AdminRequest::Eject(_) | AdminRequest::Reinstate(_));
-        let told = self.handle_admin_request(call, said);
+        let told = self.handle_admin_request(call, events);
         if !binds || told.status != 200 || self.shard.is_none() {
             let _ = answer.send(told);
             return;
@@ -386,10 +388,12 @@
     }
 
     /// Asks for what this turn needs of what belongs to the whole process, before the module decides.
-    pub(super) fn update_leases(&mut self, said: &mut Vec<Event>) {
+    pub(super) fn update_leases(&mut self, events: &mut Vec<Event>) {
         let Some(member) = &mut self.shard else { return };
-        let come =
-            said.iter().filter(|event| matches!(event, Event::Accepted(_) | Event::Recovered { .. })).count();
+        let come = events
+            .iter()
+            .filter(|event| matches!(event, Event::Accepted(_) | Event::Recovered { .. }))
+            .count();
         let (held, out, waiting) = (self.policy.held(), self.policy.calls_out(), self.policy.waiting());
         // The module begins to shed a sixteenth ahead of its room.
         let room_for = (held + come) * 16 / 15 + 2;
@@ -412,7 +416,7 @@
         }
         if member.announced_capacity != (slots.lease, messages.lease) {
             member.announced_capacity = (slots.lease, messages.lease);
-            said.push(Event::CapacityChanged { max_calls: slots.lease, max_messages: messages.lease });
+            events.push(Event::CapacityChanged { max_calls: slots.lease, max_messages: messages.lease });
         }
     }
 
--- a/crates/sender/src/event_loop/snapshot.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -10,7 +10,7 @@
     /// What an earlier process learnt, as far as it is believed: to be told behind the list.
     pub(super) fn restore_snapshot(&self, belief: &RestoredState) -> Vec<Event> {
         belief.warnings.iter().for_each(|told| eprintln!("known: {told}"));
-        let mut said: Vec<_> = belief
+        let mut events: Vec<_> = belief
             .routes
             .iter()
             .map(|believed| {
@@ -22,17 +22,17 @@
                 Event::SnapshotRestored { route, snapshot: believed.snapshot }
             })
             .collect();
-        said.extend(belief.incomplete.then_some(Event::SnapshotLost));
-        said
+        events.extend(belief.incomplete.then_some(Event::SnapshotLost));
+        events
     }
 
     /// Notes what a turn may have taught, before the module decides.
-    pub(super) fn record_observations(&mut self, said: &[Event]) {
+    pub(super) fn record_observations(&mut self, events: &[Event]) {
         if self.snapshot_store.is_none() {
             return;
         }
         let now = self.clock.now();
-        for event in said {
+        for event in events {
             let (endpoint, pressing) = match event {
                 Event::AttemptCompleted { endpoint, outcome, .. } => {
                     (endpoint, matches!(outcome, Outcome::Rejected(Some(_))))
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -301,7 +301,7 @@
                 shard: Some(Shard::new(post)),
                 frontends: sides.frontends(),
                 transports: sides.transports(),
-                peers: None,
+                gossip_socket: None,
                 gate: self.gate,
                 ejections: self.ejections,
                 frontends_started: true,
@@ -413,7 +413,7 @@
             }
             false => None,
         };
-        let peers =
+        let gossip_socket =
             GossipSocket::open(&config, inbound.clone()).await.map_err(|e| format!("peer_listen: {e}"))?;
         let mut carriers = sides.transports();
         carriers.extend(before.clone().map(|before| before as Rc<dyn Transport>));
@@ -423,7 +423,7 @@
             shard: member.take(),
             frontends: sides.frontends(),
             transports: carriers,
-            peers,
+            gossip_socket,
             gate: sides.gate.clone(),
             ejections: ejections::read(&config.state)
                 .map_err(|e| format!("{}: {e}", config.state.display()))?,
@@ -440,9 +440,15 @@
         let (successor, state, so_far, left) =
             match event_loop::run(&config, parts, inbound.clone(), &mut events).await? {
                 ExitReason::Finished => return Ok(()),
-                ExitReason::HandOver { successor, state, outcome_counts: ends, peers, shard: member } => {
-                    if let Some(peers) = peers {
-                        peers.close().await;
+                ExitReason::HandOver {
+                    successor,
+                    state,
+                    outcome_counts: ends,
+                    gossip_socket,
+                    shard: member,
+                } => {
+                    if let Some(socket) = gossip_socket {
+                        socket.close().await;
                     }
                     (successor, *state, ends, member)
                 }
