--- /dev/null
+++ b/crates/sender/src/process/mod.rs
@@ -0,0 +1,394 @@
+//! One process of a sender from its start to its end, with what it takes over from a predecessor and hands to a successor.
+//!
+//! A process runs one event loop after another: a hand-over ends the first, and where the successor fails to take over, the
+//! next one resumes. With several shards this is the first of them; the others run on threads of their own.
+
+mod journal;
+mod shards;
+mod sockets;
+
+use std::net::TcpListener;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use ::journal::Journal;
+use admin::door::AdmissionGate;
+use admin::figures::OutcomeCounts;
+use decision::interface::Micros;
+use decision::policy::Policy;
+use handover::HandoverState;
+use handover::step::{self, After};
+use health_snapshot::belief::RestoredState;
+use health_snapshot::replay::Snapshot;
+use operator_config::Operators;
+use sharding::ShardId;
+use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
+use tokio::sync::watch;
+
+use crate::config::{self, Config};
+use crate::event_loop::{self, EventLoopParts, ExitReason, HandedOverShard, Shard};
+use crate::gossip_socket::GossipSocket;
+use crate::hand_over::socket::HandoverLink;
+use crate::hand_over::{self, CarriedConnections, Predecessor};
+use crate::persistence::class_idempotency::ClassIdempotency;
+use crate::persistence::ejections;
+use crate::persistence::journal::JournalStore;
+use crate::persistence::snapshot::{self, SnapshotOptions, SnapshotStore};
+use crate::ports::{Clock, Frontend, Inbound, Transport};
+use crate::shards::ShardHandle;
+
+use journal::{open_journal, open_or_take_over, record_class_idempotency, restore_policy};
+use shards::{ShardThread, divide_by_shards, shard_group};
+use sockets::{SHARE_DURING_HANDOVER, SocketSides, follow_predecessor};
+
+/// The requests of a successor are counted from so far beyond those of its predecessor.
+const REQUEST_NUMBER_GAP: u64 = 1 << 32;
+/// The requests of each shard are counted from a number of its own, this many bits up.
+const SHARD_REQUEST_BITS: u32 = 40;
+
+/// Runs a sender until it was asked to shut down and has, or has handed over.
+///
+/// # Errors
+/// Fails, in one line, when it can't start or go on.
+pub async fn run(
+    config: Config,
+    operators: &Operators,
+    inherited: Option<TcpListener>,
+    (inbound, mut events): (UnboundedSender<Inbound>, UnboundedReceiver<Inbound>),
+) -> Result<(), String> {
+    let (mut process, mut start) = Process::start(config, operators, inherited, inbound).await?;
+    while let Some(handing_over) = process.run_event_loop(start, &mut events).await? {
+        start = match process.hand_over(handing_over, &mut events).await? {
+            Some(resumed) => resumed,
+            None => return Ok(()),
+        };
+    }
+    Ok(())
+}
+
+/// What stays the same for all event loops of a process.
+struct Process<'a> {
+    config: Config,
+    operators: &'a Operators,
+    inbound: UnboundedSender<Inbound>,
+    clock: Clock,
+    sockets: SocketSides,
+    /// The first shard's handle, where there are several.
+    shard: Option<Rc<ShardHandle>>,
+    snapshot_options: Option<SnapshotOptions>,
+    class_idempotency: Arc<ClassIdempotency>,
+    /// The platform starts a successor beside a running process: it holds the listening socket.
+    accepts_successor: bool,
+}
+
+/// What one event loop starts with.
+struct EventLoopStart {
+    journal: JournalStore,
+    shard: Option<Shard>,
+    /// The health snapshot, where it is open already.
+    snapshot: Option<(SnapshotStore, Snapshot)>,
+    predecessor: TakenOver,
+    outcome_counts: Option<OutcomeCounts>,
+    frontends_started: bool,
+    clock_set_back: bool,
+}
+
+/// What was taken over from a predecessor.
+#[derive(Default)]
+struct TakenOver {
+    /// Its state, where this version can read it.
+    state: Option<(HandoverState, Policy)>,
+    /// The connections that it still carries.
+    process: Option<Rc<Predecessor>>,
+    /// The Retry-Afters that it was sent, where the rest of its state can't be read.
+    waits: Vec<(String, Micros)>,
+}
+
+/// A hand-over that has begun: the event loop has ended.
+struct HandingOver {
+    successor: HandoverLink,
+    state: HandoverState,
+    outcome_counts: OutcomeCounts,
+    shard: Option<Box<HandedOverShard>>,
+}
+
+impl<'a> Process<'a> {
+    /// Opens the journal or takes it over, and prepares all that the first event loop needs.
+    async fn start(
+        mut config: Config,
+        operators: &'a Operators,
+        inherited: Option<TcpListener>,
+        inbound: UnboundedSender<Inbound>,
+    ) -> Result<(Self, EventLoopStart), String> {
+        let accepts_successor = inherited.is_some();
+        let (journal, predecessor) = open_or_take_over(&config, operators, accepts_successor).await?;
+        let class_idempotency = Arc::new(record_class_idempotency(&config, &journal));
+        let snapshot_options = snapshot_options(&config, operators);
+        let snapshot =
+            snapshot_options.and_then(|options| snapshot::open(&config.state, &config.name, &options));
+        let (clock, clock_set_back) =
+            start_clock(&journal, predecessor.as_ref().map(|(_, state)| state), snapshot.as_ref());
+        let group = shard_group(&config, operators, predecessor.is_some())?;
+        divide_by_shards(&mut config.settings, group.as_ref().map_or(1, |group| group.count()));
+        let shard = group.map(|group| Rc::new(ShardHandle::new(ShardId(0), group)));
+        let gate = watch::Sender::new(AdmissionGate::default());
+        let sockets = SocketSides::new(&config, clock, inherited, &inbound, shard.clone(), gate);
+        let process = Self {
+            config,
+            operators,
+            inbound,
+            clock,
+            sockets,
+            shard,
+            snapshot_options,
+            class_idempotency,
+            accepts_successor,
+        };
+        let predecessor = match predecessor {
+            Some((link, state)) => process.take_over(link, state).await?,
+            None => TakenOver::default(),
+        };
+        let journal = process.share_journal(journal, &predecessor.waits, clock_set_back)?;
+        let start = EventLoopStart {
+            journal,
+            shard: process.shard.clone().map(Shard::new),
+            snapshot,
+            predecessor,
+            outcome_counts: None,
+            frontends_started: false,
+            clock_set_back,
+        };
+        Ok((process, start))
+    }
+
+    /// Goes on with a predecessor's state, and follows what it still carries.
+    async fn take_over(&self, mut link: HandoverLink, state: HandoverState) -> Result<TakenOver, String> {
+        let policy = restore_policy(&self.config, &state, self.clock.now());
+        hand_over::confirm_takeover(&mut link, policy.is_some())
+            .await
+            .map_err(|error| format!("the process before breaks off: {error}"))?;
+        self.sockets.frontend.count_from(state.requests.saturating_add(REQUEST_NUMBER_GAP));
+        if let Some(since) = state.standby {
+            self.sockets.gate.send_replace(AdmissionGate::Standby(since));
+        }
+        let in_flight = if policy.is_some() { state.attempts_in_flight.clone() } else { Vec::new() };
+        let shard = self.shard.clone();
+        let process = follow_predecessor(&self.sockets, &self.config, link, in_flight, &self.inbound, shard);
+        let (state, waits) = match policy {
+            Some(policy) => (Some((state, policy)), Vec::new()),
+            None => (None, state.waits),
+        };
+        Ok(TakenOver { state, process: Some(process), waits })
+    }
+
+    /// The first shard's part of the journal, where there are several; starts the others with theirs.
+    fn share_journal(
+        &self,
+        journal: Journal,
+        waits: &[(String, Micros)],
+        clock_set_back: bool,
+    ) -> Result<JournalStore, String> {
+        let Some(shard) = &self.shard else { return Ok(JournalStore::Exclusive(Box::new(journal))) };
+        let group = shard.group();
+        let owners = group.owners();
+        let mut parts =
+            journal.share(group.count(), |destination| owners.owner(destination).index()).into_iter();
+        let first = parts.next().ok_or("no core has the journal")?;
+        for (id, journal_part) in (1..).map(ShardId).zip(parts) {
+            let thread = ShardThread {
+                id,
+                group: group.clone(),
+                config: self.config.clone(),
+                clock: self.clock,
+                journal_part,
+                ejections: self.ejections()?,
+                gate: self.sockets.gate.clone(),
+                waits: waits.to_vec(),
+                clock_set_back,
+                requests: u64::from(id.0) << SHARD_REQUEST_BITS,
+                class_idempotency: self.class_idempotency.clone(),
+            };
+            thread.start()?;
+        }
+        Ok(JournalStore::Sharded(first))
+    }
+
+    fn ejections(&self) -> Result<admin::held_out::Ejections, String> {
+        let state = &self.config.state;
+        ejections::read(state).map_err(|error| format!("{}: {error}", state.display()))
+    }
+
+    /// Runs an event loop to its end; none where the process is done.
+    async fn run_event_loop(
+        &self,
+        start: EventLoopStart,
+        events: &mut UnboundedReceiver<Inbound>,
+    ) -> Result<Option<HandingOver>, String> {
+        let resumes = start.predecessor.state.is_some();
+        let (snapshot_store, restored) = self.restore_snapshot(start.snapshot, resumes);
+        let listening = match self.accepts_successor {
+            true => Some(
+                hand_over::listen(&self.config.state, self.inbound.clone())
+                    .map_err(|error| format!("successor: {error}"))?,
+            ),
+            false => None,
+        };
+        let gossip_socket = GossipSocket::open(&self.config, self.inbound.clone())
+            .await
+            .map_err(|error| format!("peer_listen: {error}"))?;
+        let mut transports = self.sockets.transports();
+        transports.extend(start.predecessor.process.clone().map(|process| process as Rc<dyn Transport>));
+        let parts = EventLoopParts {
+            clock: self.clock,
+            journal: start.journal,
+            shard: start.shard,
+            frontends: self.sockets.frontends(),
+            transports,
+            gossip_socket,
+            gate: self.sockets.gate.clone(),
+            ejections: self.ejections()?,
+            frontends_started: start.frontends_started,
+            predecessor_state: start.predecessor.state,
+            predecessor: start.predecessor.process,
+            waits: start.predecessor.waits,
+            outcome_counts: start.outcome_counts,
+            clock_set_back: start.clock_set_back,
+            snapshot_store,
+            restored,
+            class_idempotency: self.class_idempotency.clone(),
+        };
+        match event_loop::run(&self.config, parts, self.inbound.clone(), events).await? {
+            ExitReason::Finished => Ok(None),
+            ExitReason::HandOver { successor, state, outcome_counts, gossip_socket, shard } => {
+                if let Some(socket) = gossip_socket {
+                    socket.close().await;
+                }
+                listening.inspect(|listening| listening.abort());
+                Ok(Some(HandingOver { successor, state: *state, outcome_counts, shard }))
+            }
+        }
+    }
+
+    /// Opens the health snapshot, unless it is open, and what is restored of it where no predecessor's state says more.
+    fn restore_snapshot(
+        &self,
+        snapshot: Option<(SnapshotStore, Snapshot)>,
+        resumes: bool,
+    ) -> (Option<SnapshotStore>, RestoredState) {
+        let Some(options) = self.snapshot_options else { return (None, RestoredState::default()) };
+        // A process that resumes opens it once more: another one had it meanwhile.
+        let snapshot = snapshot.or_else(|| snapshot::open(&self.config.state, &self.config.name, &options));
+        let Some((mut store, snapshot)) = snapshot else { return (None, RestoredState::default()) };
+        let list_version = self.config.initial_list.index;
+        let restored = snapshot::restore(&snapshot, &options, self.clock.now(), list_version);
+        store.moved_by(restored.shift);
+        (Some(store), if resumes { RestoredState::default() } else { restored })
+    }
+
+    /// Offers the state to the successor. None where it took over and all that was left here has ended; else this process
+    /// resumes.
+    ///
+    /// # Errors
+    /// Fails when another process has the journal and can't be reached, or the successor breaks off.
+    async fn hand_over(
+        &mut self,
+        handing_over: HandingOver,
+        events: &mut UnboundedReceiver<Inbound>,
+    ) -> Result<Option<EventLoopStart>, String> {
+        let HandingOver { successor, state, outcome_counts, shard } = handing_over;
+        let offered = hand_over::offer_state(successor, &state).await;
+        let journal = if offered.is_ok() { None } else { open_journal(&self.config, self.operators)? };
+        match (step::after(offered.is_ok(), journal.is_some()), offered, journal) {
+            (After::Carry, Ok((link, understood)), _) => {
+                eprintln!("{} has handed over", self.config.name);
+                let carried = self.carried_connections(outcome_counts, shard);
+                hand_over::carry(link, understood, carried, events).await.map(|()| None)
+            }
+            (After::GoOn, Err(error), Some(journal)) => {
+                eprintln!("the next process did not take over, this one goes on: {error}");
+                self.resume(journal, state, outcome_counts, shard).map(Some)
+            }
+            _ => Err("another process has the journal, and does not answer".to_owned()),
+        }
+    }
+
+    /// What is left here once a successor decides: clients' connections and calls in flight, with fewer descriptors.
+    fn carried_connections(
+        &self,
+        outcome_counts: OutcomeCounts,
+        shard: Option<Box<HandedOverShard>>,
+    ) -> CarriedConnections {
+        let sockets = &self.sockets;
+        let max_connections = sockets.max_connections / SHARE_DURING_HANDOVER;
+        sockets.transport.close_all_idle();
+        sockets.frontend.set_most(max_connections);
+        let (mut frontends, mut transports) = (sockets.frontends(), sockets.transports());
+        if let Some(shard) = shard {
+            shard.remote_shards.set_max_clients(max_connections);
+            shard.remote_shards.clone().follow(self.inbound.clone());
+            frontends.push(shard.remote_shards.clone());
+            transports.push(shard.remote_shards);
+        }
+        CarriedConnections {
+            clock: self.clock,
+            fronts: frontends,
+            carriers: transports,
+            door: sockets.gate.clone(),
+            ends: outcome_counts,
+        }
+    }
+
+    /// Resumes with its own state, after a successor that did not take over.
+    fn resume(
+        &mut self,
+        journal: Journal,
+        state: HandoverState,
+        outcome_counts: OutcomeCounts,
+        shard: Option<Box<HandedOverShard>>,
+    ) -> Result<EventLoopStart, String> {
+        let (journal, shard) = match shard {
+            Some(handed_over) => {
+                let HandedOverShard { shard, mut journal_part, .. } = *handed_over;
+                journal_part.reopen(journal);
+                (JournalStore::Sharded(journal_part), Some(shard))
+            }
+            None => (JournalStore::Exclusive(Box::new(journal)), None),
+        };
+        let policy = restore_policy(&self.config, &state, self.clock.now());
+        let policy = policy.ok_or("its own state can't be read")?;
+        // Discovery may have moved since the start.
+        self.config.discovery = config::reload_discovery().unwrap_or(self.config.discovery);
+        Ok(EventLoopStart {
+            journal,
+            shard,
+            snapshot: None,
+            predecessor: TakenOver { state: Some((state, policy)), ..TakenOver::default() },
+            outcome_counts: Some(outcome_counts),
+            frontends_started: true,
+            clock_set_back: false,
+        })
+    }
+}
+
+/// How the health snapshot is kept; none where the operators' file does not switch it on.
+fn snapshot_options(config: &Config, operators: &Operators) -> Option<SnapshotOptions> {
+    let objectives = config.settings.classes.iter().map(|class| class.latency_objective);
+    let sync = operators.journal.sync == operator_config::Sync::Group;
+    SnapshotOptions::of(&operators.known, config.disk, sync, objectives.min().unwrap_or(0))
+}
+
+/// A clock that shows no time before the latest that an earlier process wrote down; and whether the system's clock was set
+/// back since.
+fn start_clock(
+    journal: &Journal,
+    predecessor: Option<&HandoverState>,
+    snapshot: Option<&(SnapshotStore, Snapshot)>,
+) -> (Clock, bool) {
+    let snapshot_at = snapshot.map_or(0, |(_, snapshot)| snapshot.stamp.wall);
+    let latest = predecessor.map_or(0, |state| state.stopped_at).max(journal.latest()).max(snapshot_at);
+    let (clock, set_back) = Clock::after(latest);
+    if set_back {
+        eprintln!("the clock was set back since the last process: how old its attempts are is not known");
+    }
+    (clock, set_back)
+}
