--- a/crates/sender/src/discovery/directory/tests.rs
+++ b/crates/sender/src/discovery/directory/tests.rs
@@ -46,8 +46,7 @@
 impl Side {
     fn new() -> Self {
         let (places, told) = (Rc::new(Places::default()), BTreeMap::new());
-        let directory =
-            Directory::new(Names::default(), vec![], vec![places.clone()], Ejections::default());
+        let directory = Directory::new(Names::default(), vec![], vec![places.clone()], Ejections::default());
         Self { directory, places, told }
     }
 
@@ -168,9 +167,7 @@
             && side.directory.needs_slicing(&list(SLICE_ENTRIES + 1, true))
     );
     side.directory.apply(&list(2 * SLICE_ENTRIES, true), || [].into_iter());
-    assert!(
-        side.directory.needs_slicing(&list(5, true)) && !side.directory.needs_slicing(&list(5, false))
-    );
+    assert!(side.directory.needs_slicing(&list(5, true)) && !side.directory.needs_slicing(&list(5, false)));
     side.directory.enqueue(Arc::new(list(5, true))).unwrap();
     assert!(side.directory.needs_slicing(&list(5, false)));
 }
--- a/crates/sender/src/discovery/poll_schedule/tests.rs
+++ b/crates/sender/src/discovery/poll_schedule/tests.rs
@@ -7,8 +7,7 @@
 #[test]
 fn the_first_call_leaves_half_of_the_time_for_drains() {
     let grace = Duration::from_secs(1);
-    let latest =
-        (0..99).map(|seed| PollSchedule::new(300, grace, seed).first(Duration::ZERO)).max().unwrap();
+    let latest = (0..99).map(|seed| PollSchedule::new(300, grace, seed).first(Duration::ZERO)).max().unwrap();
     assert!(latest > grace / 3 && latest <= grace / 2, "{latest:?}");
 }
 
@@ -32,8 +31,7 @@
     assert_eq!(PollSchedule::new(1, GRACE, 1).first(good), Duration::ZERO);
     assert_eq!(PollSchedule::new(0, GRACE, 1).first(good), Duration::ZERO);
     assert!(PollSchedule::new(usize::MAX, GRACE, 1).first(Duration::ZERO) <= LONGEST / 4);
-    let latest =
-        |good| (0..99).map(|seed| PollSchedule::new(100, GRACE, seed).first(good)).max().unwrap();
+    let latest = |good| (0..99).map(|seed| PollSchedule::new(100, GRACE, seed).first(good)).max().unwrap();
     assert!(latest(good) > LONGEST / 4 && latest(good) <= good, "a good list leaves discovery time");
     assert!(latest(Duration::from_secs(3)) <= Duration::from_secs(3));
 }
--- a/crates/sender/src/http/client/tests.rs
+++ b/crates/sender/src/http/client/tests.rs
@@ -4,8 +4,7 @@
 #[test]
 fn a_delivery_that_is_read_after_the_end_of_the_wait_is_none() {
     let until = Instant::now();
-    let all =
-        [(Outcome::Delivered, false), (Outcome::Rejected(None), false), (Outcome::Delivered, false)];
+    let all = [(Outcome::Delivered, false), (Outcome::Rejected(None), false), (Outcome::Delivered, false)];
     let read = |now| {
         let mut ends = all;
         expire_late_deliveries(&mut ends, now, until);
