--- a/crates/sender/src/cli/journal.rs
+++ b/crates/sender/src/cli/journal.rs
@@ -1,4 +1,4 @@
-//! The operators' looks at a journal: what they print.
+//! The `journal` subcommands.
 
 use std::io::{self, Write};
 use std::path::Path;
--- a/crates/sender/src/cli/mod.rs
+++ b/crates/sender/src/cli/mod.rs
@@ -183,7 +183,7 @@
 }
 
 /// What the table says, with what it leaves out.
-/// What senders tell one another, where the operators' file and the platform have it.
+/// The gossip configuration, where the operators' file and the platform have it.
 fn shared(table: &SharedTable, config: &Config) -> Result<Option<GossipConfig>, String> {
     if !table.on {
         return Ok(None);
@@ -198,7 +198,7 @@
     };
     let senders =
         u16::try_from(config.settings.senders).map_err(|_| "[shared] on = true: too many senders")?;
-    // Higher than that of a process before, unless the clock was set back: then others raise it.
+    // Higher than an earlier process's, unless the clock was set back: then others raise it.
     let run = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as u32);
     let bytes = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64));
     let (broadcast, lends) = (config.peers_all.is_some(), table.lends);
--- a/crates/sender/src/cli/snapshot.rs
+++ b/crates/sender/src/cli/snapshot.rs
@@ -1,4 +1,4 @@
-//! What is known, for a person: what a start now would believe, and what two folders differ in.
+//! The `known` subcommands: what a start now would restore, and what differs between two folders.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -14,7 +14,7 @@
 use crate::persistence::snapshot::stamp;
 use crate::ports::Clock;
 
-/// What is believed for as long as the operators' file has it, unless it is told.
+/// For how long limits are restored by default.
 const SPAN: Micros = 3_600_000_000;
 /// An aim as the platform's classes have it; answer times depend on it alone.
 const AIM: Micros = 4_000_000;
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,4 +1,4 @@
-//! What a sender is told at its start: the environment and the configuration file.
+//! What a sender is configured with at its start: the environment and the configuration file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,36 +8,36 @@
 
 use crate::discovery::endpoint_list::EndpointList;
 
-/// All that the sender is told.
+/// The configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Its name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where on-call staff call, if anywhere.
+    /// The administrative address, if any.
     pub ops: Option<SocketAddr>,
     /// Discovery.
     pub discovery: SocketAddr,
-    /// The folder that lasts.
+    /// `NODE_STATE`, the folder that outlasts the process.
     pub state: PathBuf,
-    /// For random numbers.
+    /// Seeds random numbers.
     pub seed: u64,
-    /// File descriptors that may be held.
+    /// File descriptors that may be open.
     pub sockets: usize,
-    /// Bytes that the folder that lasts may hold.
+    /// Bytes that `NODE_STATE` may take.
     pub disk: u64,
-    /// Where notes arrive, if there are any.
+    /// Where gossip arrives, if there is any.
     pub peer_listen: Option<SocketAddr>,
     /// The senders' addresses by their numbers.
     pub peers: Vec<SocketAddr>,
     /// Reaches all senders.
     pub peers_all: Option<SocketAddr>,
-    /// The list of endpoints as last known.
+    /// The endpoint list as last known.
     pub initial_list: EndpointList,
-    /// Its place among the senders of its tier, where the settings tell it.
+    /// Its index among the senders of its tier, where the settings tell it.
     pub rank: Option<u16>,
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
     /// Names of classes, kinds and zones, in the settings' order.
     pub names: Names,
@@ -124,8 +124,8 @@
     })
 }
 
-/// Reads the configuration again and tells where discovery is by now; what the environment said at the start
-/// is no longer so.
+/// Reads the configuration again and returns discovery's address; what the environment said at the start is
+/// no longer valid.
 ///
 /// # Errors
 /// Fails, in one line, when the configuration cannot be read.
--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -1,4 +1,4 @@
-//! Endpoints by the names that the list gives them: ids for the module, and who makes calls to each.
+//! Endpoints by the names that the list gives them: ids for the decision module, and the transport for each.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -11,9 +11,9 @@
 use crate::discovery::endpoint_list::{EndpointList, EndpointListing as Listed};
 use crate::ports::Transport;
 
-/// Entries of a long list that are taken in in one turn: bounds the pause that a list makes.
+/// Entries of a long list that are applied in one iteration: bounds the pause that a list causes.
 pub const SLICE_ENTRIES: usize = 1_000;
-/// Entries that wait for their turn at most: over twice what there can be of destinations.
+/// Most entries that wait to be applied: over twice what there can be of destinations.
 const MAX_PENDING_ENTRIES: usize = 200_000;
 
 /// An endpoint as the list has it.
@@ -21,49 +21,49 @@
     name: Arc<str>,
     destination: u16,
     kind: usize,
-    /// Who makes calls to it; none where its address can't be read.
+    /// Calls it; none where its address cannot be parsed.
     transport: Option<Rc<dyn Transport>>,
     max_batch: usize,
-    /// What the list says of it; nothing new goes there besides while it is held out.
+    /// What the list says of it; an ejected endpoint gets nothing new besides.
     listing: Listing,
     zone: u16,
     weight: f64,
-    /// A number that is another one where its address is.
+    /// A hash of its address: another number after the endpoint moved.
     address_hash: u32,
     /// No list names it any more.
     unlisted: bool,
-    /// The last whole list that named it, or change since.
+    /// The last full list that named it, or change since.
     last_listed: u64,
 }
 
-/// The list as it is known here.
+/// The endpoint list as this sender knows it.
 pub struct Directory {
     names: Names,
     kinds: Vec<DestinationKind>,
     transports: Vec<Rc<dyn Transport>>,
     endpoints: HashMap<EndpointId, EndpointRecord>,
-    /// The id of each name, and how many ids were given out.
+    /// The id of each name, and how many ids were assigned.
     ids: HashMap<String, EndpointId>,
     ids_assigned: u64,
     /// Destinations that a list has named.
     destinations: BTreeSet<u16>,
-    /// Endpoints that are gone and not forgotten yet, and names that attempts alone refer to.
+    /// Unlisted endpoints that are not forgotten yet, and names that attempts alone refer to.
     unlisted: BTreeSet<EndpointId>,
     attempt_only_names: BTreeSet<String>,
-    /// Held out by hand, whatever the list says, and names that the list had.
+    /// Ejected by an operator, whatever the list says; and names that the list had.
     ejections: Ejections,
     retired_names: RetiredNames,
-    /// Whole lists so far; the last one may not be at its end yet.
+    /// Full lists so far; the last one may not be applied to its end yet.
     lists: u64,
     full_list_pending: bool,
-    /// What waits to be taken in, and endpoints of which it is to be said that they are gone.
+    /// Lists that wait to be applied, and endpoints that are to be removed.
     pending: VecDeque<PendingList>,
     pending_removals: Vec<EndpointId>,
-    /// Destinations of which a list said something else than before, since that was last asked.
+    /// Destinations whose listing changed since this was last asked.
     changed: BTreeSet<u16>,
 }
 
-/// What is left of a list that is taken in bit by bit. All cores have the same list, and each takes from it for itself.
+/// The rest of a list that is applied in slices. All shards share one list, and each applies it for itself.
 struct PendingList {
     list: Arc<EndpointList>,
     applied: usize,
@@ -81,12 +81,12 @@
     }
 }
 
-/// More entries wait than are kept: the whole list must be asked for.
+/// More entries wait than are kept: the full list must be fetched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooManyPending;
 
 impl Directory {
-    /// Nothing is known yet. The first carrier that can read an endpoint's address makes the calls to it.
+    /// An empty directory. The first transport that can parse an endpoint's address calls it.
     pub fn new(
         names: Names,
         kinds: Vec<DestinationKind>,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// What another process knew.
+    /// Restores a predecessor's directory.
     pub fn restore(
         &mut self,
         endpoints: Vec<handover::HandoverEndpoint>,
@@ -166,7 +166,7 @@
         self.ids = ids.into_iter().collect();
     }
 
-    /// What is known, for another process: endpoints, ids by name, and how many ids were given out.
+    /// The directory for a successor: endpoints, ids by name, and how many ids were assigned.
     pub fn save(&self) -> (Vec<handover::HandoverEndpoint>, Vec<(String, EndpointId)>, u64) {
         let saved = |(id, known): (&EndpointId, &EndpointRecord)| handover::HandoverEndpoint {
             id: *id,
@@ -198,12 +198,12 @@
         self.endpoints.values().map(|known| known.destination)
     }
 
-    /// Destinations of which a list said something else than before, since this was last asked.
+    /// Destinations whose listing changed since this was last asked.
     pub fn take_changed(&mut self) -> BTreeSet<u16> {
         std::mem::take(&mut self.changed)
     }
 
-    /// An endpoint as the list has it, whatever is held out by hand.
+    /// An endpoint as the list has it, whether ejected or not.
     pub fn describe(&self, endpoint: EndpointId) -> Option<health_snapshot::ListedEndpoint> {
         let known = self.endpoints.get(&endpoint)?;
         let text = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
@@ -248,17 +248,17 @@
         self.endpoints.get(&endpoint).map_or(1, |known| known.max_batch)
     }
 
-    /// All who make calls.
+    /// All transports.
     pub fn carriers(&self) -> &[Rc<dyn Transport>] {
         &self.transports
     }
 
-    /// Who makes calls to an endpoint.
+    /// The transport that calls an endpoint.
     pub fn transport(&self, endpoint: EndpointId) -> Option<&Rc<dyn Transport>> {
         self.endpoints.get(&endpoint)?.transport.as_ref()
     }
 
-    /// The route that leads to an endpoint: its destination's, or its own where its kind has routes apart.
+    /// The route of an endpoint: its destination's, or its own where its kind has separate routes.
     pub fn route(&self, endpoint: EndpointId) -> Option<RouteId> {
         let known = self.endpoints.get(&endpoint)?;
         let apart = self.kinds.get(known.kind).is_some_and(|kind| kind.separate_routes);
@@ -270,15 +270,15 @@
         self.endpoints.values().filter(|known| !known.unlisted).count()
     }
 
-    /// Which endpoints are held out by hand.
+    /// The ejected endpoints.
     pub fn held_out(&self) -> &Ejections {
         &self.ejections
     }
 
-    /// What is held out by hand once this endpoint is, or is no longer. Nothing changes by it.
+    /// The ejections once this endpoint is ejected or reinstated. Nothing changes by it.
     ///
     /// # Errors
-    /// Fails when no list has named it, or there is no room.
+    /// Fails when no list has named it, or there are too many.
     pub fn plan_ejection(&self, name: &str, out: bool) -> Result<Ejections, EjectError> {
         let known = self.ids.get(name).is_some_and(|id| self.endpoints.contains_key(id));
         if !known && !self.retired_names.contains(name) && !self.ejections.contains(name) {
@@ -293,7 +293,7 @@
         Ok(held_out)
     }
 
-    /// These are held out from now on; tells what changes by it.
+    /// Applies ejections; returns the entries that change.
     pub fn apply_ejections(&mut self, held_out: Ejections) -> Event {
         let before = std::mem::replace(&mut self.ejections, held_out);
         let changed =
@@ -332,8 +332,8 @@
         EndpointId(bytes)
     }
 
-    /// Takes in the list or changes of it, at once. Endpoints that are gone are forgotten, their connections and their
-    /// names, unless one of these attempts refers to one: under churn there are ever new ones.
+    /// Applies a list, or changes of it, at once. Unlisted endpoints are forgotten, with their connections
+    /// and names, unless one of these attempts refers to one: under churn there are ever new ones.
     pub fn apply<'a, I: Iterator<Item = &'a str>>(
         &mut self,
         list: &EndpointList,
@@ -354,16 +354,16 @@
         if list.snapshot { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) }
     }
 
-    /// Whether a list is to be taken in bit by bit: it is long, takes much away, or comes behind one that is.
+    /// Whether a list is to be applied in slices: it is long, removes much, or comes behind one that is.
     pub fn needs_slicing(&self, list: &EndpointList) -> bool {
         let going = if list.snapshot { self.endpoints.len() } else { 0 };
         self.has_pending() || list.endpoints.len().max(going) > SLICE_ENTRIES
     }
 
-    /// Keeps a long list to be taken in bit by bit; a whole one makes up for all that waits.
+    /// Queues a long list to be applied in slices; a full one replaces all that waits.
     ///
     /// # Errors
-    /// Fails when too much waits; then nothing does any more, and the whole list must be had.
+    /// Fails when too much waits; then nothing does any more, and the full list must be fetched.
     pub fn enqueue(&mut self, list: Arc<EndpointList>) -> Result<(), TooManyPending> {
         if list.snapshot {
             self.pending.clear();
@@ -382,13 +382,13 @@
         Ok(())
     }
 
-    /// Whether something waits to be taken in.
+    /// Whether something waits to be applied.
     pub fn has_pending(&self) -> bool {
         self.full_list_pending || !self.pending.is_empty() || !self.pending_removals.is_empty()
     }
 
-    /// The next bit of what waits, of so many entries, as changes. What a whole list did not name is gone once it is at
-    /// its end.
+    /// Applies the next slice of what waits, of so many entries. What a full list did not name is removed
+    /// once it is at its end.
     pub fn apply_slice<'a, I: Iterator<Item = &'a str>>(
         &mut self,
         size: usize,
@@ -415,14 +415,14 @@
         Event::EndpointChanges(entries)
     }
 
-    /// What the last whole list did not name, nor a change since.
+    /// Collects what the last full list did not name, nor a change since.
     fn collect_removals(&mut self) {
         let going =
             self.endpoints.iter().filter(|(_, known)| !known.unlisted && known.last_listed != self.lists);
         self.pending_removals = going.map(|(id, _)| *id).collect();
     }
 
-    /// No list names it any more.
+    /// Removes an endpoint that no list names any more.
     fn remove_endpoint(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
         let known = self.endpoints.get_mut(&endpoint).filter(|known| known.last_listed != self.lists)?;
         known.unlisted = true;
@@ -468,7 +468,7 @@
             "left" => Listing::Gone,
             _ => Listing::Draining,
         };
-        // Whatever the list says, who was taken out by hand comes back by hand.
+        // Whatever the list says, an ejected endpoint is reinstated by an operator alone.
         let held_out = listed == Listing::Ready && self.ejections.contains(&listing.name);
         let state = if held_out { Listing::Draining } else { listed };
         entry(endpoint, listing.group, state);
@@ -489,7 +489,7 @@
         let carrier =
             self.transports.iter().find(|carrier| carrier.set_address(endpoint, &listing.address)).cloned();
         let keeps = |other: &&Rc<dyn Transport>| carrier.as_ref().is_some_and(|c| Rc::ptr_eq(c, other));
-        // Who made calls to it at the address that it had has no more to do with it.
+        // A transport that called it at its former address forgets it.
         self.transports.iter().filter(|other| !keeps(other)).for_each(|other| other.forget(endpoint));
         if let Some(carrier) = &carrier {
             carrier.set_accepting(endpoint, state == Listing::Ready);
--- a/crates/sender/src/discovery/endpoint_list.rs
+++ b/crates/sender/src/discovery/endpoint_list.rs
@@ -41,6 +41,6 @@
     pub weight: f64,
 }
 
-/// News of the list: one list for all cores, from which each takes as it goes on.
+/// An update of the list: one list for all shards, which each applies for itself.
 #[derive(Debug, Clone)]
 pub struct EndpointUpdate(pub Arc<EndpointList>);
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -17,16 +17,16 @@
 use crate::platform_client::ask;
 use crate::ports::Inbound;
 
-/// How long a watch may be held open.
+/// How long a long poll may be held open.
 const LONG_POLL: Duration = Duration::from_secs(20);
-/// How much later its answer may come; one that need not wait comes at once. What a silent watch missed counts as told 2 s
-/// after its wait: it is known to be silent before.
+/// How much later its answer may come; one that need not wait comes at once. A change that a silent watch
+/// missed binds 2 s after its wait: by then the watch is known to be silent.
 const LONG_POLL_SLACK: Duration = Duration::from_millis(1_500);
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// One of more bytes takes a millisecond and more to read.
+/// A longer list takes a millisecond and more to parse.
 const LONG_LIST: usize = 128 << 10;
 
-/// Guards turns against the time that a long list takes to read: another thread does it.
+/// Parses a list, a long one on another thread: guards iterations against the time that it takes.
 async fn read_list(body: Bytes) -> Option<EndpointList> {
     if body.len() <= LONG_LIST {
         return serde_json::from_slice(&body).ok();
@@ -34,9 +34,9 @@
     tokio::task::spawn_blocking(move || serde_json::from_slice(&body).ok()).await.ok().flatten()
 }
 
-/// Watches the list from the version that is known, or the whole of it, for as long as the process runs. What is known is good
-/// for some time, if that was told. Where discovery moves,
-/// it begins anew with the whole list there: versions of two places must not mix.
+/// Watches the list from a known version, or from the full list, for as long as the process runs. A known
+/// list may be good for some time. Where discovery moves, the watch begins anew with the full list there:
+/// versions of two places must not mix.
 pub async fn watch_endpoints(
     mut discovery: Receiver<SocketAddr>,
     known: Option<u64>,
--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -1,4 +1,4 @@
-//! What on-call staff ask of the driver.
+//! Administrative requests.
 
 use admin::call::AdminRequest;
 use admin::door::AdmissionGate;
@@ -14,7 +14,7 @@
 use crate::ports::AdminResponse;
 
 impl EventLoop {
-    /// What on-call staff ask for. A no changes nothing.
+    /// Carries out an administrative request. One that is refused changes nothing.
     pub(super) fn handle_admin_request(
         &mut self,
         call: AdminRequest,
@@ -55,7 +55,7 @@
                     Ok(held_out) => held_out,
                     Err(refused) => return told(refused.status(), refused.text()),
                 };
-                // Before the yes: it holds for the next process too.
+                // Before the answer: it holds for the next process too.
                 if held_out != *self.directory.held_out()
                     && let Err(e) = ejections::write(&self.state_folder, &held_out)
                 {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Who is there, what is believed of each destination and why, and what is lent.
+/// Membership, what is believed of each destination and why, and transferred quota.
 fn show_shared(shared: &Gossip, now: Micros) -> String {
     let age = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
     let (said, rejected) = shared.traffic();
--- a/crates/sender/src/event_loop/messages.rs
+++ b/crates/sender/src/event_loop/messages.rs
@@ -13,8 +13,9 @@
     pub(super) fn accept_submission(&mut self, message: Submission, events: &mut Vec<Event>) {
         let Submission { message: taken, class, request, answer } = message;
         if let Some((number, by)) = self.pending_by_id.get_mut(&taken.id) {
-            // The client did not hear that it is taken on, and says it once more. Guards what it is told now against the
-            // end of its earlier connection, which may show later: no request can take the message back any more.
+            // The client did not receive its answer and submits once more. Guards the new answer against the
+            // end of the earlier connection, which may show later: no request can withdraw the message any
+            // more.
             *by = NO_REQUEST;
             match self.submissions.get_mut(number) {
                 Some(fresh) => fresh.waiters.push((request, answer)),
@@ -22,13 +23,14 @@
             }
             return;
         }
-        // Guards the room against messages that nobody takes: a new destination's first list may be on its way.
+        // Guards capacity against messages that nobody accepts: a new destination's first list may be on its
+        // way.
         if !self.directory.names_destination(taken.destination) {
             self.outcome_counts.count(&taken.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(RETRY_AFTER_UNLISTED));
             return;
         }
-        // Guards an effect against a second copy by the same id: how it ended is told, and it is not sent again.
+        // Guards against a second effect under the same id: the recorded outcome is the answer.
         if self.journal.retains(&taken.class)
             && let Some(end) = self.journal.ledger_entry(&taken.id, self.clock.now())
         {
@@ -53,13 +55,13 @@
             .insert(number, PendingSubmission { message: taken, waiters: vec![(request, answer)] });
     }
 
-    /// A number that no message has; none while the cores' journal is another process's.
+    /// A message number that is not in use; none while another process has the shards' journal.
     fn number(&mut self) -> Option<u32> {
         if let JournalStore::Sharded(part) = &mut self.journal {
             return part.next_message_number().ok();
         }
         let mut number = self.next_message;
-        // Guards a message that has lived through all numbers against another under its own.
+        // Guards a message that has outlived all other numbers against another under its own.
         while self.journal.live().contains_key(&number) || self.submissions.contains_key(&number) {
             number = number.wrapping_add(1);
         }
@@ -67,7 +69,7 @@
         Some(number)
     }
 
-    /// A withdrawal belongs to its own request: guards a message against another client that used its id.
+    /// Withdraws a message by its own request: guards it against another client that used its id.
     pub(super) fn withdraw(&mut self, id: &str, request: u64, events: &mut Vec<Event>) {
         let Some((number, taken_by)) = self.pending_by_id.get(id).copied() else { return };
         if let Some(fresh) = self.submissions.get_mut(&number) {
@@ -89,7 +91,7 @@
         let number = end.message.0;
         let live = self.journal.live().get(&number);
         let owed = live.filter(|live| live.abandoned.is_none()).map(|live| live.message.clone());
-        // Over already, or given up: what comes now changes nothing.
+        // Completed or abandoned already: this outcome changes nothing.
         let mut terminal = true;
         if let Some(taken) =
             owed.filter(|taken| self.pending_by_id.get(&taken.id).is_some_and(|held| held.0 == number))
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Nothing more is owed to a message. What must not take effect again, and may have, is remembered where the
-    /// installation keeps a ledger; what was handed back unseen may come again.
+    /// Nothing more is owed to a message. What must not take effect again, and may have, goes into the ledger
+    /// where there is one; what was rejected may be submitted again.
     pub(super) fn complete(&mut self, number: u32, delivered: bool) {
         if let Some(live) = self.journal.live().get(&number)
             && self.journal.retains(&live.message.class)
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -1,4 +1,4 @@
-//! What a process begins with, and what it leaves to the next one.
+//! What a process starts with, and what it leaves to its successor.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -17,7 +17,7 @@
 use crate::persistence::snapshot::initial_list;
 
 impl EventLoop {
-    /// What another process knew, with what is in the journal that it gave up.
+    /// Resumes with a predecessor's state and the journal that it released.
     pub(super) fn resume_from_predecessor(&mut self, state: HandoverState) -> Vec<Event> {
         let HandoverState {
             endpoints,
@@ -53,7 +53,7 @@
                 None => drop(kept.insert(*number)),
             }
         }
-        // Guards against a module and a journal that don't agree: the journal is what binds.
+        // Where module and journal disagree, the journal binds.
         let of_module = self.policy.messages();
         let mut events: Vec<_> =
             of_module.iter().filter(|id| !kept.contains(&id.0)).map(|id| Event::Withdrawn(*id)).collect();
@@ -67,7 +67,7 @@
         events
     }
 
-    /// Whether another process may take over now: all that is said is written, and nothing is left of the one before.
+    /// Whether a successor may take over now: all records are written, and nothing of a predecessor is left.
     pub(super) fn can_hand_over(&self) -> bool {
         let written = self.unwritten_records.is_empty()
             && self.pending_notifications.is_empty()
@@ -76,7 +76,7 @@
         written && alone && !self.directory.has_pending() && self.has_all_destinations()
     }
 
-    /// All that the journal does not hold.
+    /// All state that the journal does not hold.
     pub(super) fn handover_state(&self, requests: u64) -> Result<HandoverState, String> {
         let (endpoints, ids, given) = self.directory.save();
         let held = self.pending_by_id.iter().map(|(id, (number, request))| (id.clone(), *number, *request));
@@ -91,7 +91,7 @@
                     .collect();
                 (self.next_message, outs)
             }
-            // Those on connections of other cores too.
+            // Those on connections of other shards too.
             JournalStore::Sharded(part) => (part.next_number(), self.policy.out()),
         };
         let standby = match *self.gate.borrow() {
@@ -116,8 +116,8 @@
         })
     }
 
-    /// The list as last known, what an earlier process learnt, and what it left in the journal. Tells the version to watch the
-    /// list from, if the whole of it need not be asked for.
+    /// Starts with the endpoint list as last known, the health snapshot, and the journal. Returns the version
+    /// to watch the list from; none where the full list has to be fetched.
     pub(super) fn recover(
         &mut self,
         known: EndpointList,
@@ -131,7 +131,7 @@
         self.list_confirmed_at = (now + belief.list.good_for).saturating_sub(LIST_GOOD_FOR);
         let mut events = vec![self.apply_list(&EndpointList { snapshot: true, ..list })];
         events.extend(self.restore_snapshot(belief));
-        // A wait that the process before was told binds this one too.
+        // A Retry-After that the predecessor was sent binds this process too.
         for (name, until) in waits {
             let endpoint = self.directory.listed_id(&name).filter(|_| until > now);
             events.extend(endpoint.map(|endpoint| Event::RetryAfter { endpoint, wait: until - now }));
@@ -153,7 +153,7 @@
             }
             let given_up = match live.abandoned {
                 Some(how) => how,
-                // Its class is not one of the settings' any more, so that the module can't judge it.
+                // Its class is not in the settings any more: the module cannot decide on it.
                 None if !live.may_have_run() => Abandonment::Deferred(0),
                 None => Abandonment::Undeliverable,
             };
@@ -164,13 +164,12 @@
         (events, from)
     }
 
-    /// A message that an earlier process took on, as the journal has it; none where its class is not one of the
-    /// settings' any more.
+    /// A message that an earlier process accepted, as the journal has it; none where its class is not in the
+    /// settings any more.
     fn recovered_event(&mut self, number: u32, live: &PendingMessage, set_back: bool) -> Option<Event> {
         let now = self.iteration_time;
         let class = self.directory.class(&live.message.class)?;
-        // Guards against a repeat outside the time for which it would be dropped: an age that is not known is beyond
-        // any such time.
+        // Guards against a retry after the idempotency window: an unknown age is beyond any window.
         let ago = |at: Micros| if set_back { now } else { now.saturating_sub(at) };
         let ran = live.attempts.iter().filter(|attempt| !attempt.never_ran);
         let may_have_run =
--- a/crates/sender/src/event_loop/recovery_report.rs
+++ b/crates/sender/src/event_loop/recovery_report.rs
@@ -1,25 +1,25 @@
-//! What becomes of messages that an earlier process took on and never tried: they were taken on in order to be delivered, so
-//! each gets a call as long as there is time. Counted here, and said once; nothing is decided.
+//! What becomes of messages that an earlier process accepted and never attempted: each gets a call as long as
+//! there is time. Counted here and logged once; nothing is decided.
 
 use std::collections::HashSet;
 
 use decision::interface::{Micros, Settings};
 
-/// Why one ended without a call.
+/// Why a message ended without a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum UncalledReason {
-    /// Its time was up.
+    /// It expired.
     Expired,
-    /// It made way, or its destination is not expected back within its time.
+    /// It was abandoned early: shed, or its destination is not expected back in time.
     Abandoned,
-    /// Its class is not one of the settings' any more.
+    /// Its class is not in the settings any more.
     UnknownClass,
 }
 
-/// What the process before left untried.
+/// Counts of the messages that a restart found unattempted.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryReport {
-    /// What is left of a message's time when it has to be answered, at most.
+    /// A message that is abandoned with no more time than this has expired.
     expiry_margin: Micros,
     unattempted: HashSet<u32>,
     resumed: usize,
@@ -29,12 +29,12 @@
 }
 
 impl RecoveryReport {
-    /// None yet.
+    /// A report without any message.
     pub(super) fn new(settings: &Settings) -> Self {
         Self { expiry_margin: settings.rules.answer_slack.max(2 * settings.period), ..Self::default() }
     }
 
-    /// The module gives one up that has so much time left.
+    /// The module abandons one with so much time left.
     pub(super) fn abandoned(&mut self, number: u32, left: Micros) {
         self.completed(
             number,
@@ -42,23 +42,23 @@
         );
     }
 
-    /// One is taken up.
+    /// A message is recovered unattempted.
     pub(super) fn resumed(&mut self, number: u32) {
         self.resumed += 1;
         self.unattempted.insert(number);
     }
 
-    /// A call begins.
+    /// A call starts.
     pub(super) fn called(&mut self, number: u32) {
         self.called += usize::from(self.unattempted.remove(&number));
     }
 
-    /// One ended.
+    /// A message ended without a call.
     pub(super) fn completed(&mut self, number: u32, why: UncalledReason) {
         self.uncalled[why as usize] += usize::from(self.unattempted.remove(&number));
     }
 
-    /// What became of them, once, when it is known of all.
+    /// The summary, once, when all messages are accounted for.
     pub(super) fn take_summary(&mut self) -> Option<String> {
         if self.reported || self.resumed == 0 || !self.unattempted.is_empty() {
             return None;
--- a/crates/sender/src/event_loop/shard/admin_broadcast.rs
+++ b/crates/sender/src/event_loop/shard/admin_broadcast.rs
@@ -12,7 +12,7 @@
 use crate::shards::ShardMessage;
 
 impl EventLoop {
-    /// Tells the other cores who is held out; the answer comes once each has done it.
+    /// Tells the other shards who is ejected; each answers once it has applied that.
     fn eject_everywhere(&self, held_out: &Ejections) -> Vec<oneshot::Receiver<()>> {
         let Some(member) = &self.shard else { return Vec::new() };
         let tell = |core| {
@@ -23,7 +23,7 @@
         member.others().map(tell).collect()
     }
 
-    /// Answers on-call staff; a yes to what binds all cores comes once it does.
+    /// Answers an administrative request; one that binds all shards once it does.
     pub(in crate::event_loop) fn answer_staff(
         &mut self,
         call: AdminRequest,
@@ -54,7 +54,7 @@
         });
     }
 
-    /// On-call staff want a destination on another core.
+    /// Asks for a destination to migrate to another shard.
     pub(in crate::event_loop) fn request_migration(&mut self, destination: u16, core: u8) -> AdminResponse {
         let told = |status, text: &str| AdminResponse { status, text: text.to_owned() };
         let to = ShardId(core);
--- a/crates/sender/src/event_loop/shard/figures.rs
+++ b/crates/sender/src/event_loop/shard/figures.rs
@@ -9,7 +9,7 @@
 use crate::shards::Figures;
 
 impl EventLoop {
-    /// Shows what this core counts. Guards turns against figures that take a look at all endpoints: once in a while.
+    /// Publishes what this shard counts; now and then, since some figures take a look at all endpoints.
     pub(super) fn publish_figures(&mut self, now: Micros) {
         let Some(member) = self.shard.as_mut().filter(|member| member.publish_at <= now) else { return };
         member.publish_at = now + PUBLISH_INTERVAL;
@@ -21,7 +21,7 @@
         );
     }
 
-    /// The figures of all cores.
+    /// The figures of all shards together.
     pub(in crate::event_loop) fn combined_figures(&self) -> (OutcomeCounts, Gauges) {
         let Some(member) = &self.shard else { return (self.outcome_counts.clone(), self.figures()) };
         let all = member.group().figures();
@@ -38,7 +38,7 @@
         (ends, now)
     }
 
-    /// The figures of each core, as text.
+    /// The figures of each shard, as text.
     pub(in crate::event_loop) fn figures_by_shard(&self) -> String {
         use std::fmt::Write;
         let Some(member) = &self.shard else { return String::new() };
--- a/crates/sender/src/event_loop/shard/leases.rs
+++ b/crates/sender/src/event_loop/shard/leases.rs
@@ -5,7 +5,7 @@
 use crate::event_loop::EventLoop;
 
 impl EventLoop {
-    /// Asks for what this turn needs of what belongs to the whole process, before the module decides.
+    /// Leases what this iteration needs of what belongs to the whole process, before the module decides.
     pub(in crate::event_loop) fn update_leases(&mut self, events: &mut Vec<Event>) {
         let Some(member) = &mut self.shard else { return };
         let come = events
@@ -13,7 +13,7 @@
             .filter(|event| matches!(event, Event::Accepted(_) | Event::Recovered { .. }))
             .count();
         let (held, out, waiting) = (self.policy.held(), self.policy.calls_out(), self.policy.waiting());
-        // The module begins to shed a sixteenth ahead of its room.
+        // The module begins to shed load a sixteenth ahead of its capacity.
         let room_for = (held + come) * 16 / 15 + 2;
         let used: usize = self.directory.carriers().iter().map(|carrier| carrier.connections()).sum();
         let (slots, messages, connections) = {
--- a/crates/sender/src/event_loop/shard/messages.rs
+++ b/crates/sender/src/event_loop/shard/messages.rs
@@ -12,9 +12,10 @@
 use crate::shards::{BUSY_AGAIN, ShardMessage};
 
 impl EventLoop {
-    /// Takes in what other cores said. Guards the one owner of each destination in this order, which the package `cores`
-    /// checks in all interleavings: the owners are read, then all that came is taken, parcels first, and only then is
-    /// anything judged by those owners. So what is this core's by them is here, and all else is sent on.
+    /// Receives the other shards' messages. Guards the one owner of each destination by this order, which the
+    /// package `sharding` checks in all interleavings: the ownership map is read, then all messages are
+    /// taken, migrations first, and only then is anything judged by that map. So what is this shard's by the
+    /// map is here, and all else is forwarded.
     pub(in crate::event_loop) fn receive_shard_messages(
         &mut self,
         fronts: &[Rc<dyn Frontend>],
@@ -70,7 +71,7 @@
             ShardMessage::MaxConnections(most) => {
                 fronts.iter().for_each(|front| front.set_max_clients(most));
                 if member.owners.all_gathered() {
-                    // Another process calls from now on: what stands idle is closed.
+                    // Another process calls from now on: idle connections are closed.
                     self.directory.carriers().iter().for_each(|carrier| carrier.set_max_connections(0));
                 }
             }
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Discovery moved, for this core and, where it is the first, for all.
+    /// Discovery moved, for this shard and, where it is the first, for all.
     pub(in crate::event_loop) fn discovery_is_at(&mut self, address: SocketAddr) {
         self.discovery.send_if_modified(|at| std::mem::replace(at, address) != address);
         if let Some(member) = self.shard.as_ref().filter(|member| member.id() == ShardId(0)) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// A wait that an endpoint told, which no list need name any more: then it is its destination's.
+    /// A Retry-After of an endpoint that no list need name any more: then it is its destination's.
     fn wait(&self, destination: u16, name: &str, wait: Micros) -> Event {
         match self.directory.listed_id(name) {
             Some(endpoint) => Event::RetryAfter { endpoint, wait },
@@ -174,7 +175,7 @@
                     None => Some(Inbound::Event(Event::RetryAfter { endpoint, wait })),
                 }
             }
-            // What one core hears for all.
+            // What the first shard receives for all.
             Inbound::EndpointsUpdated(list) if member.id() == ShardId(0) => {
                 member.others().for_each(|core| member.handle.send(core, ShardMessage::Listed(list.clone())));
                 Some(Inbound::EndpointsUpdated(list))
@@ -195,7 +196,7 @@
         }
     }
 
-    /// A call begins on a connection of this core.
+    /// An attempt starts on a connection of this shard.
     pub(in crate::event_loop) fn record_attempt(
         &mut self,
         message: MessageId,
@@ -207,7 +208,7 @@
         }
     }
 
-    /// An attempt of this core's module is called off, wherever its connection is.
+    /// Cancels an attempt of this shard's module, wherever its connection is.
     pub(in crate::event_loop) fn cancel_attempt(&self, message: MessageId, attempt: u16) {
         if let Some(member) = &self.shard {
             let at = member.router.connection((message.0, attempt));
@@ -218,7 +219,7 @@
         self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
     }
 
-    /// What is left to do once a turn is over: what it came to is shown, and destinations go.
+    /// Ends an iteration: its figures are published, and migrations go on.
     pub(in crate::event_loop) fn finish_iteration(&mut self) {
         for done in self.iteration_waiters.drain(..) {
             let _ = done.send(());
--- a/crates/sender/src/event_loop/shard/migration.rs
+++ b/crates/sender/src/event_loop/shard/migration.rs
@@ -11,7 +11,7 @@
 use crate::shards::{MigratedDestination, ShardMessage};
 
 impl EventLoop {
-    /// Says once in a while which destination should go where, on the first core.
+    /// Plans now and then which destination should migrate, on the first shard.
     pub(super) fn plan_migrations(&mut self, now: Micros) {
         let Some(member) = &mut self.shard else { return };
         let Some((planner, at)) = member.planner.as_mut().filter(|planner| planner.1 <= now) else { return };
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Parts with what was told to go, as soon as it can be.
+    /// Detaches the destination that is to migrate, as soon as it can be.
     pub(super) fn run_pending_migration(&mut self, now: Micros) {
         let Some(member) = &mut self.shard else { return };
         if let Some(PendingMigration { destination, to, deadline: until }) = member.pending_migration.take() {
@@ -72,8 +72,8 @@
         self.gather_on_first_shard();
     }
 
-    /// Gives all that this core has to the first, which is to hand over: what it knows first, and then what it never heard
-    /// of, by one change of the owners.
+    /// Migrates all that this shard has to the first, which is to hand over: what it knows first, and then,
+    /// by one change of the ownership map, what it never heard of.
     fn gather_on_first_shard(&mut self) {
         let Some(member) = self.shard.as_ref().filter(|member| member.gathering) else { return };
         let owners = member.group().owners();
@@ -89,22 +89,23 @@
         }
     }
 
-    /// Whether all that other cores had is here, so that another process can be told.
+    /// Whether all that other shards had is here, so that a successor can be told.
     pub(in crate::event_loop) fn has_all_destinations(&self) -> bool {
         self.shard
             .as_ref()
             .is_none_or(|member| member.owners.all_gathered() && member.pending_migration.is_none())
     }
 
-    /// The others are to give this core all that they have.
+    /// Asks the other shards to migrate all that they have here.
     pub(in crate::event_loop) fn request_gather(&mut self) {
         let Some(member) = &self.shard else { return };
         member.others().for_each(|core| member.handle.send(core, ShardMessage::Gather));
     }
 
-    /// Parts with a destination, if that can be now.
+    /// Detaches a destination, if that can be now.
     fn detach_destination(&mut self, destination: u16, to: ShardId) -> bool {
-        // Guards what is written or said half: a message that was given up stays until its notice is kept.
+        // Guards what is written or sent in part: an abandoned message stays until its notification is
+        // acknowledged.
         let given_up = |live: &journal::PendingMessage| {
             live.message.destination == destination && live.abandoned.is_some()
         };
@@ -146,7 +147,7 @@
         let bundle =
             MigratedDestination { parcel, names, messages: lives, requests: held, attempts, connections };
         match member.handle.send_now(to, ShardMessage::Migrate(Box::new(bundle))) {
-            // Behind the parcel: whoever reads the new owner finds the parcel there.
+            // Behind the migrated state: whoever reads the new owner finds the state there.
             Ok(()) => {
                 member.detached += 1;
                 member.publish_at = 0;
@@ -170,14 +171,14 @@
         }
     }
 
-    /// Goes on with a destination that another core parted with.
+    /// Goes on with a destination that another shard detached.
     pub(super) fn attach_destination(&mut self, bundle: MigratedDestination) {
         let MigratedDestination { parcel, names, messages: lives, requests: held, attempts, connections } =
             bundle;
         let Some(member) = &mut self.shard else { return };
         let mut ids = BTreeMap::new();
         for (id, name) in names {
-            // One that its own core has no name for any more is like no other here.
+            // One that its own shard has no name for any more is like no other here.
             let stray = || format!("?{id:?} of core {}", member.id().0);
             let ours = match name.is_empty() {
                 true => self.directory.id_of_attempt(&stray()),
--- a/crates/sender/src/event_loop/snapshot.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -1,4 +1,4 @@
-//! What was learnt of partners, between the module and what is kept of it.
+//! The health snapshot: what the event loop restores from it, and what it writes to it.
 
 use decision::interface::*;
 use health_snapshot::belief::RestoredState;
@@ -7,7 +7,7 @@
 use crate::persistence::snapshot::SnapshotSource;
 
 impl EventLoop {
-    /// What an earlier process learnt, as far as it is believed: to be told behind the list.
+    /// The events that restore an earlier process's snapshot; they follow the endpoint list.
     pub(super) fn restore_snapshot(&self, belief: &RestoredState) -> Vec<Event> {
         belief.warnings.iter().for_each(|told| eprintln!("known: {told}"));
         let mut events: Vec<_> = belief
@@ -15,7 +15,8 @@
             .iter()
             .map(|believed| {
                 let destination = DestinationId(believed.destination);
-                // One that is not listed leaves its wait to the destination, under an id that no list has.
+                // One that is not listed leaves its Retry-After to the destination, under an id that no list
+                // has.
                 let unlisted = EndpointId([u8::MAX; 6]);
                 let id = |name: &String| self.directory.listed_id(name).unwrap_or(unlisted);
                 let route = (destination, believed.endpoint.as_ref().map(id));
@@ -26,7 +27,7 @@
         events
     }
 
-    /// Notes what a turn may have taught, before the module decides.
+    /// Marks the destinations whose health these events may change, before the module decides.
     pub(super) fn record_observations(&mut self, events: &[Event]) {
         if self.snapshot_store.is_none() {
             return;
@@ -59,21 +60,21 @@
         }
     }
 
-    /// A call goes to an endpoint: what goes to a cold partner is known to the next process.
+    /// Marks the destination of a call: calls to a cold one count for the next process.
     pub(super) fn record_call(&mut self, endpoint: EndpointId) {
         if self.snapshot_store.is_some() {
             self.touched_destinations.extend(self.directory.destination(endpoint));
         }
     }
 
-    /// Writes what is due of what is known, once answers and calls are out and the journal had its turn.
+    /// Writes what is due of the snapshot, after answers, calls and the journal.
     pub(super) fn write_snapshot(&mut self) {
         let Some(memory) = &mut self.snapshot_store else { return };
         let now = self.clock.now();
         self.touched_destinations.sort_unstable();
         self.touched_destinations.dedup();
         self.touched_destinations.drain(..).for_each(|destination| memory.mark_touched(destination, now));
-        // A list that is half taken in has no version.
+        // A list that is applied in part has no version.
         if self.directory.has_pending() {
             return;
         }
@@ -83,7 +84,7 @@
         self.journal.set_reserved_bytes(memory.used());
     }
 
-    /// Guards what is owed to messages: what is known makes room for it. Tells whether there was any to make.
+    /// Releases the snapshot's disk space for the journal, which goes first. Returns whether there was any.
     pub(super) fn release_snapshot_space(&mut self) -> bool {
         let Some(memory) = self.snapshot_store.as_mut().filter(|memory| memory.used() > 0) else {
             return false;
--- a/crates/sender/src/gossip_socket.rs
+++ b/crates/sender/src/gossip_socket.rs
@@ -1,4 +1,4 @@
-//! Notes between senders: datagrams that may be lost.
+//! Gossip between senders: datagrams that may be lost.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use crate::config::Config;
 use crate::ports::Inbound;
 
-/// A longer note is not sent.
+/// A longer message is not sent.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// The way to the other senders.
+/// The socket to the other senders.
 pub struct GossipSocket {
     socket: Rc<UdpSocket>,
     peers: Vec<SocketAddr>,
@@ -24,7 +24,7 @@
 }
 
 impl GossipSocket {
-    /// Listens for notes, where the deployment has them.
+    /// Binds the socket, where the deployment has one.
     ///
     /// # Errors
     /// Fails when the address cannot be listened on.
@@ -55,13 +55,13 @@
         Ok(Some(Self { socket, peers: config.peers.clone(), all: config.peers_all, receiving: task }))
     }
 
-    /// Gives the address up; it is free once this returns.
+    /// Closes the socket; its address is free once this returns.
     pub async fn close(self) {
         self.receiving.abort();
         let _ = self.receiving.await;
     }
 
-    /// Sends a note to one sender, or to all; it may be lost.
+    /// Sends a message to one sender, or to all; it may be lost.
     pub fn send(&self, to: Option<u16>, content: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.get(usize::from(rank)).copied(),
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -1,5 +1,5 @@
-//! The two sides of a hand-over, over a socket in the folder that lasts. What is said and when stands in the package
-//! `handover`; here it is carried out.
+//! The two sides of a hand-over, over a socket in `NODE_STATE`. The package `handover` says what is sent and
+//! when; here it is carried out.
 
 pub mod socket;
 
@@ -29,9 +29,9 @@
 };
 
 const SOCKET: &str = "successor";
-/// Who connects and does not ask within this time is sent away.
+/// A peer that connects and does not ask within this time is disconnected.
 const ASK_WITHIN: Duration = Duration::from_millis(500);
-/// An old process looks so often whether it has nothing left to carry.
+/// Between two looks of a predecessor at whether it has nothing left to carry.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The socket's name by way of the open folder: a path to a socket may have a hundred bytes only.
@@ -39,7 +39,7 @@
     Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(SOCKET)
 }
 
-/// Listens for a process that is started beside this one. Only who holds the journal's lock does.
+/// Listens for a successor. Only the holder of the journal's lock does.
 ///
 /// # Errors
 /// Fails when the socket can't be made.
@@ -68,16 +68,16 @@
     Ok(listening.abort_handle())
 }
 
-/// The process that holds the folder, where one listens.
+/// Connects to the process that holds the folder, where one listens.
 pub async fn connect(state: &Path) -> Option<HandoverLink> {
     let folder = File::open(state).ok()?;
     Some(HandoverLink::of(UnixStream::connect(name(&folder)).await.ok()?))
 }
 
-/// Asks it for its state.
+/// Asks the predecessor for its state.
 ///
 /// # Errors
-/// Fails when the other process breaks off, or says something else.
+/// Fails when the predecessor breaks off, or sends something else.
 pub async fn request_takeover(mut link: HandoverLink) -> Result<(HandoverLink, HandoverState), String> {
     link.send(&ToPredecessor::RequestTakeover).await?;
     match link.receive().await? {
@@ -86,11 +86,11 @@
     }
 }
 
-/// Tells the process before that the journal is taken. Where its state is not understood, waits until nothing of its
-/// is out any more.
+/// Tells the predecessor that the journal is taken. Where its state is not understood, waits until it has
+/// nothing in flight.
 ///
 /// # Errors
-/// Fails when the other process breaks off.
+/// Fails when the predecessor breaks off.
 pub async fn confirm_takeover(link: &mut HandoverLink, understood: bool) -> Result<(), String> {
     link.send(&ToPredecessor::TookOver { understood }).await?;
     if understood {
@@ -102,7 +102,7 @@
     }
 }
 
-/// Tells a process that asked the state, and hears whether it took over, and whether it understood.
+/// Sends the state to the successor, and returns whether it understood, once it took over.
 ///
 /// # Errors
 /// Fails when it did not take over, as far as is known.
@@ -119,7 +119,7 @@
     }
 }
 
-/// What an old process still has.
+/// What a predecessor still has.
 pub struct CarriedConnections {
     /// The time.
     pub clock: Clock,
@@ -127,9 +127,9 @@
     pub fronts: Vec<Rc<dyn Frontend>>,
     /// Calls.
     pub carriers: Vec<Rc<dyn Transport>>,
-    /// Tells the fronts whether clients may come.
+    /// Tells the frontends whether clients are admitted.
     pub door: watch::Sender<AdmissionGate>,
-    /// The figures as they were.
+    /// The outcomes so far.
     pub ends: admin::figures::OutcomeCounts,
 }
 
@@ -147,10 +147,10 @@
     }
 }
 
-/// Carries what an old process still has to its end, on behalf of the one that decides now.
+/// Carries what a predecessor still has to its end, on behalf of the successor.
 ///
 /// # Errors
-/// Fails when the new process is gone: what is out may have run, as the journal has it.
+/// Fails when the successor is gone: what is in flight may have run, as the journal has it.
 pub async fn carry(
     link: HandoverLink,
     understood: bool,
@@ -188,7 +188,7 @@
                     Some(Inbound::Withdrawn { id, request, destination }) => {
                         ToSuccessor::Withdrawn { id, request, destination }
                     }
-                    // Calls that were called off for a process that does not know of them.
+                    // Calls that were cancelled for a successor that does not know of them.
                     Some(Inbound::CallCompleted(_)) if !understood => continue,
                     Some(Inbound::CallCompleted(over)) => ToSuccessor::CallCompleted(over),
                     Some(Inbound::Event(Event::RetryAfter { endpoint, wait })) => ToSuccessor::RetryAfter(endpoint, wait),
@@ -249,21 +249,21 @@
     }
 }
 
-/// The old process, as what has calls out for the new one.
+/// The predecessor, as a transport with calls in flight for its successor.
 pub struct Predecessor {
     outs: RefCell<OutstandingAttempts>,
     say: UnboundedSender<ToPredecessor>,
-    /// It is still there.
+    /// It is still running.
     there: Cell<bool>,
 }
 
 impl Predecessor {
-    /// Whether nothing is left of the old process.
+    /// Whether nothing of the predecessor is left.
     pub fn is_gone(&self) -> bool {
         !self.there.get()
     }
 
-    /// Hears the old process from now on, until it is gone.
+    /// Follows the predecessor from now on, until it is gone.
     pub fn follow(
         link: HandoverLink,
         out: Vec<(MessageId, u16, EndpointId)>,
@@ -348,7 +348,7 @@
 
     fn forget(&self, _: EndpointId) {}
 
-    /// Nothing is placed here, so that nothing is started here.
+    /// No address is known here, so that no call starts here.
     fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
 
     fn cancel(&self, message: MessageId, attempt: u16) {
--- a/crates/sender/src/hand_over/socket.rs
+++ b/crates/sender/src/hand_over/socket.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::JoinHandle;
 
-/// The two processes' connection.
+/// The connection of predecessor and successor.
 #[derive(Debug)]
 pub struct HandoverLink {
     reader: OwnedReadHalf,
@@ -17,13 +17,13 @@
 }
 
 impl HandoverLink {
-    /// Of a socket that the two have between them.
+    /// Over a socket that is connected.
     pub fn of(stream: UnixStream) -> Self {
         let (reader, writer) = stream.into_split();
         Self { reader, writer }
     }
 
-    /// Says one thing.
+    /// Sends one message.
     ///
     /// # Errors
     /// Fails when the other side is gone.
@@ -32,16 +32,16 @@
         self.writer.write_all(&frame).await.map_err(|e| e.to_string())
     }
 
-    /// Hears one thing.
+    /// Receives one message.
     ///
     /// # Errors
-    /// Fails when the other side is gone, or says something else.
+    /// Fails when the other side is gone, or sends something else.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T, String> {
         receive(&mut self.reader).await
     }
 
-    /// Both ways as channels. What waits to be written is bounded by clients' connections and calls that are out. The
-    /// task ends once all that was said is written.
+    /// Both directions as channels. What waits to be written is bounded by clients' connections and calls in
+    /// flight. The task ends once all is written.
     pub fn split<Out: Serialize + 'static, In: DeserializeOwned + 'static>(
         self,
     ) -> (UnboundedSender<Out>, UnboundedReceiver<In>, JoinHandle<()>) {
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -18,16 +18,17 @@
 use crate::platform_client::ask;
 use crate::ports::{Inbound, MAX_BODY_BYTES};
 
-/// Rest before a failed notice is sent again.
+/// Wait before a failed notification is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How long a notice may take; it is sent again after that.
+/// A notification that is not acknowledged within this time is sent again.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// After that time it goes over a second connection too. The platform answers at once, and a message's end is owed to it within
-/// 300 ms: guards that against a kept connection that has fallen silent. The first is not given up for it: one that
-/// comes up late may still be the sooner.
+/// After this time the request is hedged: sent over a second connection too. The platform answers at once,
+/// and is owed a message's outcome within 300 ms: guards that against a kept connection that has fallen
+/// silent. The first request is not dropped: one that comes up late may still be the sooner.
 const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// One request to the platform that does no harm if it comes twice: over a second connection too where the first takes long.
+/// One request to the platform that does no harm if it arrives twice: hedged over a second connection where
+/// the first takes long.
 async fn ask_hedged(
     kept: &mut Option<Connection>,
     address: SocketAddr,
@@ -54,7 +55,7 @@
     answer
 }
 
-/// A message's end that the platform is owed.
+/// The final outcome of a message, which the platform is owed.
 #[derive(Debug)]
 pub struct Notification {
     /// The message.
@@ -84,7 +85,7 @@
     line
 }
 
-/// Sends notices, each until the platform has it, wherever that is by then.
+/// Sends notifications, each until the platform has acknowledged it, wherever that is by then.
 pub async fn send_all(
     mut discovery: Receiver<SocketAddr>,
     mut notices: UnboundedReceiver<Notification>,
@@ -139,7 +140,7 @@
                     return;
                 }
             }
-            // One line that can't be read must not keep the others back.
+            // One line that can't be parsed must not hold the others back.
             Ok(Ok((StatusCode::BAD_REQUEST, _))) if told.len() > 1 => most = 1,
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
                 eprintln!("the platform does not read a notice; dropped");
--- a/crates/sender/src/persistence/class_idempotency.rs
+++ b/crates/sender/src/persistence/class_idempotency.rs
@@ -1,5 +1,5 @@
-//! What repeating a message of each class does to what is in the journal, in the folder that outlasts the process: the journal
-//! keeps a class's name, and the next process's settings may mean something else by it.
+//! The idempotency that each class was recorded with: the journal keeps a class's name, and the next
+//! process's settings may mean something else by it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -10,16 +10,16 @@
 
 const FILE: &str = "classes";
 const NEW: &str = "classes.new";
-/// Bytes that the file may have.
+/// Most bytes of the file.
 const MAX_BYTES: usize = 8 * 1024;
 /// The disk counts whole blocks.
 const BLOCK: u64 = 512;
 
-/// Effects of classes, by their names.
+/// Idempotency by class name.
 pub type ClassIdempotency = BTreeMap<String, Idempotency>;
 
-/// What binds messages that are held, of these classes: the stricter of what they were taken on under and what the settings
-/// say now. One whose class was never written down is bound by the settings alone, as in the versions before.
+/// What binds pending messages of these classes: the stricter of what they were accepted under and what the
+/// settings say now. A class that was never recorded is bound by the settings alone, as in earlier versions.
 pub fn merged(
     before: &ClassIdempotency,
     now: &ClassIdempotency,
@@ -32,7 +32,8 @@
     now.iter().map(joined).collect()
 }
 
-/// What is kept free on the disk for classes of these names, in whole blocks. While the file is written anew there are two.
+/// Disk space to reserve for classes of these names, in whole blocks. While the file is replaced there are
+/// two.
 pub fn reserved<'a>(names: impl Iterator<Item = &'a str>) -> u64 {
     let widest = Idempotency::Keyed { scope: IdempotencyScope::Endpoint, window: Micros::MAX };
     let all: ClassIdempotency = names.map(|name| (name.to_owned(), widest)).collect();
@@ -40,10 +41,10 @@
     2 * (length as u64).next_multiple_of(BLOCK)
 }
 
-/// Reads what the last process wrote; without a file nothing is known.
+/// Reads what the last process wrote; empty without a file.
 ///
 /// # Errors
-/// Fails when the file can't be read: tells why.
+/// Fails when the file can't be read or parsed; the text says why.
 pub fn read(state: &Path) -> Result<ClassIdempotency, String> {
     let path = state.join(FILE);
     match fs::read(&path) {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Writes it in the place of what stood there; a process that ends within leaves the one or the other.
+/// Replaces the file; a process that ends meanwhile leaves the old or the new one.
 ///
 /// # Errors
 /// Fails when it can't be written, or is too long; then the old one holds.
--- a/crates/sender/src/persistence/ejections.rs
+++ b/crates/sender/src/persistence/ejections.rs
@@ -1,4 +1,4 @@
-//! Who is held out by hand, in the folder that outlasts the process.
+//! The endpoints that an operator ejected, kept over the end of the process.
 
 use std::fs;
 use std::io;
@@ -8,12 +8,12 @@
 
 const FILE: &str = "held-out";
 const NEW: &str = "held-out.new";
-/// Bytes that the file may have. While it is written anew there are two.
+/// Most bytes of the file. While it is replaced there are two.
 pub const MAX_BYTES: usize = 8 * 1024;
-/// What is kept free on the disk for both, in whole blocks.
+/// Disk space to reserve for both, in whole blocks.
 pub const RESERVED: u64 = 2 * MAX_BYTES as u64 + 1024;
 
-/// Reads what the last process wrote; without a file none is held out.
+/// Reads what the last process wrote; nothing is ejected without a file.
 ///
 /// # Errors
 /// Fails when the file can't be read.
@@ -25,7 +25,7 @@
     }
 }
 
-/// Writes it in the place of what stood there; a process that ends within leaves the one or the other.
+/// Replaces the file; a process that ends meanwhile leaves the old or the new one.
 ///
 /// # Errors
 /// Fails when it can't be written; then the old one holds.
--- a/crates/sender/src/persistence/journal.rs
+++ b/crates/sender/src/persistence/journal.rs
@@ -1,4 +1,4 @@
-//! The journal as a driver uses it: all of it, or one core's part.
+//! The journal as an event loop uses it: all of it, or one shard's part.
 
 use std::io;
 
@@ -7,16 +7,16 @@
     AcceptedMessage, AppendError, ByNumber, Journal, JournalPart, LedgerEntry, PendingMessage, Record,
 };
 
-/// Where a driver's messages are written down.
+/// Where an event loop's messages are recorded.
 pub enum JournalStore {
-    /// The sender has one core.
+    /// The sender has one event loop.
     Exclusive(Box<Journal>),
-    /// One of several.
+    /// One shard's part.
     Sharded(JournalPart),
 }
 
 impl JournalStore {
-    /// The messages that are owed their end, by number, in no order.
+    /// The pending messages, by number, in no order.
     pub fn live(&self) -> &ByNumber<PendingMessage> {
         match self {
             Self::Exclusive(journal) => journal.live(),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// As [`Journal::has_room`].
+    /// As [`Journal::has_capacity`].
     pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
         match self {
             Self::Exclusive(journal) => journal.has_capacity(taken, pending),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// As [`Journal::room_for`].
+    /// As [`Journal::space_needed`].
     pub fn space_needed(&self, taken: &AcceptedMessage) -> u64 {
         match self {
             Self::Exclusive(journal) => journal.space_needed(taken),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// As [`Journal::remembered`].
+    /// As [`Journal::ledger_entry`].
     pub fn ledger_entry(&self, id: &str, now: Micros) -> Option<LedgerEntry> {
         match self {
             Self::Exclusive(journal) => journal.ledger_entry(id, now).cloned(),
@@ -67,10 +67,10 @@
         }
     }
 
-    /// As [`Journal::tidy`].
+    /// As [`Journal::compact_step`].
     ///
     /// # Errors
-    /// As [`Journal::tidy`].
+    /// As [`Journal::compact_step`].
     pub fn compact_step(&mut self, now: Micros) -> io::Result<()> {
         match self {
             Self::Exclusive(journal) => journal.compact_step(now),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// As [`Journal::room_beside`]; beside one that several cores share nothing is kept.
+    /// As [`Journal::free_reserved_bytes`]; a shared journal reserves nothing.
     pub fn free_reserved_bytes(&self) -> u64 {
         match self {
             Self::Exclusive(journal) => journal.free_reserved_bytes(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// As [`Journal::set_beside`].
+    /// As [`Journal::set_reserved_bytes`].
     pub fn set_reserved_bytes(&mut self, bytes: u64) {
         if let Self::Exclusive(journal) = self {
             journal.set_reserved_bytes(bytes);
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -1,4 +1,5 @@
-//! What is learnt of partners, kept beside the journal: the package `known` with this process's clocks, folder and list.
+//! The health snapshot beside the journal: the package `health-snapshot` with this process's clocks, folder
+//! and list.
 
 use std::fs;
 use std::path::Path;
@@ -16,24 +17,24 @@
 use crate::discovery::endpoint_list::{EndpointList, EndpointListing};
 use crate::ports::Clock;
 
-/// For how long limits and answer times are believed, unless it is told.
+/// For how long limits and answer times are restored by default, in microseconds.
 const SPAN: Micros = 3_600_000_000;
-/// The part of the disk that is used, unless it is told.
+/// The default share of the disk quota: one part in so many.
 const PART_OF_DISK: u64 = 8;
-/// It is complained of a failure so often at most.
+/// Between two log lines of a snapshot that can't be written.
 const COMPLAIN_EVERY: Micros = 60_000_000;
 
-/// How it is kept here; none where the operators' file says so.
+/// How the snapshot is kept; none where the operators' file does not switch it on.
 #[derive(Debug, Clone, Copy)]
 pub struct SnapshotOptions {
     options: Options,
     clock: KnownClock,
-    /// What is believed of it at a start.
+    /// How it is restored.
     pub law: Config,
 }
 
 impl SnapshotOptions {
-    /// What the table says, with what it leaves out.
+    /// The options of the operators' table, with its defaults.
     pub fn of(table: &KnownTable, disk: u64, sync: bool, aim: Micros) -> Option<Self> {
         if !table.on {
             return None;
@@ -48,7 +49,7 @@
     }
 }
 
-/// The machine's time since its start, where that is looked at and the system tells it.
+/// The machine's time since its start, where that is used and the system has it.
 fn boot(clock: KnownClock) -> Option<Boot> {
     if clock == KnownClock::Wall {
         return None;
@@ -60,19 +61,19 @@
     Some(Boot { id, at: (seconds * 1e6) as Micros })
 }
 
-/// The moment by the system's clocks.
+/// The current moment by the system's clocks.
 pub fn stamp(clock: KnownClock) -> Timestamp {
     Timestamp { wall: Clock::new().now(), boot: boot(clock) }
 }
 
-/// The files of what is known, while this process has the journal.
+/// The snapshot's files, while this process has the journal.
 pub struct SnapshotStore {
     store: Store,
     clock: KnownClock,
     complain_at: Micros,
 }
 
-/// Opens what an earlier process kept. What can't be opened is done without, and told.
+/// Opens the snapshot of an earlier process. Without it, which is logged, the process runs on.
 pub fn open(
     state: &Path,
     owner: &str,
@@ -90,7 +91,7 @@
     }
 }
 
-/// What a process believes that starts with that snapshot and the list at that version.
+/// What a process restores that starts with this snapshot and the list at that version.
 pub fn restore(
     snapshot: &health_snapshot::replay::Snapshot,
     keeping: &SnapshotOptions,
@@ -101,13 +102,13 @@
     belief::restore(snapshot, &start, index, &keeping.law)
 }
 
-/// What the driver shows of what is known.
+/// What the event loop shows the snapshot of its state.
 pub struct SnapshotSource<'a> {
-    /// The module.
+    /// The decision module.
     pub policy: &'a Policy,
-    /// The list.
+    /// The endpoint list.
     pub directory: &'a Directory,
-    /// Its version, and when discovery last said that there is nothing newer.
+    /// Its version, and when discovery last confirmed it.
     pub list: (u64, Micros),
     /// The time.
     pub now: Micros,
@@ -153,7 +154,7 @@
 }
 
 impl SnapshotStore {
-    /// This process's clock is so far ahead of the one that what was read was written by.
+    /// Moves stored times: this process's clock is so far ahead of the writer's.
     pub fn moved_by(&mut self, shift: i64) {
         self.store.moved_by(shift);
     }
@@ -163,12 +164,12 @@
         self.store.used()
     }
 
-    /// Something may have been learnt of a destination.
+    /// The observed health of a destination may have changed.
     pub fn mark_touched(&mut self, destination: u16, now: Micros) {
         self.store.touched(destination, now);
     }
 
-    /// It told a wait, or the list says something else of it.
+    /// A destination sent a Retry-After, or its listing changed.
     pub fn mark_urgent(&mut self, destination: u16, listed: bool, now: Micros) {
         self.store.pressing(destination, listed, now);
     }
@@ -178,7 +179,7 @@
         self.store.next_due(now)
     }
 
-    /// Writes what is due, into so much room.
+    /// Writes what is due, into so many bytes of disk.
     pub fn write_slice(&mut self, room: u64, view: &SnapshotSource) {
         if self.store.next_due(view.now).is_none_or(|due| due > view.now) {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Gives its room back to the journal.
+    /// Releases its disk space to the journal.
     pub fn release(&mut self, now: Micros) {
         if let Err(e) = self.store.release(now) {
             self.complain(now, &e);
@@ -204,8 +205,9 @@
     }
 }
 
-/// The list that a process begins with: what the snapshot has where that is newer, else the configuration's, with the drains
-/// that may have been told since. And the version to watch it from; none where the whole list is to be asked for.
+/// The list that a process starts with: the snapshot's where that is newer, else the configuration's, with
+/// the drains that may have been listed since. And the version to watch it from; none where the full list has
+/// to be fetched.
 pub fn initial_list(known: EndpointList, belief: &mut RestoredState) -> (EndpointList, Option<u64>) {
     if let Some((index, destinations)) = belief.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -1,5 +1,6 @@
-//! What the parts of a sender say to one another: fronts take messages on, the driver has them judged and written
-//! down, carriers make the calls. A front or a carrier knows these types and nothing of its neighbours.
+//! The interfaces between the parts of a sender. Frontends accept messages from clients, the event loop has
+//! them decided on and recorded, transports make the calls. A frontend or a transport knows these types and
+//! nothing of the other parts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,121 +17,122 @@
 use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::hand_over::socket::HandoverLink;
 
-/// Takes messages on from clients. What it is handed goes to the driver as [`Inbound::HandedIn`], and a client that
-/// goes away before its answer as [`Inbound::Withdrawn`]; it answers nobody before the driver has.
+/// Accepts messages from clients. Sends each to the event loop as [`Inbound::Submitted`], and a client that
+/// goes away before its answer as [`Inbound::Withdrawn`]; it answers nobody before the event loop has.
 pub trait Frontend {
-    /// Begins to listen, once, when what an earlier process left has been taken up. Tells where.
+    /// Begins to listen, once, after recovery. Returns the address.
     ///
     /// # Errors
-    /// Fails when the address is not to be had.
+    /// Fails when the address cannot be bound.
     fn start(self: Rc<Self>) -> io::Result<SocketAddr>;
 
     /// Requests so far.
     fn requests(&self) -> u64;
 
-    /// Clients' connections that are open.
+    /// Open connections of clients.
     fn open_connections(&self) -> usize;
 
-    /// So many clients' connections at a time from now on.
+    /// The most connections of clients from now on.
     fn set_max_clients(&self, most: usize);
 
-    /// Serves a connection that another core took.
+    /// Serves a connection that another shard accepted.
     fn adopt(self: Rc<Self>, stream: std::net::TcpStream);
 }
 
-/// Makes calls to endpoints. It never decides to make one, nor to make one again.
+/// Makes calls to endpoints. It never decides to make one, nor to retry.
 pub trait Transport {
-    /// Takes note of where an endpoint is, from the list's text. False where the text names no place of this carrier's,
-    /// which then knows the endpoint no more than before.
+    /// Records an endpoint's address, as the list writes it. False where it is no address for this transport,
+    /// which then does not know the endpoint.
     fn set_address(&self, endpoint: EndpointId, address: &str) -> bool;
 
-    /// Where an endpoint is, in the list's text, if it was placed here.
+    /// An endpoint's address, as the list writes it, if this transport knows it.
     fn address(&self, endpoint: EndpointId) -> Option<String>;
 
-    /// Forgets an endpoint's place and closes idle connections to it.
+    /// Forgets an endpoint's address and closes idle connections to it.
     fn forget(&self, endpoint: EndpointId);
 
-    /// Whether an endpoint takes what is new. Calls on their way to one that no longer does, of which nothing has left, stay.
+    /// Whether an endpoint accepts new calls. Calls on their way to one that no longer does, of which nothing
+    /// has been sent, are not sent.
     fn set_accepting(&self, _endpoint: EndpointId, _open: bool) {}
 
-    /// Starts a call with one message or several, each begun in the journal; its end comes as [`Inbound::CallOver`]. Nothing of
-    /// it leaves while a wait runs that its route told.
+    /// Starts a call with one message or a batch, each recorded in the journal; it completes with
+    /// [`Inbound::CallCompleted`]. Nothing of it is sent while a Retry-After of its route runs.
     fn start(&self, at: (RouteId, EndpointId), parts: Vec<CallMessage>, pace: WriteOptions);
 
-    /// Calls an attempt off so that the endpoint notices, with all that travel along.
+    /// Cancels an attempt so that the endpoint notices, with all messages of its call.
     fn cancel(&self, message: MessageId, attempt: u16);
 
-    /// Probes an endpoint; the result comes as [`Event::Probed`].
+    /// Checks an endpoint's health; the result is an [`Event::HealthChecked`].
     fn probe(&self, endpoint: EndpointId);
 
     /// Closes idle connections to an endpoint.
     fn close_idle(&self, endpoint: EndpointId);
 
-    /// Messages written whole to endpoints so far, counted once for each attempt.
+    /// Messages written whole to endpoints so far, once for each attempt.
     fn messages_written(&self) -> u64;
 
-    /// How many attempts are out.
+    /// Attempts in flight.
     fn attempts_in_flight(&self) -> usize;
 
-    /// Connections, idle ones counted.
+    /// Open connections, idle ones included.
     fn connections(&self) -> usize {
         0
     }
 
-    /// So many connections at most from now on, idle ones counted.
+    /// The most connections from now on, idle ones included.
     fn set_max_connections(&self, _most: usize) {}
 
-    /// The attempts that are out on connections of this process, and where.
+    /// The attempts in flight on connections of this process, and where.
     fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)>;
 }
 
-/// Bodies hold at most so much.
+/// The most bytes of a body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What the socket tasks tell the driver.
+/// What other tasks send to the event loop.
 #[derive(Debug)]
 pub enum Inbound {
-    /// A client hands in a message.
+    /// A client submits a message.
     Submitted(Submission),
-    /// A client closed before this request of its was answered: a message that came by it counts for nothing.
+    /// A client closed before this request was answered: a message that came with it is withdrawn.
     Withdrawn {
         /// The message's `Req-Id`.
         id: String,
         /// The request's number.
         request: u64,
-        /// Where it was to go.
+        /// Its destination.
         destination: u16,
     },
-    /// Attempts ended that travelled as one call.
+    /// The attempts of one call are completed.
     CallCompleted(Vec<AttemptCompleted>),
-    /// Goes to the module as it is.
+    /// An event for the decision module.
     Event(Event),
-    /// Discovery told of endpoints.
+    /// Discovery sent a list of endpoints, or changes of it.
     EndpointsUpdated(EndpointUpdate),
-    /// The platform has these notices.
+    /// The platform has acknowledged these notifications.
     NotificationsAcknowledged(Vec<MessageId>),
-    /// On-call staff ask for something.
+    /// An administrative request, and where its answer goes.
     AdminRequest(admin::call::AdminRequest, oneshot::Sender<AdminResponse>),
-    /// A process that was started beside this one asks to take over.
+    /// A successor asks to take over.
     Successor(HandoverLink),
-    /// A line on the state is to be written to the log.
+    /// The status is to be logged.
     Status,
-    /// The configuration is to be read again.
+    /// SIGHUP: the configuration is to be read again.
     Reload,
-    /// The process was asked to end.
+    /// SIGTERM: the process is to shut down.
     Terminate,
 }
 
-/// What on-call staff are told.
+/// The answer to an administrative request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdminResponse {
-    /// The answer's status: 2xx for yes, anything else for no.
+    /// The status: 2xx if it was done.
     pub status: u16,
-    /// Its text.
+    /// The text.
     pub text: String,
 }
 
-/// A message that a client hands in, and where its answer goes.
+/// A message that a client submits, and where its answer goes.
 #[derive(Debug)]
 pub struct Submission {
     /// The message.
@@ -139,11 +141,11 @@
     pub class: usize,
     /// The request's number, from 1.
     pub request: u64,
-    /// Waits for the answer.
+    /// Receives the answer.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// A message of a call.
+/// A message as a call carries it.
 #[derive(Debug, Clone)]
 pub struct CallMessage {
     /// The message.
@@ -156,23 +158,24 @@
     pub key: Option<String>,
     /// Its body.
     pub body: Bytes,
-    /// No answer to it is waited for from then on.
+    /// No answer is waited for after that.
     pub answer_deadline: tokio::time::Instant,
-    /// Nothing of it leaves from then on, which is no later. Messages that travel together each have their own.
+    /// Nothing is sent after that, which is no later than the answer's deadline. Messages of one batch each
+    /// have their own.
     pub send_deadline: tokio::time::Instant,
 }
 
-/// How carefully a call is written.
+/// How a call is written.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WriteOptions {
-    /// Its last byte goes so long after the others.
+    /// The last byte is sent so long after the others, in microseconds.
     pub last_byte_delay: Micros,
-    /// Over a new connection.
+    /// A new connection is used.
     pub new_connection: bool,
 }
 
 impl WriteOptions {
-    /// What suits both of two messages that travel along.
+    /// The options that suit both of two messages of one batch.
     #[must_use]
     pub fn stricter(self, other: Self) -> Self {
         Self {
@@ -202,8 +205,8 @@
         Self { base: unix.as_micros() as Micros, start: Instant::now() }
     }
 
-    /// A clock that does not show a time before that one, the newest that an earlier process wrote down; and whether
-    /// the system's clock was set back since, so that nothing can be said of how long ago that was.
+    /// A clock that shows no time before `latest`, the newest that an earlier process recorded; and whether
+    /// the system's clock was set back since, so that the age of `latest` is unknown.
     pub fn after(latest: Micros) -> (Self, bool) {
         let clock = Self::new();
         let set_back = clock.base < latest;
@@ -215,7 +218,7 @@
         self.base + self.start.elapsed().as_micros() as Micros
     }
 
-    /// That time for the runtime's timers.
+    /// The same time for the runtime's timers.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let ahead = std::time::Duration::from_micros(at.saturating_sub(self.base));
         tokio::time::Instant::from_std(self.start.checked_add(ahead).unwrap_or(self.start))
--- a/crates/sender/src/shards/group.rs
+++ b/crates/sender/src/shards/group.rs
@@ -1,4 +1,5 @@
-//! What all cores of a sender share: who owns which destination, what belongs to the whole process, and what each shows.
+//! What all shards of a sender share: who owns which destination, what belongs to the whole process, and
+//! published figures.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -10,31 +11,31 @@
 
 use super::mailbox::Mailbox;
 
-/// What belongs to the whole process, leased to cores.
+/// What belongs to the whole process, leased to shards.
 #[derive(Debug)]
 pub struct ShardQuotas {
-    /// Calls that may be out at once.
+    /// Calls in flight.
     pub calls: LeasePool,
-    /// Messages that may be held.
+    /// Pending messages.
     pub messages: LeasePool,
     /// Connections to endpoints.
     pub connections: LeasePool,
 }
 
-/// What a core shows of itself.
+/// The published figures of a shard.
 #[derive(Debug, Clone, Default)]
 pub struct Figures {
-    /// How messages ended there.
+    /// Final outcomes there.
     pub ends: Option<OutcomeCounts>,
-    /// What is so at the moment; of endpoints out of rotation those that breakers shut.
+    /// Its gauges; of endpoints out of rotation those whose breakers are open.
     pub now: Gauges,
-    /// Calls that are out, and messages that wait.
+    /// Calls in flight.
     pub out: usize,
-    /// Destinations that came, and that went.
+    /// Destinations attached, and detached.
     pub moves: (u64, u64),
 }
 
-/// What all cores share.
+/// What all shards share.
 pub struct ShardGroup {
     owners: ArcSwap<OwnershipMap>,
     mailboxes: Vec<Mailbox>,
@@ -42,9 +43,9 @@
     figures: Vec<Mutex<Figures>>,
     /// Events by destination since the planner last asked.
     work: Vec<Mutex<HashMap<u16, u32>>>,
-    /// Clients' connections of each core, with those that are on their way to it.
+    /// Clients' connections of each shard, with those that are on their way to it.
     clients: Vec<AtomicUsize>,
-    /// Which core is done with all that it can be done with.
+    /// Which shard has nothing left to do.
     done: Vec<AtomicBool>,
     moves: AtomicU64,
     failed: AtomicU64,
@@ -55,7 +56,7 @@
 }
 
 impl ShardGroup {
-    /// So many cores as the owners have, and queues between them with room for so much.
+    /// As many shards as the map has, with mailboxes of so many messages.
     pub fn new(owners: OwnershipMap, room: ShardQuotas, queue: usize) -> Arc<Self> {
         let count = owners.count();
         Arc::new(Self {
@@ -71,7 +72,7 @@
         })
     }
 
-    /// How many cores there are.
+    /// How many shards there are.
     pub fn count(&self) -> usize {
         self.mailboxes.len()
     }
@@ -81,7 +82,7 @@
         (0..self.count() as u8).map(ShardId)
     }
 
-    /// Who owns what, as one version.
+    /// The ownership map, as one version.
     pub fn owners(&self) -> Arc<OwnershipMap> {
         self.owners.load_full()
     }
@@ -91,54 +92,56 @@
         self.owners.load().owner(destination)
     }
 
-    /// A destination's owner has sent it to another core: to be called behind that, and by the owner alone.
+    /// Records that a destination's owner has sent it to another shard: to be called after that, and by the
+    /// owner alone.
     pub fn migrated(&self, destination: u16, to: ShardId) {
         self.owners.rcu(|owners| owners.with(destination, to));
         self.moves.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// All that a core owned is the first's: to be called behind the parcels, and by the core alone.
+    /// Records that all that a shard owned is the first's: to be called after its migrations, and by the
+    /// shard alone.
     pub fn gathered(&self, core: ShardId) {
         self.owners.rcu(|owners| owners.gather_on(core));
     }
 
-    /// Clients' connections of all cores but one.
+    /// Clients' connections of all shards but one.
     pub fn clients_of_others(&self, core: ShardId) -> usize {
         let others = self.clients.iter().enumerate().filter(|(other, _)| *other != core.index());
         others.map(|(_, clients)| clients.load(Ordering::Relaxed)).sum()
     }
 
-    /// A move that was asked for did not come about.
+    /// Counts a migration that did not happen.
     pub fn migration_failed(&self) {
         self.failed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Destinations that moved, and moves that did not come about.
+    /// Migrations that happened, and those that did not.
     pub fn migration_counts(&self) -> (u64, u64) {
         (self.moves.load(Ordering::Relaxed), self.failed.load(Ordering::Relaxed))
     }
 
-    /// What comes for a core.
+    /// A shard's mailbox.
     pub fn mailbox(&self, core: ShardId) -> &Mailbox {
         &self.mailboxes[core.index()]
     }
 
-    /// What belongs to the whole process. Held for a reckoning without I/O alone.
+    /// What belongs to the whole process. Locked for arithmetic alone, never over I/O.
     pub fn quotas(&self) -> MutexGuard<'_, ShardQuotas> {
         lock(&self.room)
     }
 
-    /// What a core shows.
+    /// Publishes a shard's figures.
     pub fn show(&self, core: ShardId, figures: Figures) {
         *lock(&self.figures[core.index()]) = figures;
     }
 
-    /// What each showed last.
+    /// The figures that each shard published last.
     pub fn figures(&self) -> Vec<Figures> {
         self.figures.iter().map(|figures| lock(figures).clone()).collect()
     }
 
-    /// A core's turn had so many events of each of these destinations.
+    /// Counts a shard's events of each of these destinations.
     pub fn worked(&self, core: ShardId, work: impl Iterator<Item = (u16, u32)>) {
         let mut of = lock(&self.work[core.index()]);
         work.for_each(|(destination, events)| *of.entry(destination).or_default() += events);
@@ -153,7 +156,7 @@
         all
     }
 
-    /// The core with the fewest clients gets one more.
+    /// Picks the shard with the fewest clients for one more.
     pub fn deal(&self) -> ShardId {
         let fewest = self.all().min_by_key(|core| self.clients[core.index()].load(Ordering::Relaxed));
         let fewest = fewest.unwrap_or(ShardId(0));
@@ -161,12 +164,12 @@
         fewest
     }
 
-    /// A client of a core is gone, or never came there.
+    /// A client of a shard is gone, or never arrived there.
     pub fn client_gone(&self, core: ShardId) {
         self.clients[core.index()].fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Whether a core has nothing left to do; tells whether none has.
+    /// Records whether a shard has nothing left to do; returns whether none has.
     pub fn done(&self, core: ShardId, done: bool) -> bool {
         self.done[core.index()].store(done, Ordering::Release);
         self.done.iter().all(|done| done.load(Ordering::Acquire))
--- a/crates/sender/src/shards/mailbox.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -1,4 +1,4 @@
-//! What cores say to one another, and the bounded queues that it goes through.
+//! What shards send one another, and the bounded mailboxes for it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,27 +17,27 @@
 use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::ports::{AttemptCompleted, Submission};
 
-/// A destination that goes to another core, with all that is known, held and out.
+/// A destination that migrates to another shard, with all its state.
 #[derive(Debug)]
 pub struct MigratedDestination {
-    /// What the module knows.
+    /// The decision module's state.
     pub parcel: Parcel,
-    /// The endpoints that it names, by the names that all cores know.
+    /// The endpoints that it refers to, by the names that all shards know.
     pub names: BTreeMap<EndpointId, Arc<str>>,
     /// Its messages as the journal has them.
     pub messages: Vec<(u32, PendingMessage)>,
-    /// Their ids, and the requests by which they came.
+    /// Their ids, numbers, and the requests that they came with.
     pub requests: Vec<(String, u32, u64)>,
-    /// Attempts begun for each.
+    /// Attempts started for each.
     pub attempts: Vec<(u32, u16)>,
-    /// Who has the connection of each attempt that is out.
+    /// Which shard has the connection of each attempt in flight.
     pub connections: Vec<(Attempt, ShardId)>,
 }
 
-/// What one core says to another.
+/// What one shard sends to another.
 #[derive(Debug)]
 pub enum ShardMessage {
-    /// A client handed a message in at that core's front.
+    /// A client submitted a message to that shard's frontend.
     Submitted(Submission),
     /// A client closed before its request was answered.
     Withdrawn {
@@ -45,62 +45,62 @@
         id: String,
         /// The request's number.
         request: u64,
-        /// Where it was to go.
+        /// Its destination.
         destination: u16,
     },
-    /// An attempt ended on that core's connection.
+    /// An attempt completed on that shard's connection.
     Ended {
-        /// Whose owner has to hear of it.
+        /// The destination, whose owner has to know.
         destination: u16,
-        /// The endpoint's name; its id is another one here.
+        /// The endpoint's name; its id differs between shards.
         name: Arc<str>,
         /// How it ended.
         over: AttemptCompleted,
     },
-    /// An endpoint told that core a wait.
+    /// An endpoint sent that shard a Retry-After.
     Wait {
-        /// Whose owner has to hear of it.
+        /// The destination, whose owner has to know.
         destination: u16,
         /// The endpoint's name.
         name: Arc<str>,
-        /// How long.
+        /// How long it binds.
         wait: Micros,
     },
-    /// A destination is this core's from now on.
+    /// A destination is this shard's from now on.
     Migrate(Box<MigratedDestination>),
-    /// A destination is to go to another core.
+    /// A destination is to migrate to another shard.
     Depart {
         /// Which.
         destination: u16,
         /// Where to.
         to: ShardId,
     },
-    /// All that this core has is to go to the first.
+    /// All that this shard has is to migrate to the first.
     Gather,
-    /// So many places for clients from now on.
+    /// The most connections of clients from now on.
     MaxConnections(usize),
-    /// An attempt on this core's connection is to be called off.
+    /// An attempt on this shard's connection is to be cancelled.
     Cancel(MessageId, u16),
-    /// Discovery told that.
+    /// Discovery sent a list, or changes of it.
     Listed(EndpointUpdate),
-    /// Discovery could not be asked.
+    /// Discovery failed.
     ListFailed,
-    /// These endpoints are held out by hand, from when it is answered.
+    /// The ejected endpoints, from when it is answered.
     Ejections(Ejections, oneshot::Sender<()>),
     /// A client's connection.
     Client(std::net::TcpStream),
-    /// Discovery is there from now on.
+    /// Discovery's address from now on.
     Discovery(std::net::SocketAddr),
-    /// A line on the state is to be written to the log.
+    /// The status is to be logged.
     Status,
-    /// The process was asked to end.
+    /// The process is to shut down.
     Terminate,
 }
 
-/// What came for one core from the others.
+/// The messages for one shard from the others.
 pub struct Mailbox {
     queue: ArrayQueue<ShardMessage>,
-    /// The core was woken for what is in the queue, and has not looked yet.
+    /// The shard was notified of what is in the queue, and has not drained it yet.
     told: AtomicBool,
     wake: Notify,
     wakes: AtomicU64,
@@ -108,7 +108,7 @@
 }
 
 impl Mailbox {
-    /// With room for so much.
+    /// A mailbox with capacity for so many messages.
     pub fn new(room: usize) -> Self {
         Self {
             queue: ArrayQueue::new(room.max(8)),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Wakes its core, once for all that comes until it looks.
+    /// Notifies its shard, once for all that arrives until it drains the mailbox.
     pub fn wake(&self) {
         if !self.told.swap(true, Ordering::AcqRel) {
             self.wakes.fetch_add(1, Ordering::Relaxed);
@@ -127,20 +127,20 @@
         }
     }
 
-    /// Something came.
+    /// Waits until something arrives.
     pub async fn notified(&self) {
         self.wake.notified().await;
     }
 
-    /// All that is there.
+    /// Takes all messages.
     pub fn drain(&self) -> Vec<ShardMessage> {
-        // Before it looks: what comes from now on wakes it again.
+        // Before it drains: what arrives from now on notifies it again.
         self.told.store(false, Ordering::Release);
         let most = self.queue.len();
         (0..most).map_while(|_| self.queue.pop()).collect()
     }
 
-    /// How much was said to it, and how often it was woken for that.
+    /// How many messages were sent to it, and how often it was notified.
     pub fn figures(&self) -> (u64, u64) {
         (self.said.load(Ordering::Relaxed), self.wakes.load(Ordering::Relaxed))
     }
@@ -153,33 +153,33 @@
     }
 }
 
-/// One core's way to the others. What it says to one of them arrives in order.
+/// One shard's way to the others. Messages to one of them arrive in order.
 pub struct ShardHandle {
     me: ShardId,
     team: Arc<ShardGroup>,
-    /// What found no room in a queue and may not be turned away: bounded by what is out, open or listed. It goes in order, so
-    /// that whatever is said behind it waits here too.
+    /// What a full mailbox had no capacity for and must arrive: bounded by what is in flight, open or listed.
+    /// Sent in order, so that whatever follows waits here too.
     outbox: RefCell<Vec<VecDeque<ShardMessage>>>,
 }
 
 impl ShardHandle {
-    /// Nothing was said yet.
+    /// A handle that has sent nothing yet.
     pub fn new(me: ShardId, team: Arc<ShardGroup>) -> Self {
         let outbox = (0..team.count()).map(|_| VecDeque::new()).collect();
         Self { me, team, outbox: RefCell::new(outbox) }
     }
 
-    /// Whose it is.
+    /// The shard that it belongs to.
     pub fn id(&self) -> ShardId {
         self.me
     }
 
-    /// What all cores share.
+    /// What all shards share.
     pub fn group(&self) -> &Arc<ShardGroup> {
         &self.team
     }
 
-    /// Says what must arrive.
+    /// Sends what must arrive.
     pub fn send(&self, to: ShardId, say: ShardMessage) {
         let mut outbox = self.outbox.borrow_mut();
         let waiting = &mut outbox[to.index()];
@@ -189,11 +189,11 @@
         }
     }
 
-    /// Says what can be turned away. Guards the queue of a core that stands still, or is slow, against all that others would
-    /// put there: half of it is for what must arrive.
+    /// Sends what may be rejected. Guards the mailbox of a shard that stalls or is slow against all that
+    /// others would put there: half of it is for what must arrive.
     ///
     /// # Errors
-    /// Gives it back where there is no room.
+    /// Returns the message where the mailbox is full.
     pub fn try_send(&self, to: ShardId, say: ShardMessage) -> Result<(), ShardMessage> {
         let mailbox = self.team.mailbox(to);
         let busy = mailbox.queue.len() * 2 >= mailbox.queue.capacity();
@@ -203,20 +203,20 @@
         mailbox.push(say)
     }
 
-    /// Says what must arrive at once or not at all.
+    /// Sends what must arrive at once or not at all.
     ///
     /// # Errors
-    /// Gives it back where there is no room, or something waits for some.
+    /// Returns the message where the mailbox is full, or something waits already.
     pub fn send_now(&self, to: ShardId, say: ShardMessage) -> Result<(), ShardMessage> {
         if self.outbox.borrow()[to.index()].is_empty() { self.team.mailbox(to).push(say) } else { Err(say) }
     }
 
-    /// Whether something waits for room.
+    /// Whether something waits for capacity.
     pub fn is_behind(&self) -> bool {
         self.outbox.borrow().iter().any(|waiting| !waiting.is_empty())
     }
 
-    /// Sends what waits for room, as far as there is some.
+    /// Sends what waits, as far as there is capacity.
     pub fn flush(&self) {
         for (to, waiting) in self.outbox.borrow_mut().iter_mut().enumerate() {
             while let Some(say) = waiting.pop_front() {
--- a/crates/sender/src/shards/mod.rs
+++ b/crates/sender/src/shards/mod.rs
@@ -1,5 +1,6 @@
-//! Several cores of one sender: a thread each, with a driver, a module, clients' connections and calls of its own. What they
-//! share is here; what each owns, and who hears what, the package `cores` decides (`docs/cores.md`).
+//! Several shards of one sender: a thread each, with an event loop, a decision module, clients' connections
+//! and calls of its own. What they share is here; who owns what, and who receives what, the package
+//! `sharding` decides (`docs/sharding.md`).
 
 pub mod group;
 pub mod mailbox;
@@ -7,7 +8,7 @@
 
 pub use mailbox::{MigratedDestination, ShardHandle, ShardMessage};
 pub use remote::RemoteShards;
-/// Advice to clients whose destination's core has more to do than it can take in, in microseconds.
+/// Retry-After in microseconds for clients whose destination's shard has a full mailbox.
 pub const BUSY_AGAIN: u64 = 250_000;
 
 pub use group::{Figures, ShardGroup, ShardQuotas};
--- a/crates/sender/src/shards/remote.rs
+++ b/crates/sender/src/shards/remote.rs
@@ -1,4 +1,5 @@
-//! What other cores still have for a process that has handed over: their clients, and calls on their connections.
+//! What other shards still have for a process that has handed over: their clients, and calls on their
+//! connections.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -13,17 +14,17 @@
 use super::mailbox::{ShardHandle, ShardMessage};
 use crate::ports::{CallMessage, Frontend, Inbound, Transport, WriteOptions};
 
-/// The other cores, as a front and a carrier of the first. They own nothing any more: what comes to them is said to the
-/// first, as ever.
+/// The other shards, as a frontend and a transport of the first. They own nothing any more: what they receive
+/// they send to the first, as ever.
 pub struct RemoteShards {
     post: Rc<ShardHandle>,
     outs: RefCell<BTreeMap<(MessageId, u16), (ShardId, EndpointId)>>,
-    /// Endpoints by their names, as the process that took over was told.
+    /// Endpoints by their names, as the successor was told.
     ids: HashMap<String, EndpointId>,
 }
 
 impl RemoteShards {
-    /// These attempts are out on connections of others.
+    /// Attempts in flight on connections of other shards.
     pub fn new(
         post: Rc<ShardHandle>,
         outs: BTreeMap<(MessageId, u16), (ShardId, EndpointId)>,
@@ -32,7 +33,7 @@
         Self { post, outs: RefCell::new(outs), ids: ids.iter().cloned().collect() }
     }
 
-    /// Passes on what the other cores say, until the process ends.
+    /// Forwards what the other shards send, until the process ends.
     pub fn follow(self: Rc<Self>, inbound: UnboundedSender<Inbound>) {
         tokio::task::spawn_local(async move {
             let mailbox = self.post.group().mailbox(self.post.id());
@@ -104,7 +105,7 @@
 
     fn forget(&self, _: EndpointId) {}
 
-    /// Nothing is placed here, so that nothing is started here.
+    /// No address is known here, so that no call starts here.
     fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
 
     fn cancel(&self, message: MessageId, attempt: u16) {
--- a/crates/sender/src/stall_detector.rs
+++ b/crates/sender/src/stall_detector.rs
@@ -1,4 +1,5 @@
-//! How long ago what is read now may have come: a request's time runs from when it came, not from when it is read.
+//! How long ago what is read now may have arrived: a request's time runs from its arrival, not from when it
+//! is read.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,15 +7,15 @@
 use tokio::runtime::Builder;
 use tokio::time::Instant;
 
-/// The runtime waits no longer than that at a time.
+/// The longest wait of the runtime.
 const BEAT: Duration = Duration::from_millis(100);
-/// A wait that is over so soon found something that was there already.
+/// A wait that ends so soon found something that was there already.
 const AT_ONCE: Duration = Duration::from_micros(200);
-/// A wait that ends so long after the beat did not end by itself: the process stood still.
+/// A wait that ends so long after the beat did not end by itself: the process stalled.
 const STILL: Duration = Duration::from_millis(50);
 
-/// The first wait after a standstill may have ended by the signal that ended it, and have read nothing: what comes in this time
-/// after it may have come as early.
+/// The first wait after a stall may have ended by the signal that ended it, and have read nothing: what
+/// arrives in this time after it may have arrived as early.
 const AFTER: Duration = Duration::from_millis(20);
 
 /// What a thread's runtime does between what it reads.
@@ -23,9 +24,9 @@
     /// When it began to wait, and when it went on.
     waits: Option<Instant>,
     woke: Option<Instant>,
-    /// What is read now came no sooner.
+    /// What is read now arrived no sooner.
     since: Option<Instant>,
-    /// When the process stood still last, and when it went on.
+    /// When the process stalled last, and when it went on.
     still: Option<(Instant, Instant)>,
 }
 
@@ -34,9 +35,9 @@
         Self { waits: Some(now), ..self }
     }
 
-    /// Guards a message's time against a turn that took long, during which its request lay unread, and against a process
-    /// that stood still. One that stands still for less than the beat is not noticed; after a longer time up to a beat too
-    /// much is taken off.
+    /// Guards a message's time against a long iteration, during which its request lay unread, and against a
+    /// process that stalled. A stall shorter than the beat is not noticed; after a longer one up to a beat
+    /// too much is taken off.
     fn wakes(self, now: Instant) -> Self {
         let waited = self.waits.map_or(Duration::ZERO, |waits| now.saturating_duration_since(waits));
         let stood = waited > BEAT + STILL;
@@ -65,14 +66,14 @@
         .on_thread_unpark(|| PULSE.set(PULSE.get().wakes(Instant::now())))
 }
 
-/// Sees to it that the runtime's waits end. For as long as the process runs.
+/// Makes the runtime's waits end, for as long as the process runs.
 pub async fn beat() {
     loop {
         tokio::time::sleep(BEAT).await;
     }
 }
 
-/// How long ago what is read now came, at most.
+/// How long ago what is read now arrived, at most.
 pub fn behind() -> Duration {
     PULSE.get().behind(Instant::now())
 }
