--- a/crates/fleet-sim/src/lib.rs
+++ b/crates/fleet-sim/src/lib.rs
@@ -3,7 +3,7 @@
 //! harmless from one sender may not be from a hundred. It opens no socket and reads no clock.
 //!
 //! ```
-//! use fleet::{Partner, World};
+//! use fleet_sim::{Partner, World};
 //!
 //! let mut world = World::new(12, vec![Partner { limit: 24.0, ..Partner::default() }], 7);
 //! world.run(5.0, 20.0);
@@ -13,5 +13,5 @@
 mod partner;
 mod world;
 
-pub use partner::{COLD, Count, Law, Partner};
-pub use world::{Notes, Verdicts, World, settings};
+pub use partner::{Count, LimitModel, Partner, SLOW_START};
+pub use world::{GossipFaults, Verdicts, World, settings};
--- a/crates/fleet-sim/src/partner.rs
+++ b/crates/fleet-sim/src/partner.rs
@@ -50,16 +50,16 @@
 
 /// How a limit is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Law {
+pub enum LimitModel {
     /// What is left grows evenly, up to [`Partner::depth`] seconds of the limit.
-    Even,
+    TokenBucket,
     /// So many calls in each span of [`Partner::depth`] seconds.
-    Span,
+    FixedWindow,
 }
 
 /// What a partner that was down bears when it is back: the share of its capacity at first, how long until it has all, the
 /// multiple of what it has that it bears, and the seconds in which that is counted.
-pub const COLD: (f64, f64, f64, f64) = (0.18, 14.0, 2.0, 3.0);
+pub const SLOW_START: (f64, f64, f64, f64) = (0.18, 14.0, 2.0, 3.0);
 
 /// A destination with one endpoint.
 #[derive(Debug, Clone)]
@@ -69,7 +69,7 @@
     /// What its listing says of that, as a factor: the list is rough.
     pub listed: f64,
     /// How the limit is counted.
-    pub law: Law,
+    pub limit_model: LimitModel,
     /// Seconds of the limit that may come at once, or that are counted together.
     pub depth: f64,
     /// Whether refused calls use the limit up like any other, also beyond what is left.
@@ -81,9 +81,9 @@
     /// Stretches of time, in seconds from the start, in which it refuses connections.
     pub down: Vec<(f64, f64)>,
     /// Messages that one call carries at most.
-    pub bundle: usize,
+    pub max_batch: usize,
     /// How long a call takes, in seconds.
-    pub takes: f64,
+    pub call_seconds: f64,
     /// Seconds after which a report is made anew.
     pub reports_every: f64,
     /// Seconds by which it is late.
@@ -95,7 +95,7 @@
     /// What happened in each second.
     pub seconds: Vec<Count>,
     /// Most that came while it was cold, as a part of what it bore then: over 1, it falls over.
-    pub pushed: f64,
+    pub overload: f64,
     /// When calls came since it is back, in seconds from the start.
     pub cold_calls: VecDeque<f64>,
     /// Calls that are left of the limit; less than none where refused calls used it up.
@@ -109,20 +109,20 @@
         Self {
             limit: 60.0,
             listed: 1.0,
-            law: Law::Even,
+            limit_model: LimitModel::TokenBucket,
             depth: 0.7,
             refused_count: true,
             capacity: f64::INFINITY,
             lowered: vec![],
             down: vec![],
-            bundle: 1,
-            takes: 0.08,
+            max_batch: 1,
+            call_seconds: 0.08,
             reports_every: 0.5,
             reports_late: 0.18,
             reports: VecDeque::new(),
             count: Count::default(),
             seconds: vec![],
-            pushed: 0.0,
+            overload: 0.0,
             cold_calls: VecDeque::new(),
             tokens: 0.0,
             at: 0.0,
@@ -149,7 +149,7 @@
 
     /// Weighs a call against what the partner bears while it is cold.
     fn bear(&mut self, at: f64) {
-        let (share, warm, multiple, window) = COLD;
+        let (share, warm, multiple, window) = SLOW_START;
         let back =
             self.down.iter().map(|span| span.1).filter(|end| *end <= at).fold(f64::NEG_INFINITY, f64::max);
         if at >= back + warm {
@@ -160,15 +160,15 @@
             self.cold_calls.pop_front();
         }
         let has = self.capacity * (share + (1.0 - share) * (at - back) / warm);
-        self.pushed = self.pushed.max(self.cold_calls.len() as f64 / (multiple * has * window));
+        self.overload = self.overload.max(self.cold_calls.len() as f64 / (multiple * has * window));
     }
 
     /// What is left of the limit once more time has passed.
     fn refill(&mut self, at: f64, limit: f64) {
         let depth = limit * self.depth;
-        let gained = match self.law {
-            Law::Even => limit * (at - self.at),
-            Law::Span => depth * ((at / self.depth).floor() - (self.at / self.depth).floor()),
+        let gained = match self.limit_model {
+            LimitModel::TokenBucket => limit * (at - self.at),
+            LimitModel::FixedWindow => depth * ((at / self.depth).floor() - (self.at / self.depth).floor()),
         };
         self.tokens = (self.tokens + gained).min(depth);
         self.at = at;
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -17,23 +17,23 @@
 
 /// What happens to a sender.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum SimEvent {
     /// A client hands in a message for that partner, to a sender that is drawn then.
-    Handed(usize),
+    Submitted(usize),
     /// The same, to that sender while it is up.
-    HandedTo(usize),
+    SubmittedTo(usize),
     /// A call arrives at its partner with these messages and attempts.
     Arrives(usize, Vec<(u32, u16)>),
     /// The answers to them arrive: delivered, refused with what is left and the limit, or not connected.
     Answered(usize, Vec<(u32, u16)>, Answer),
     /// A reminder that the module asked for.
-    Reminder(u64),
+    TimerFired(u64),
     /// Its process is killed.
     Killed,
     /// A new process begins with what is owed to messages, and the list.
-    Back,
+    Restarted,
     /// A note of that sender comes to this one.
-    Note(u16, Vec<u8>),
+    Gossip(u16, Vec<u8>),
 }
 
 /// The world begins then, by the clock on the wall that snapshots are kept by.
@@ -60,27 +60,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Answer {
     Delivered,
-    Full,
+    Rejected,
     Failed,
 }
 
 /// A message that a sender has in hand.
 #[derive(Debug)]
-struct Held {
+struct PendingMessage {
     partner: usize,
     class: usize,
     end: Micros,
-    aim: Micros,
+    objective_at: Micros,
     /// When the call that is out began.
-    out: Option<Micros>,
+    in_flight_since: Option<Micros>,
     /// When the first call took effect that its sender does not know of.
     ran: Option<Micros>,
     /// Calls that were out when a process ended: when they began.
     unclear: Vec<Micros>,
-    tries: u16,
+    attempts: u16,
 }
 
-impl Held {
+impl PendingMessage {
     /// Whether a further call, or advice to come again, could do harm.
     fn harmed_by_more(&self, settings: &Settings, now: Micros) -> bool {
         let Some(ran) = self.ran else { return false };
@@ -98,12 +98,12 @@
     /// Messages with no final answer when their time was up.
     pub lost: u32,
     /// Messages with two attempts at once, or sent or refused again after one that had run.
-    pub twice: u32,
+    pub duplicates: u32,
 }
 
 struct Node {
     policy: Policy,
-    held: BTreeMap<u32, Held>,
+    pending: BTreeMap<u32, PendingMessage>,
     next: u32,
     /// Processes so far.
     process: u32,
@@ -118,15 +118,15 @@
 
 /// What senders say to one another.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Notes {
+pub struct GossipFaults {
     /// The part of the notes that is lost.
     pub lost: f64,
     /// Parts of limits are lent.
-    pub lends: bool,
+    pub quota_transfer: bool,
 }
 
 /// What happens when, with its number, and to which process of which sender; the earliest first.
-type Due = Reverse<(Micros, u64, usize, u32, Happening)>;
+type Due = Reverse<(Micros, u64, usize, u32, SimEvent)>;
 
 /// Senders and partners on one clock.
 pub struct World {
@@ -135,11 +135,11 @@
     /// What broke a rule.
     pub verdicts: Verdicts,
     /// Messages that were handed back, or failed.
-    pub given_up: u32,
+    pub abandoned: u32,
     /// Whether processes that end leave what they learnt to the next.
-    pub keeps: bool,
+    pub keeps_snapshots: bool,
     /// Senders send one another notes; none without it.
-    shares: Option<Notes>,
+    shares: Option<GossipFaults>,
     /// Bytes of notes that came.
     pub bytes: u64,
     nodes: Vec<Node>,
@@ -205,26 +205,35 @@
 }
 
 /// What a sender of that rank is told.
-fn settings_of(me: usize, senders: usize, notes: Option<Notes>) -> Settings {
+fn settings_of(me: usize, senders: usize, notes: Option<GossipFaults>) -> Settings {
     let (me, all) = (me as u16, senders as u16);
     let bytes = (25.0, 100.0);
-    let law = |notes: Notes| GossipConfig {
+    let law = |notes: GossipFaults| GossipConfig {
         member: me,
         incarnation: 1,
         senders: all,
         broadcast: true,
         byte_budget: bytes,
-        quota_transfer: notes.lends,
+        quota_transfer: notes.quota_transfer,
     };
     Settings { gossip: notes.map(law), ..settings(senders) }
 }
 
-fn new_held(partner: usize, class: usize, end: Micros, aim: Micros) -> Held {
-    Held { partner, class, end, aim, out: None, ran: None, unclear: vec![], tries: 0 }
+fn new_held(partner: usize, class: usize, end: Micros, aim: Micros) -> PendingMessage {
+    PendingMessage {
+        partner,
+        class,
+        end,
+        objective_at: aim,
+        in_flight_since: None,
+        ran: None,
+        unclear: vec![],
+        attempts: 0,
+    }
 }
 
 /// A message as it is handed in, or picked up again.
-fn message(id: u32, held: &Held, now: Micros) -> Message {
+fn message(id: u32, held: &PendingMessage, now: Micros) -> Message {
     Message {
         id: MessageId(id),
         class: held.class,
@@ -247,7 +256,12 @@
     }
 
     /// The same with notes between them.
-    pub fn with_notes(senders: usize, partners: Vec<Partner>, seed: u64, shares: Option<Notes>) -> Self {
+    pub fn with_notes(
+        senders: usize,
+        partners: Vec<Partner>,
+        seed: u64,
+        shares: Option<GossipFaults>,
+    ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let entries: Vec<_> = partners
             .iter()
@@ -256,14 +270,14 @@
                 endpoint: endpoint(at),
                 destination: DestinationId(at as u16),
                 zone: 0,
-                kind: usize::from(partner.bundle > 1),
+                kind: usize::from(partner.max_batch > 1),
                 weight: partner.limit * partner.listed,
                 listing: Listing::Ready,
             })
             .collect();
         let node = |me| Node {
             policy: Policy::new(settings_of(me, senders, shares), rng.u64(..), 0),
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next: 0,
             process: 0,
             up: true,
@@ -275,8 +289,8 @@
         let mut world = Self {
             partners,
             verdicts: Verdicts::default(),
-            given_up: 0,
-            keeps: false,
+            abandoned: 0,
+            keeps_snapshots: false,
             shares,
             bytes: 0,
             nodes,
@@ -316,13 +330,13 @@
                 if at >= until as f64 {
                     break;
                 }
-                self.later(at as Micros, 0, Happening::Handed(partner));
+                self.later(at as Micros, 0, SimEvent::Submitted(partner));
             }
         }
         while self.queue.peek().is_some_and(|next| next.0.0 <= until) {
             let Some(Reverse((at, number, sender, process, what))) = self.queue.pop() else { break };
             self.now = at;
-            self.happens(number, sender, process, what);
+            self.handle(number, sender, process, what);
         }
         self.now = until;
     }
@@ -332,8 +346,8 @@
     pub fn release(&mut self, killed: usize, seconds: f64, kept: usize) {
         for sender in 0..killed {
             let at = self.now + (self.rng.f64() * seconds * SECOND as f64) as Micros;
-            self.later(at, sender, Happening::Killed);
-            self.later(at + RESTART, sender, Happening::Back);
+            self.later(at, sender, SimEvent::Killed);
+            self.later(at + RESTART, sender, SimEvent::Restarted);
             self.nodes[sender].traffic = f64::from(u8::from(sender % kept == 0));
         }
     }
@@ -348,7 +362,7 @@
         let sender = self.rng.usize(..self.nodes.len());
         for _ in 0..count {
             let at = self.now as f64 + (at + self.rng.f64() * seconds) * SECOND as f64;
-            self.later(at as Micros, sender, Happening::HandedTo(partner));
+            self.later(at as Micros, sender, SimEvent::SubmittedTo(partner));
         }
     }
 
@@ -362,37 +376,37 @@
         })
     }
 
-    fn later(&mut self, at: Micros, sender: usize, what: Happening) -> u64 {
+    fn later(&mut self, at: Micros, sender: usize, what: SimEvent) -> u64 {
         self.made += 1;
         let process = self.nodes[sender].process;
         self.queue.push(Reverse((at, self.made, sender, process, what)));
         self.made
     }
 
-    fn happens(&mut self, number: u64, sender: usize, process: u32, what: Happening) {
+    fn handle(&mut self, number: u64, sender: usize, process: u32, what: SimEvent) {
         let now = self.now;
         match what {
-            Happening::Handed(partner) => {
+            SimEvent::Submitted(partner) => {
                 if let Some(sender) = self.draw_sender() {
                     self.hand_in(sender, partner);
                 }
             }
-            Happening::HandedTo(partner) => {
+            SimEvent::SubmittedTo(partner) => {
                 let sender = if self.nodes[sender].up { Some(sender) } else { self.draw_sender() };
                 if let Some(sender) = sender {
                     self.hand_in(sender, partner);
                 }
             }
-            Happening::Arrives(partner, parts) => {
+            SimEvent::Arrives(partner, parts) => {
                 let (outcome, report) = self.partners[partner].call(now);
-                let takes = self.partners[partner].takes * (0.5 + self.rng.f64());
+                let takes = self.partners[partner].call_seconds * (0.5 + self.rng.f64());
                 let (answer, takes) = match outcome {
                     Outcome::Delivered => (Answer::Delivered, takes),
-                    Outcome::Rejected(_) => (Answer::Full, 0.0),
+                    Outcome::Rejected(_) => (Answer::Rejected, 0.0),
                     _ => (Answer::Failed, 0.0),
                 };
                 for (id, _) in parts.iter().filter(|_| answer == Answer::Delivered) {
-                    if let Some(held) = self.nodes[sender].held.get_mut(id) {
+                    if let Some(held) = self.nodes[sender].pending.get_mut(id) {
                         held.ran.get_or_insert(now);
                     }
                 }
@@ -403,11 +417,11 @@
                     self.made,
                     sender,
                     process,
-                    Happening::Answered(partner, parts, answer),
+                    SimEvent::Answered(partner, parts, answer),
                 )));
                 self.reports.insert(self.made, report);
             }
-            Happening::Answered(partner, parts, answer) => {
+            SimEvent::Answered(partner, parts, answer) => {
                 let report = self.reports.remove(&number).unwrap_or_default();
                 if process != self.nodes[sender].process {
                     return;
@@ -418,26 +432,26 @@
                     .collect();
                 self.tell(sender, &events);
             }
-            Happening::Reminder(token) if process == self.nodes[sender].process => {
+            SimEvent::TimerFired(token) if process == self.nodes[sender].process => {
                 self.tell(sender, &[Event::TimerFired(token)]);
             }
-            Happening::Reminder(_) => {}
-            Happening::Killed => {
-                if self.keeps {
+            SimEvent::TimerFired(_) => {}
+            SimEvent::Killed => {
+                if self.keeps_snapshots {
                     self.keep(sender);
                 }
                 let node = &mut self.nodes[sender];
                 (node.up, node.process) = (false, node.process + 1);
-                for held in node.held.values_mut() {
-                    held.unclear.extend(held.out.take());
+                for held in node.pending.values_mut() {
+                    held.unclear.extend(held.in_flight_since.take());
                 }
             }
-            Happening::Back => self.back(sender),
-            Happening::Note(from, content) if self.nodes[sender].up => {
+            SimEvent::Restarted => self.back(sender),
+            SimEvent::Gossip(from, content) if self.nodes[sender].up => {
                 self.bytes += content.len() as u64;
                 self.tell(sender, &[Event::GossipReceived { from, content }]);
             }
-            Happening::Note(..) => {}
+            SimEvent::Gossip(..) => {}
         }
     }
 
@@ -482,9 +496,9 @@
         let node = &mut self.nodes[sender];
         node.next += 1;
         let (id, end, aim) = (node.next, now + 12 * SECOND, now + 4 * SECOND);
-        node.held.insert(id, new_held(partner, class, end, aim));
+        node.pending.insert(id, new_held(partner, class, end, aim));
         self.partners[partner].count(now, |count| count.offered += 1);
-        let message = message(id, &self.nodes[sender].held[&id], now);
+        let message = message(id, &self.nodes[sender].pending[&id], now);
         self.tell(sender, &[Event::Accepted(message)]);
     }
 
@@ -497,9 +511,9 @@
         (node.up, node.since, node.policy) = (true, now, Policy::new(settings, seed, now));
         let mut events = vec![Event::EndpointList(self.entries.clone())];
         events.extend(believed);
-        events.extend(node.held.iter().map(|(id, held)| Event::Recovered {
+        events.extend(node.pending.iter().map(|(id, held)| Event::Recovered {
             message: message(*id, held, now),
-            attempts: held.tries.into(),
+            attempts: held.attempts.into(),
             may_have_run: held.unclear.iter().map(|began| (now - began, endpoint(held.partner))).collect(),
             idempotency: None,
         }));
@@ -517,12 +531,12 @@
     ) -> Event {
         let now = self.now;
         let delivered = answer == Answer::Delivered;
-        let held = self.nodes[sender].held.get_mut(&id);
+        let held = self.nodes[sender].pending.get_mut(&id);
         if let Some(held) = held {
-            held.out = None;
+            held.in_flight_since = None;
             if delivered {
-                let in_time = now <= held.aim;
-                self.nodes[sender].held.remove(&id);
+                let in_time = now <= held.objective_at;
+                self.nodes[sender].pending.remove(&id);
                 self.partners[partner].count(now, |count| {
                     count.delivered += 1;
                     count.in_time += u32::from(in_time);
@@ -535,7 +549,7 @@
             endpoint: endpoint(partner),
             outcome: match answer {
                 Answer::Delivered => Outcome::Delivered,
-                Answer::Full => Outcome::Rejected(None),
+                Answer::Rejected => Outcome::Rejected(None),
                 Answer::Failed => Outcome::ConnectFailed,
             },
             terminal: delivered,
@@ -546,13 +560,13 @@
 
     /// A note goes to one, or to all, late or not at all.
     fn send_note(&mut self, sender: usize, to: Option<u16>, content: &[u8]) {
-        let Some(Notes { lost, .. }) = self.shares else { return };
+        let Some(GossipFaults { lost, .. }) = self.shares else { return };
         let all =
             (0..self.nodes.len()).filter(|other| to.map_or(*other != sender, |to| *other == usize::from(to)));
         for other in all.collect::<Vec<_>>() {
             if self.rng.f64() >= lost {
                 let at = self.now + self.rng.u64(4_200..32_000);
-                let what = Happening::Note(sender as u16, content.to_vec());
+                let what = SimEvent::Gossip(sender as u16, content.to_vec());
                 self.made += 1;
                 self.queue.push(Reverse((at, self.made, other, 0, what)));
             }
@@ -566,40 +580,40 @@
         for action in actions {
             match action {
                 Action::Attempt { message: MessageId(id), .. } => {
-                    let Some(held) = self.nodes[sender].held.get_mut(&id) else {
-                        self.verdicts.twice += 1;
+                    let Some(held) = self.nodes[sender].pending.get_mut(&id) else {
+                        self.verdicts.duplicates += 1;
                         continue;
                     };
-                    let harm = held.out.is_some() || held.harmed_by_more(&self.settings, now);
-                    self.verdicts.twice += u32::from(harm);
+                    let harm = held.in_flight_since.is_some() || held.harmed_by_more(&self.settings, now);
+                    self.verdicts.duplicates += u32::from(harm);
                     self.verdicts.lost += u32::from(now > held.end);
-                    held.out = Some(now);
-                    held.tries += 1;
-                    calls.entry(held.partner).or_default().push((id, held.tries - 1));
+                    held.in_flight_since = Some(now);
+                    held.attempts += 1;
+                    calls.entry(held.partner).or_default().push((id, held.attempts - 1));
                 }
                 Action::Reject { message: MessageId(id), .. } | Action::Fail(MessageId(id)) => {
-                    if let Some(held) = self.nodes[sender].held.remove(&id) {
+                    if let Some(held) = self.nodes[sender].pending.remove(&id) {
                         let refused = matches!(action, Action::Reject { .. });
                         let harm = refused && held.harmed_by_more(&self.settings, now);
-                        self.verdicts.twice += u32::from(harm);
+                        self.verdicts.duplicates += u32::from(harm);
                         // No end is overdue until so long after its sender is back.
                         let restarted = self.nodes[sender].since + if process > 0 { 1_500_000 } else { 0 };
                         self.verdicts.lost += u32::from(now > held.end.max(restarted) + 5_000);
-                        self.given_up += 1;
+                        self.abandoned += 1;
                     }
                 }
                 Action::SendGossip { to, content } => self.send_note(sender, to, &content),
                 Action::SetTimer { at, token } => {
-                    self.later(at.max(now + 1), sender, Happening::Reminder(token));
+                    self.later(at.max(now + 1), sender, SimEvent::TimerFired(token));
                 }
                 _ => {}
             }
         }
         for (partner, parts) in calls {
-            let bundle = self.partners[partner].bundle;
+            let bundle = self.partners[partner].max_batch;
             for call in parts.chunks(bundle) {
                 let at = now + self.rng.u64(4_000..15_000);
-                self.later(at, sender, Happening::Arrives(partner, call.to_vec()));
+                self.later(at, sender, SimEvent::Arrives(partner, call.to_vec()));
             }
         }
     }
--- a/crates/fleet-sim/tests/known.rs
+++ b/crates/fleet-sim/tests/known.rs
@@ -22,12 +22,12 @@
         world.keep_all();
     }
     world.run(old, rate);
-    world.keeps = snapshots == Some(0.0);
+    world.keeps_snapshots = snapshots == Some(0.0);
     world.release(92, 2.0, kept);
     world.run(16.0, rate);
     assert_eq!(world.verdicts, Verdicts::default(), "seed {seed}, {snapshots:?}");
     let partner = &world.partners[0];
-    Came { after: partner.seconds[8..18].iter().copied().sum(), pushed: partner.pushed }
+    Came { after: partner.seconds[8..18].iter().copied().sum(), pushed: partner.overload }
 }
 
 /// Plays a case with and without, and holds each seed to it that the partner fares no worse with.
@@ -62,7 +62,7 @@
 }
 
 fn partner() -> Partner {
-    Partner { limit: 57.0, bundle: 5, capacity: 90.0, ..Partner::default() }
+    Partner { limit: 57.0, max_batch: 5, capacity: 90.0, ..Partner::default() }
 }
 
 /// That each draws the moment of its first call, so that all together keep to the limit, costs that time.
--- a/crates/fleet-sim/tests/limits.rs
+++ b/crates/fleet-sim/tests/limits.rs
@@ -10,7 +10,7 @@
 fn a_lowered_limit_is_not_used_up_by_refused_calls() {
     for seed in SEEDS {
         let partner =
-            Partner { limit: 85.0, lowered: vec![(6.0, 15.0, 0.5)], bundle: 5, ..Partner::default() };
+            Partner { limit: 85.0, lowered: vec![(6.0, 15.0, 0.5)], max_batch: 5, ..Partner::default() };
         let mut world = World::new(100, vec![partner], seed);
         world.run(6.0, 150.0);
         world.run(9.0, 170.0);
@@ -27,7 +27,8 @@
 #[test]
 fn more_messages_than_a_limit_has_calls_travel_together() {
     for seed in SEEDS {
-        let mut world = World::new(100, vec![Partner { limit: 70.0, bundle: 5, ..Partner::default() }], seed);
+        let mut world =
+            World::new(100, vec![Partner { limit: 70.0, max_batch: 5, ..Partner::default() }], seed);
         world.run(20.0, 140.0);
         let count = world.partners[0].count;
         assert!(count.refused * 10 <= count.calls, "seed {seed}: {count:?}");
@@ -67,7 +68,8 @@
 #[test]
 fn what_was_refused_together_comes_again_apart() {
     let counts = [1, 2, 3, 4, 5, 6].map(|seed| {
-        let mut world = World::new(100, vec![Partner { limit: 58.0, bundle: 5, ..Partner::default() }], seed);
+        let mut world =
+            World::new(100, vec![Partner { limit: 58.0, max_batch: 5, ..Partner::default() }], seed);
         run_in_clumps(&mut world, 25, 200.0, seed);
         world.total()
     });
--- a/crates/fleet-sim/tests/mass.rs
+++ b/crates/fleet-sim/tests/mass.rs
@@ -13,8 +13,13 @@
         let limit = 80.0 / (1.0 + at as f64 * 0.25);
         let bundle = if at % 3 == 2 { 5 } else { 1 };
         let capacity = limit * 1.6;
-        let mut partner =
-            Partner { limit, bundle, capacity, refused_count: at.is_multiple_of(2), ..Partner::default() };
+        let mut partner = Partner {
+            limit,
+            max_batch: bundle,
+            capacity,
+            refused_count: at.is_multiple_of(2),
+            ..Partner::default()
+        };
         change(at, &mut partner);
         (partner, limit * ASKED)
     };
@@ -33,9 +38,9 @@
     assert_eq!(world.verdicts, Verdicts::default(), "seed {seed}");
     for (at, partner) in world.partners.iter().enumerate() {
         assert!(
-            partner.pushed <= 1.0,
+            partner.overload <= 1.0,
             "seed {seed}: partner {at} got {:.2} of what it bears",
-            partner.pushed
+            partner.overload
         );
     }
     let total = world.total();
--- a/crates/fleet-sim/tests/outages.rs
+++ b/crates/fleet-sim/tests/outages.rs
@@ -7,7 +7,7 @@
 /// A hundred senders, and a partner that takes five messages in a call and is down for five seconds.
 fn outage(seed: u64) -> World {
     let partner =
-        Partner { limit: 65.0, bundle: 5, capacity: 80.0, down: vec![(6.0, 11.0)], ..Partner::default() };
+        Partner { limit: 65.0, max_batch: 5, capacity: 80.0, down: vec![(6.0, 11.0)], ..Partner::default() };
     let mut world = World::new(100, vec![partner], seed);
     world.run(25.0, 150.0);
     assert_eq!(world.verdicts, Verdicts::default(), "seed {seed}");
@@ -45,7 +45,7 @@
     for seed in SEEDS {
         let world = outage(seed);
         let partner = &world.partners[0];
-        assert!(partner.pushed <= 1.0, "seed {seed}: {:.2} of what it bears", partner.pushed);
+        assert!(partner.overload <= 1.0, "seed {seed}: {:.2} of what it bears", partner.overload);
         let back: Count = partner.seconds[13..23].iter().copied().sum();
         assert!(back.delivered >= 1_300, "seed {seed}: {back:?}");
     }
@@ -56,7 +56,7 @@
 fn a_release_costs_no_message_and_little_time() {
     for (kept, least) in [(1, 0.88), (3, 0.83)] {
         for seed in SEEDS {
-            let partner = Partner { limit: 57.0, bundle: 5, ..Partner::default() };
+            let partner = Partner { limit: 57.0, max_batch: 5, ..Partner::default() };
             let mut world = World::new(100, vec![partner], seed);
             world.run(6.0, 140.0);
             world.release(92, 2.0, kept);
@@ -73,14 +73,19 @@
 #[test]
 fn a_release_into_an_outage_does_not_push_the_partner_over() {
     for seed in SEEDS {
-        let partner =
-            Partner { limit: 57.0, bundle: 5, capacity: 90.0, down: vec![(6.0, 11.0)], ..Partner::default() };
+        let partner = Partner {
+            limit: 57.0,
+            max_batch: 5,
+            capacity: 90.0,
+            down: vec![(6.0, 11.0)],
+            ..Partner::default()
+        };
         let mut world = World::new(100, vec![partner], seed);
         world.run(8.0, 120.0);
         world.release(92, 2.0, 2);
         world.run(16.0, 120.0);
         let partner = &world.partners[0];
         assert_eq!(world.verdicts, Verdicts::default(), "seed {seed}");
-        assert!(partner.pushed <= 1.0, "seed {seed}: {:.2} of what it bears", partner.pushed);
+        assert!(partner.overload <= 1.0, "seed {seed}: {:.2} of what it bears", partner.overload);
     }
 }
--- a/crates/fleet-sim/tests/small.rs
+++ b/crates/fleet-sim/tests/small.rs
@@ -1,6 +1,6 @@
 //! Many senders with little each, and partners with small limits. Several seeds; each failure names its own.
 
-use fleet_sim::{Law, Partner, Verdicts, World};
+use fleet_sim::{LimitModel, Partner, Verdicts, World};
 
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
 
@@ -10,12 +10,12 @@
     let limits = [38.0, 26.0, 22.0, 14.0, 12.0, 11.0, 10.0, 9.0, 8.0, 8.0, 7.0, 6.5, 5.5, 5.0, 5.0, 4.0];
     let one = |(at, limit): (usize, &f64)| Partner {
         limit: *limit,
-        law: Law::Span,
+        limit_model: LimitModel::FixedWindow,
         depth: if at % 2 == 0 { 2.0 } else { 1.0 },
         refused_count: at % 4 == 0,
-        bundle: if at % 3 == 2 { 5 } else { 1 },
+        max_batch: if at % 3 == 2 { 5 } else { 1 },
         reports_every: 0.4,
-        takes: 0.25,
+        call_seconds: 0.25,
         ..Partner::default()
     };
     (limits.iter().enumerate().map(one).collect(), limits.iter().map(|limit| limit * asked).collect())
@@ -74,7 +74,8 @@
 #[test]
 fn parts_grow_back_after_a_shortage() {
     let (in_time, refused) = means(|seed| {
-        let partner = Partner { limit: 57.0, law: Law::Span, depth: 1.5, ..Partner::default() };
+        let partner =
+            Partner { limit: 57.0, limit_model: LimitModel::FixedWindow, depth: 1.5, ..Partner::default() };
         let mut world = World::new(12, vec![partner], seed);
         for stretch in 0..10 {
             world.run(2.5, 57.0 * 0.9 * if stretch % 2 == 0 { 0.7 } else { 1.5 });
--- a/crates/golden/src/wire/admin.rs
+++ b/crates/golden/src/wire/admin.rs
@@ -1,7 +1,7 @@
 //! Answers at the admin address.
 
 use serde_json::json;
-use test_doubles::{leaving, listing};
+use test_doubles::{draining, listing};
 
 use super::scripted::{Pages, Scene, Server, ask, message, unordered};
 
@@ -9,7 +9,7 @@
 pub fn text() -> String {
     let mut pages = Pages::default();
     let endpoint = Server::new();
-    let scene = Scene::new(&[listing("e1", 7, "plain", endpoint.address), leaving("e2", 8)], "", |_| {});
+    let scene = Scene::new(&[listing("e1", 7, "plain", endpoint.address), draining("e2", 8)], "", |_| {});
     for (title, method, call) in [
         ("status", "GET", "/status"),
         ("figures at the start", "GET", "/status/metrics"),
@@ -60,7 +60,7 @@
 }
 
 fn cores(pages: &mut Pages) {
-    let scene = Scene::new(&[leaving("e1", 7)], "[cores]\ncount = 2\n", unordered);
+    let scene = Scene::new(&[draining("e1", 7)], "[cores]\ncount = 2\n", unordered);
     pages.add_bytes("a core that is not there", &scene.admin("POST", "/cores/move?destination=7&core=2"));
     let answers = [0, 1].map(|core| scene.admin("POST", &format!("/cores/move?destination=7&core={core}")));
     // Which core has it at first is a matter of its number alone.
@@ -76,7 +76,7 @@
 }
 
 fn shared(pages: &mut Pages) {
-    let scene = Scene::new(&[leaving("e1", 7)], "[shared]\non = true\nbytes = \"4kB\"\n", |config| {
+    let scene = Scene::new(&[draining("e1", 7)], "[shared]\non = true\nbytes = \"4kB\"\n", |config| {
         config["peer_listen"] = json!("127.0.0.1:0");
         config["peers"] = json!(["127.0.0.1:9", "127.0.0.1:9"]);
         config["settings"]["rank"] = json!(0);
--- a/crates/golden/src/wire/clients.rs
+++ b/crates/golden/src/wire/clients.rs
@@ -1,6 +1,6 @@
 //! Answers to clients.
 
-use test_doubles::{leaving, listing};
+use test_doubles::{draining, listing};
 
 use super::scripted::{Pages, Scene, Server, ask, ask_again, message, wait_out};
 
@@ -11,7 +11,7 @@
     let mut pages = Pages::default();
     let endpoint = Server::new();
     let ledger = "[journal]\nretain = \"1h\"\nledger = \"64kB\"\n";
-    let known = [listing("e1", 7, "plain", endpoint.address), leaving("e0", 8)];
+    let known = [listing("e1", 7, "plain", endpoint.address), draining("e0", 8)];
     let scene = Scene::new(&known, ledger, |_| {});
     let address = scene.node.address;
     pages.add_bytes("ready", &ask(address, READY));
@@ -65,7 +65,7 @@
 
 /// Refused for want of room on the disk.
 fn full(pages: &mut Pages) {
-    let scene = Scene::new(&[leaving("e0", 7)], "", |config| config["limits"]["disk_mb"] = 0.02.into());
+    let scene = Scene::new(&[draining("e0", 7)], "", |config| config["limits"]["disk_mb"] = 0.02.into());
     let refused = (0..1000)
         .map(|n| ask(scene.node.address, &message(&format!("m{n}"), "order", &[])))
         .find(|answer| !answer.starts_with(b"HTTP/1.1 202 "))
--- a/crates/golden/src/wire/endpoints.rs
+++ b/crates/golden/src/wire/endpoints.rs
@@ -1,7 +1,7 @@
 //! Requests to endpoints: alone and in a batch, with an idempotency key and without, of each effect.
 
 use serde_json::{Value, json};
-use test_doubles::{Node, leaving, listing};
+use test_doubles::{Node, draining, listing};
 
 use super::scripted::{Pages, Scene, Server, ask, message};
 
@@ -85,7 +85,7 @@
 /// What waits for one endpoint goes as one request.
 fn batch(pages: &mut Pages) {
     let endpoint = Server::new();
-    let scene = Scene::new(&[leaving("e0", 7)], "", |_| {});
+    let scene = Scene::new(&[draining("e0", 7)], "", |_| {});
     for (id, class) in [("a", "note"), ("b", "note"), ("c", "order"), ("d", "note"), ("e", "tick")] {
         submit(&scene.node, id, class);
     }
--- a/crates/golden/src/wire/logs.rs
+++ b/crates/golden/src/wire/logs.rs
@@ -1,6 +1,6 @@
 //! Log lines that people, tests and fault runs wait for.
 
-use test_doubles::{leaving, listing, wait_until};
+use test_doubles::{draining, listing, wait_until};
 
 use super::scripted::{Pages, Scene, Server, ask, message, normal, unordered, wait_out};
 
@@ -8,7 +8,7 @@
 pub fn text() -> String {
     let mut pages = Pages::default();
     let endpoint = Server::new();
-    let known = [listing("e1", 7, "plain", endpoint.address), leaving("e0", 8)];
+    let known = [listing("e1", 7, "plain", endpoint.address), draining("e0", 8)];
     let scene = Scene::new(&known, "[status]\nevery = \"100ms\"\n", |_| {});
     pages.add("status", &scene.line("status"));
     scene.admin("POST", "/maintenance/enter?target=e1");
@@ -33,7 +33,7 @@
 
 /// What a restart says of what it found.
 fn restart(pages: &mut Pages) {
-    let scene = Scene::new(&[leaving("e0", 7)], "", |_| {});
+    let scene = Scene::new(&[draining("e0", 7)], "", |_| {});
     for id in ["a", "b"] {
         assert!(ask(scene.node.address, &message(id, "order", &[])).starts_with(b"HTTP/1.1 202 "));
     }
@@ -45,9 +45,9 @@
 
 /// Two processes, the second of which takes over.
 fn upgrade(pages: &mut Pages) {
-    let mut scene = Scene::inheriting(&[leaving("e0", 7)]);
+    let mut scene = Scene::inheriting(&[draining("e0", 7)]);
     assert!(ask(scene.node.address, &message("a", "order", &[])).starts_with(b"HTTP/1.1 202 "));
-    let next = scene.node.start_beside();
+    let next = scene.node.start_successor();
     scene.node.signal("-TERM");
     pages.add("exit code of the process before", &format!("{:?}", wait_out(&mut scene.node)));
     wait_until(|| scene.node.log().iter().any(|line| line.contains("has handed over")));
@@ -58,7 +58,7 @@
 /// A sender with two cores.
 fn cores(pages: &mut Pages) {
     let scene =
-        Scene::new(&[leaving("e1", 7)], "[cores]\ncount = 2\n[status]\nevery = \"100ms\"\n", unordered);
+        Scene::new(&[draining("e1", 7)], "[cores]\ncount = 2\n[status]\nevery = \"100ms\"\n", unordered);
     pages.add("two cores", &scene.line(" is ready on "));
     pages.add("status of the first", &scene.line("status core=0"));
 }
--- a/crates/golden/src/wire/platform.rs
+++ b/crates/golden/src/wire/platform.rs
@@ -1,7 +1,7 @@
 //! Requests to discovery, and notifications of results.
 
 use serde_json::json;
-use test_doubles::{leaving, listing};
+use test_doubles::{draining, listing};
 
 use super::scripted::{Pages, Scene, Server, ask, message};
 
@@ -16,10 +16,10 @@
 
 fn lists(pages: &mut Pages) {
     let endpoint = Server::new();
-    let scene = Scene::new(&[leaving("e0", 7)], "", |_| {});
+    let scene = Scene::new(&[draining("e0", 7)], "", |_| {});
     let watch = scene.platform.next("GET ");
     pages.add_bytes("a watch from the version of the configuration", &watch.bytes);
-    watch.answer_with(200, "", &json!({"index": 5, "endpoints": [leaving("e1", 8)]}).to_string());
+    watch.answer_with(200, "", &json!({"index": 5, "endpoints": [draining("e1", 8)]}).to_string());
     let watch = scene.platform.next("GET ");
     pages.add_bytes("a watch from the version that was told", &watch.bytes);
     scene.wait_for_figure("svc_registry_entries", 2);
@@ -29,7 +29,7 @@
     watch.answer_with(503, "", "");
     let watch = scene.platform.next("GET ");
     pages.add_bytes("after a refusal", &watch.bytes);
-    let mut left = leaving("e1", 8);
+    let mut left = draining("e1", 8);
     left["status"] = json!("left");
     let entries = [left, listing("e2", 9, "plain", endpoint.address)];
     watch.answer_with(200, "", &json!({"index": 6, "endpoints": entries}).to_string());
@@ -56,7 +56,7 @@
 
 fn notifications(pages: &mut Pages) {
     let endpoint = Server::new();
-    let scene = Scene::new(&[leaving("e0", 7), listing("e1", 8, "plain", endpoint.address)], "", |_| {});
+    let scene = Scene::new(&[draining("e0", 7), listing("e1", 8, "plain", endpoint.address)], "", |_| {});
     let submit = |id: &str, class: &str, changes: &[(&str, &str)]| {
         let answer = ask(scene.node.address, &message(id, class, changes));
         assert!(answer.starts_with(b"HTTP/1.1 202 "), "{}", answer.escape_ascii());
--- a/crates/golden/src/wire/scripted.rs
+++ b/crates/golden/src/wire/scripted.rs
@@ -9,7 +9,7 @@
 use std::thread;
 
 use serde_json::{Value, json};
-use test_doubles::{Node, PATIENCE, Platform, Program, handing_in, wait_until};
+use test_doubles::{Node, Platform, Program, TIMEOUT, submission, wait_until};
 
 use super::programs;
 
@@ -65,7 +65,7 @@
             return later.remove(at).expect("it is there");
         }
         loop {
-            let request = self.requests.recv_timeout(PATIENCE).expect("a request comes");
+            let request = self.requests.recv_timeout(TIMEOUT).expect("a request comes");
             if request.bytes.starts_with(begins.as_bytes()) {
                 return request;
             }
@@ -131,8 +131,8 @@
 
 /// Writes a request on a connection of its own and reads the answer as it comes.
 pub fn ask(address: SocketAddr, request: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect_timeout(&address, PATIENCE).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time to wait");
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).expect("a connection");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a time to wait");
     stream.write_all(request).expect("it is written");
     read(&mut BufReader::new(stream)).expect("an answer")
 }
@@ -150,7 +150,7 @@
 
 /// A request that submits a message to destination 7 for 20 s, with these changes.
 pub fn message(id: &str, class: &str, changes: &[(&str, &str)]) -> Vec<u8> {
-    let mut text = String::from_utf8(handing_in(id, class, 7, 20_000)).expect("it is text");
+    let mut text = String::from_utf8(submission(id, class, 7, 20_000)).expect("it is text");
     for (from, to) in changes {
         assert!(text.contains(from), "{from} is there to be changed");
         text = text.replace(from, to);
@@ -226,7 +226,7 @@
     /// Asks the admin address.
     pub fn admin(&self, method: &str, call: &str) -> Vec<u8> {
         let request = format!("{method} {call} HTTP/1.1\r\nHost: ops\r\nContent-Length: 0\r\n\r\n");
-        ask(self.node.ops.expect("an admin address"), request.as_bytes())
+        ask(self.node.admin.expect("an admin address"), request.as_bytes())
     }
 
     /// Waits until one of the figures has that value.
--- a/crates/loadtest/src/compaction_kills.rs
+++ b/crates/loadtest/src/compaction_kills.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, listing};
+use test_doubles::{Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, listing};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
@@ -34,8 +34,8 @@
     let points = options.points.unwrap_or(if options.short { 20 } else { 1_000 });
     let mut rng = fastrand::Rng::with_seed(options.seed());
     let mut platform = Platform::new();
-    let notices = Notices::keep(&mut platform);
-    let well = |ms| Mood::Well(Duration::from_millis(ms));
+    let notices = Notifications::collect(&mut platform);
+    let well = |ms| Behavior::Healthy(Duration::from_millis(ms));
     let partners = [Partner::new(well(2)), Partner::new(well(30)), Partner::new(well(5))];
     let endpoints: Vec<_> = partners
         .iter()
@@ -62,7 +62,7 @@
     for point in 1..=points {
         std::thread::sleep(Duration::from_millis(rng.u64(5..120)));
         // One partner takes its turn at being ill, so that there is always something that may have run.
-        let ill = [Mood::Silent, Mood::Failing, Mood::Full, well(5)];
+        let ill = [Behavior::Silent, Behavior::Failing, Behavior::Rejecting, well(5)];
         partners[2].set(ill[rng.usize(..ill.len())]);
         let blocks = (rng.u8(..8) == 0).then(|| rng.u32(1..FULL_BLOCKS));
         full += usize::from(blocks.is_some());
@@ -75,10 +75,10 @@
             println!(
                 "{point:>5} kills, {full} with a full disk after them: {} taken on, {} refused, {} failed, {} unheard; \
                  segment {}",
-                heard(Heard::Taken),
-                heard(Heard::Refused),
-                heard(Heard::Failed),
-                heard(Heard::Nothing),
+                heard(ClientAnswer::Accepted),
+                heard(ClientAnswer::Rejected),
+                heard(ClientAnswer::Failed),
+                heard(ClientAnswer::Nothing),
                 newest(&node.state()),
             );
         }
@@ -90,9 +90,13 @@
     let patience = Duration::from_millis(u64::from(plan.within_ms) + 3_000);
     let ends = Ends::wait(patience, || Ends::of(&said, &effects(), &notices.all()));
     let segments = newest(&node.state());
-    let slowest =
-        said.values().filter(|m| m.heard == Heard::Taken).map(|m| m.after).max().unwrap_or_default();
-    let orders = said.values().filter(|m| m.class == "order" && m.heard == Heard::Taken).count();
+    let slowest = said
+        .values()
+        .filter(|m| m.answer == ClientAnswer::Accepted)
+        .map(|m| m.latency)
+        .max()
+        .unwrap_or_default();
+    let orders = said.values().filter(|m| m.class == "order" && m.answer == ClientAnswer::Accepted).count();
     let damaged = node.log().iter().any(|line| line.contains("damaged"));
     if !ends.lost.is_empty() || !ends.twice.is_empty() || damaged {
         let some = |ids: &[String]| ids.iter().take(5).cloned().collect::<Vec<_>>();
--- a/crates/loadtest/src/cores.rs
+++ b/crates/loadtest/src/cores.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 use test_doubles::{
-    Breach, Client, Mood, Node, Partner, Platform, Terms, handing_in_with, listing, wait_until,
+    Behavior, Client, Node, Partner, Platform, Terms, Violation, listing, submission_with, wait_until,
 };
 
 use crate::scenario::{Options, Scenario, program};
@@ -135,7 +135,7 @@
                     }
                     let dest = table[((client * 97 + n) % table.len() as u64) as usize];
                     let id = format!("{prefix}-{client}-{n}");
-                    connection.say(&handing_in_with(&id, "order", dest, 20_000, &[b'x'; BODY]));
+                    connection.write(&submission_with(&id, "order", dest, 20_000, &[b'x'; BODY]));
                     let Some(answer) = connection.answer() else { break };
                     if due >= start + warm {
                         let count = if answer.status() == 202 { taken } else { refused };
@@ -165,7 +165,9 @@
         waits: terms.filter(|_| n % 2 == 1),
         limit: terms.filter(|_| n.is_multiple_of(4)).map(|_| LIMIT),
     };
-    (0..PARTNERS).map(|n| Partner::with_terms(Mood::Well(Duration::from_millis(2)), terms(n))).collect()
+    (0..PARTNERS)
+        .map(|n| Partner::with_terms(Behavior::Healthy(Duration::from_millis(2)), terms(n)))
+        .collect()
 }
 
 fn node(file: &std::path::Path, platform: &Platform, partners: &[Partner], senders: u32) -> Node {
@@ -190,7 +192,7 @@
     calls: u64,
     waits: u64,
     /// Calls beyond a limit or before a wait was over: none may be.
-    overshoot: Vec<(u16, Breach)>,
+    overshoot: Vec<(u16, Violation)>,
     /// Calls at once at one partner, at most.
     at_once: usize,
     twice: usize,
@@ -200,10 +202,10 @@
     fn of(partners: &[Partner]) -> Self {
         let mut all = Self::default();
         for (partner, dest) in partners.iter().zip(7..) {
-            let counted = partner.counted();
+            let counted = partner.counts();
             all.calls += counted.calls;
             all.waits += counted.waits;
-            all.overshoot.extend(partner.breaches().into_iter().map(|breach| (dest, breach)));
+            all.overshoot.extend(partner.violations().into_iter().map(|breach| (dest, breach)));
             all.at_once = all.at_once.max(counted.at_once);
             all.twice += partner.effects().values().filter(|effects| effects.ran > 1).count();
         }
--- a/crates/loadtest/src/demo.rs
+++ b/crates/loadtest/src/demo.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, listing};
+use test_doubles::{Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, listing};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
@@ -15,12 +15,12 @@
     run,
 };
 
-const WELL: Mood = Mood::Well(Duration::from_millis(10));
+const WELL: Behavior = Behavior::Healthy(Duration::from_millis(10));
 
 fn run(options: &Options) -> Result<String, String> {
     let seconds: u64 = if options.short { 4 } else { 20 };
     let mut platform = Platform::new();
-    let notices = Notices::keep(&mut platform);
+    let notices = Notifications::collect(&mut platform);
     let partners: Vec<Partner> = (0..4).map(|_| Partner::new(WELL)).collect();
     let endpoints: Vec<_> = partners
         .iter()
@@ -61,9 +61,9 @@
     for second in 1..=seconds {
         std::thread::sleep((begun + Duration::from_secs(second)).saturating_duration_since(Instant::now()));
         if second == seconds / 2 {
-            partners[1].set(Mood::Failing);
+            partners[1].set(Behavior::Failing);
         }
-        partners[3].set(if second % 6 < 2 { Mood::Full } else { WELL });
+        partners[3].set(if second % 6 < 2 { Behavior::Rejecting } else { WELL });
         let tally = load.tally();
         let told: Vec<String> =
             notices.all().into_values().filter_map(|said| said.into_iter().next()).collect();
@@ -80,9 +80,9 @@
         };
         println!(
             "{second:>6} {:>7} {delivered:>10} {:>8} {:>7} {:>7}  {}",
-            tally.get(&Heard::Taken).copied().unwrap_or_default(),
-            count(Heard::Refused, "deferred"),
-            count(Heard::Failed, "undeliverable"),
+            tally.get(&ClientAnswer::Accepted).copied().unwrap_or_default(),
+            count(ClientAnswer::Rejected, "deferred"),
+            count(ClientAnswer::Failed, "undeliverable"),
             field("held="),
             field("open="),
         );
@@ -91,7 +91,7 @@
     // What is held has its end at its deadline at the latest, and a notice is due 300 ms later.
     let patience = Duration::from_millis(u64::from(plan.within_ms) + 1_000);
     let ends = Ends::wait(patience, || Ends::of(&said, &effects(), &notices.all()));
-    let nothing = said.values().filter(|m| m.heard == Heard::Nothing).count();
+    let nothing = said.values().filter(|m| m.answer == ClientAnswer::Nothing).count();
     if !ends.lost.is_empty() || !ends.twice.is_empty() || nothing > 0 {
         return Err(format!(
             "without an end {:?}, twice {:?}, {nothing} clients without an answer",
--- a/crates/loadtest/src/endings.rs
+++ b/crates/loadtest/src/endings.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, leaving, listing};
+use test_doubles::{
+    Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, draining, listing,
+};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
@@ -86,7 +88,7 @@
     let entry = |(at, partner): (usize, &Partner)| {
         let (name, destination) = (format!("e{at}"), FIRST + at as u16);
         if drained == Some(at) {
-            leaving(&name, destination)
+            draining(&name, destination)
         } else {
             listing(&name, destination, if at == 2 { "bulk" } else { "plain" }, partner.address)
         }
@@ -157,14 +159,21 @@
             }
             Ending::Drained => {
                 let drained = self.rng.usize(..self.partners.len());
-                self.platform.tell(&listings(&self.partners, Some(drained)));
+                self.platform.publish(&listings(&self.partners, Some(drained)));
                 std::thread::sleep(moment);
-                self.platform.tell(&listings(&self.partners, None));
+                self.platform.publish(&listings(&self.partners, None));
                 self
             }
             Ending::Mood(at) => {
-                let well = Mood::Well(Duration::from_millis(self.rng.u64(1..80)));
-                let moods = [Mood::Silent, Mood::Failing, Mood::Full, Mood::Down, well, well];
+                let well = Behavior::Healthy(Duration::from_millis(self.rng.u64(1..80)));
+                let moods = [
+                    Behavior::Silent,
+                    Behavior::Failing,
+                    Behavior::Rejecting,
+                    Behavior::Unreachable,
+                    well,
+                    well,
+                ];
                 self.partners[at].set(moods[self.rng.usize(..moods.len())]);
                 self
             }
@@ -175,8 +184,8 @@
 fn lane(seed: u64, points: usize) -> Result<Came, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut platform = Platform::new();
-    let notices = Notices::keep(&mut platform);
-    let well = |ms| Mood::Well(Duration::from_millis(ms));
+    let notices = Notifications::collect(&mut platform);
+    let well = |ms| Behavior::Healthy(Duration::from_millis(ms));
     let partners = vec![Partner::new(well(5)), Partner::new(well(60)), Partner::new(well(20))];
     let endpoints = listings(&partners, None);
     let node = Node::start(&program(), &platform, &endpoints, |config| {
@@ -217,7 +226,7 @@
     let mut came = lane.came;
     (came.delivered, came.noticed) = (ends.delivered, ends.noticed);
     came.taken = ends.delivered + ends.noticed;
-    came.unheard = said.values().filter(|message| message.heard == Heard::Nothing).count();
+    came.unheard = said.values().filter(|message| message.answer == ClientAnswer::Nothing).count();
     Ok(came)
 }
 
--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use fleet_sim::{Law, Partner};
+use fleet_sim::{LimitModel, Partner};
 use serde_json::json;
-use test_doubles::{HandedIn, Heard, Load, Node, Notices, Plan, Platform, listing};
+use test_doubles::{ClientAnswer, Load, Node, Notifications, Plan, Platform, Submission, listing};
 
 use crate::limited::Limited;
 use crate::scenario::{Options, Scenario, program};
@@ -57,13 +57,13 @@
 fn partners() -> Vec<Partner> {
     let partner = |(at, limit): (usize, &f64)| Partner {
         limit: *limit,
-        law: Law::Span,
+        limit_model: LimitModel::FixedWindow,
         depth: if at % 2 == 0 { 2.0 } else { 1.0 },
         refused_count: at % 4 == 0,
-        bundle: if at % 3 == 2 { 5 } else { 1 },
+        max_batch: if at % 3 == 2 { 5 } else { 1 },
         capacity: limit * 1.5,
         reports_every: 0.4,
-        takes: 0.15,
+        call_seconds: 0.15,
         down: if at == DOWN.0 { vec![DOWN.1] } else { vec![] },
         ..Partner::default()
     };
@@ -71,7 +71,7 @@
 }
 
 /// A message is worth its class's worth in time, and half with each further aim.
-fn worth(message: &HandedIn, after: Option<Duration>) -> f64 {
+fn worth(message: &Submission, after: Option<Duration>) -> f64 {
     let full = if message.class == "note" { 2.0 } else { 1.0 };
     let late = |after: Duration| (after.as_secs_f64() / AIM.as_secs_f64() - 1.0).max(0.0);
     after.map_or(0.0, |after| full * 0.5f64.powf(late(after)).max(0.3))
@@ -80,7 +80,7 @@
 fn play(seed: u64, senders: usize, known: bool) -> Result<Came, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut platform = Platform::new();
-    let notices = Notices::keep(&mut platform);
+    let notices = Notifications::collect(&mut platform);
     let limited = Limited::new(partners())?;
     let endpoints: Vec<_> = limited
         .addresses
@@ -173,13 +173,13 @@
             (came.asked_after, came.worth_after) = (came.asked_after + full, came.worth_after + worth_of);
         }
         came.twice += usize::from(message.class == "order" && of.ran > 1);
-        match message.heard {
-            Heard::Taken if of.at.is_none() && !told.contains_key(&id) => came.lost += 1,
-            Heard::Taken if of.at.is_none() => {
+        match message.answer {
+            ClientAnswer::Accepted if of.at.is_none() && !told.contains_key(&id) => came.lost += 1,
+            ClientAnswer::Accepted if of.at.is_none() => {
                 let back = told[&id].iter().any(|status| status == "deferred");
                 if back { came.handed_back += 1 } else { came.failed += 1 }
             }
-            Heard::Refused => came.refused_at_the_door += 1,
+            ClientAnswer::Rejected => came.refused_at_the_door += 1,
             _ => {}
         }
     }
@@ -187,7 +187,7 @@
         came.calls += partner.count.calls;
         came.refused += partner.count.refused;
         came.down += partner.count.failed;
-        came.pushed = came.pushed.max(partner.pushed);
+        came.pushed = came.pushed.max(partner.overload);
     }
     drop(nodes);
     Ok(came)
--- a/crates/loadtest/src/idle.rs
+++ b/crates/loadtest/src/idle.rs
@@ -7,7 +7,10 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use test_doubles::{Client, Crowd, Node, Notices, Platform, Saw, Way, handing_in_with, listing, wait_until};
+use test_doubles::{
+    CallBehavior, Client, ManyPartners, Node, Notifications, Observations, Platform, listing,
+    submission_with, wait_until,
+};
 
 use crate::scenario::{Options, Scenario, program};
 
@@ -60,9 +63,15 @@
 }
 
 /// Tells whether there was an answer.
-fn hand_in(crowd: &Crowd, client: &mut Client, destination: u16, n: &str, heard: &Mutex<Heard>) -> bool {
+fn hand_in(
+    crowd: &ManyPartners,
+    client: &mut Client,
+    destination: u16,
+    n: &str,
+    heard: &Mutex<Heard>,
+) -> bool {
     let id = crowd.id(destination, n);
-    client.say(&handing_in_with(&id, "note", destination, WITHIN_MS, &[b'x'; BODY]));
+    client.write(&submission_with(&id, "note", destination, WITHIN_MS, &[b'x'; BODY]));
     let status = client.answer().map(|answer| answer.status());
     let mut heard = heard.lock().unwrap();
     match status {
@@ -96,16 +105,16 @@
 }
 
 /// The wave's destinations, of those that have next to no traffic; some are full, silent or close.
-fn wave(crowd: &Crowd, rng: &mut fastrand::Rng, count: u16, size: usize) -> Vec<u16> {
+fn wave(crowd: &ManyPartners, rng: &mut fastrand::Rng, count: u16, size: usize) -> Vec<u16> {
     let mut wave: Vec<u16> = (count / 4..count).collect();
     rng.shuffle(&mut wave);
     wave.truncate(size);
     for (n, destination) in wave.iter().enumerate() {
         let way = match n % 50 {
-            0..10 => Way::Waits(Duration::from_millis(rng.u64(500..4_000))),
-            10 => Way::Silent,
-            11 => Way::Closes,
-            _ => Way::Well,
+            0..10 => CallBehavior::RetryAfter(Duration::from_millis(rng.u64(500..4_000))),
+            10 => CallBehavior::Silent,
+            11 => CallBehavior::Closes,
+            _ => CallBehavior::Healthy,
         };
         crowd.set(*destination, way);
     }
@@ -126,9 +135,9 @@
 fn play(options: &Options, count: u16, half: Half, time: Duration) -> Result<Figures, String> {
     let (seed, cores) = (options.seed(), options.cores.unwrap_or(1));
     let mut rng = fastrand::Rng::with_seed(seed);
-    let crowd = Crowd::new(count, 500.min(count), 3 * AFTER, count);
+    let crowd = ManyPartners::new(count, 500.min(count), 3 * AFTER, count);
     let mut platform = Platform::new();
-    let notices = Notices::keep(&mut platform);
+    let notices = Notifications::collect(&mut platform);
     let endpoints: Vec<_> =
         (0..count).map(|d| listing(&format!("e{d}"), d, "plain", crowd.address(d))).collect();
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
@@ -146,7 +155,7 @@
     let listed_kb = node.memory_kb();
     // Some of those that are called now and then tell waits.
     for destination in (50..count / 4).step_by(7) {
-        crowd.set(destination, Way::Waits(Duration::from_millis(rng.u64(500..4_000))));
+        crowd.set(destination, CallBehavior::RetryAfter(Duration::from_millis(rng.u64(500..4_000))));
     }
     let (law, heard, stop) = (Law::new(count), Mutex::new(Heard::default()), AtomicBool::new(false));
     let field = |name: &str| -> usize {
@@ -186,7 +195,7 @@
         while begun.elapsed() < time / 2 {
             if half == Half::Lists && begun.elapsed().as_secs() >= listed {
                 listed += 1;
-                platform.tell(&endpoints);
+                platform.publish(&endpoints);
             }
             std::thread::sleep(Duration::from_millis(100));
             memory_kb = node.memory_kb().max(memory_kb);
@@ -201,14 +210,14 @@
     let heard = heard.into_inner().unwrap();
     // Each has its end when its time is up, and its notice soon after that.
     let until = Instant::now() + Duration::from_millis(u64::from(WITHIN_MS) + 2_000);
-    let missing = |saw: &Saw, told: &HashMap<String, Vec<String>>| {
+    let missing = |saw: &Observations, told: &HashMap<String, Vec<String>>| {
         let answered: HashSet<&String> = saw.answered.iter().collect();
         heard.taken.iter().filter(|id| !answered.contains(id) && !told.contains_key(*id)).count()
     };
-    while missing(&crowd.saw(), &notices.all()) > 0 && Instant::now() < until {
+    while missing(&crowd.observations(), &notices.all()) > 0 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(100));
     }
-    let saw = crowd.saw();
+    let saw = crowd.observations();
     let lost = missing(&saw, &notices.all());
     if lost > 0 || heard.nothing > 0 || heard.taken.is_empty() {
         return Err(format!(
@@ -217,8 +226,8 @@
             heard.nothing
         ));
     }
-    if !saw.early.is_empty() || !saw.pushed.is_empty() {
-        return Err(broken_rules(&saw.early, &saw.pushed));
+    if !saw.early.is_empty() || !saw.concurrent.is_empty() {
+        return Err(broken_rules(&saw.early, &saw.concurrent));
     }
     let mut times: Vec<_> = saw.times.iter().filter(|t| t.0 < BUSY && t.1 >= from).map(|t| t.2).collect();
     times.sort_unstable();
@@ -240,7 +249,7 @@
 
 /// One client hands messages in at its part of the rate, on one connection.
 fn steady(
-    crowd: &Crowd,
+    crowd: &ManyPartners,
     law: &Law,
     heard: &Mutex<Heard>,
     stop: &AtomicBool,
@@ -268,9 +277,9 @@
 }
 
 /// Waits until each of these has answered a message of the wave.
-fn wave_done(crowd: &Crowd, well: &HashSet<u16>) {
+fn wave_done(crowd: &ManyPartners, well: &HashSet<u16>) {
     wait_until(|| {
-        let saw = crowd.saw();
+        let saw = crowd.observations();
         let of = |id: &String| id.strip_prefix('d')?.split("-w").next()?.parse::<u16>().ok();
         let waves = saw.answered.iter().filter(|id| id.contains("-w"));
         let answered: HashSet<u16> = waves.filter_map(of).collect();
@@ -280,7 +289,7 @@
 }
 
 /// How long after that time the last of these had its first call since.
-fn woken_after(saw: &Saw, well: &HashSet<u16>, from: Duration) -> Duration {
+fn woken_after(saw: &Observations, well: &HashSet<u16>, from: Duration) -> Duration {
     let mut first: HashMap<u16, Duration> = HashMap::new();
     for (destination, came, _) in saw.times.iter().filter(|t| t.1 >= from && well.contains(&t.0)) {
         first.entry(*destination).or_insert(*came);
@@ -300,9 +309,9 @@
 /// Senders that are killed at random moments while most destinations sleep and many have told waits.
 fn restarts(seed: u64, count: u16, kills: usize) -> Result<Killed, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let crowd = Crowd::new(count, 500.min(count), 3 * AFTER, 0);
+    let crowd = ManyPartners::new(count, 500.min(count), 3 * AFTER, 0);
     let mut platform = Platform::new();
-    let notices = Notices::keep(&mut platform);
+    let notices = Notifications::collect(&mut platform);
     let endpoints: Vec<_> =
         (0..count).map(|d| listing(&format!("e{d}"), d, "plain", crowd.address(d))).collect();
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
@@ -330,7 +339,10 @@
         for _ in 0..kills {
             // Of those that are called now and then some tell waits that outlast a kill or two.
             for _ in 0..count / 20 {
-                crowd.set(rng.u16(..count / 4), Way::Waits(Duration::from_millis(rng.u64(2_000..8_000))));
+                crowd.set(
+                    rng.u16(..count / 4),
+                    CallBehavior::RetryAfter(Duration::from_millis(rng.u64(2_000..8_000))),
+                );
                 waits += 1;
             }
             std::thread::sleep(Duration::from_millis(rng.u64(200..2_500)));
@@ -347,7 +359,7 @@
     });
     let heard = heard.into_inner().map_err(|e| e.to_string())?;
     let missing = || {
-        let (saw, told) = (crowd.saw(), notices.all());
+        let (saw, told) = (crowd.observations(), notices.all());
         let answered: HashSet<&String> = saw.answered.iter().collect();
         heard.taken.iter().filter(|id| !answered.contains(id) && !told.contains_key(*id)).count()
     };
@@ -355,14 +367,14 @@
     while missing() > 0 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(100));
     }
-    let saw = crowd.saw();
+    let saw = crowd.observations();
     if missing() > 0 {
         return Err(format!("{} of {} without an end", missing(), heard.taken.len()));
     }
     // One that was told in the last second before a kill may be lost with its process.
     let early: Vec<_> = saw.early.iter().copied().filter(|early| early.1 > Duration::from_secs(1)).collect();
-    if !early.is_empty() || !saw.pushed.is_empty() {
-        return Err(broken_rules(&early, &saw.pushed));
+    if !early.is_empty() || !saw.concurrent.is_empty() {
+        return Err(broken_rules(&early, &saw.concurrent));
     }
     let known = node.length_of("known-");
     Ok(Killed { taken: heard.taken.len(), waits, memory_kb, slowest, known })
--- a/crates/loadtest/src/limited.rs
+++ b/crates/loadtest/src/limited.rs
@@ -109,7 +109,7 @@
         let now = state.begun.elapsed().as_micros() as u64;
         let partner = &mut state.partners[number];
         let (outcome, report) = partner.call(now);
-        (outcome, report, Duration::from_secs_f64(partner.takes))
+        (outcome, report, Duration::from_secs_f64(partner.call_seconds))
     }
 
     async fn serve(self, number: usize, stream: TcpStream) {
--- a/crates/loadtest/src/scenario.rs
+++ b/crates/loadtest/src/scenario.rs
@@ -4,7 +4,7 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use test_doubles::{Effects, HandedIn, Heard, Program};
+use test_doubles::{ClientAnswer, Effects, Program, Submission};
 
 /// The first argument with which the program is the sender.
 pub const SENDER: &str = "run-as-sender";
@@ -86,7 +86,7 @@
 
     /// Holds what clients heard against what partners did and what the platform was told.
     pub fn of(
-        said: &HashMap<String, HandedIn>,
+        said: &HashMap<String, Submission>,
         effects: &HashMap<String, Effects>,
         notices: &HashMap<String, Vec<String>>,
     ) -> Self {
@@ -97,7 +97,7 @@
             if message.class == "order" && of.ran > 1 {
                 ends.twice.push(id.clone());
             }
-            if message.heard == Heard::Taken {
+            if message.answer == ClientAnswer::Accepted {
                 match (of.answered > 0, notices.contains_key(id)) {
                     (true, _) => ends.delivered += 1,
                     (false, true) => ends.noticed += 1,
--- a/crates/loadtest/src/throughput.rs
+++ b/crates/loadtest/src/throughput.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use test_doubles::{Client, Mood, Node, Partner, Platform, Program, handing_in_with, listing};
+use test_doubles::{Behavior, Client, Node, Partner, Platform, Program, listing, submission_with};
 
 use crate::proxy::PROXY;
 use crate::scenario::{Options, Scenario, program};
@@ -79,7 +79,7 @@
                     }
                     let dest = 7 + (n % u64::from(PARTNERS)) as u16;
                     let id = format!("{pid}-{client}-{n}");
-                    connection.say(&handing_in_with(&id, "note", dest, 20_000, &[b'x'; BODY]));
+                    connection.write(&submission_with(&id, "note", dest, 20_000, &[b'x'; BODY]));
                     match connection.answer() {
                         Some(answer) if answer.status() == 202 => taken.fetch_add(1, Ordering::Relaxed),
                         Some(_) => {
@@ -124,7 +124,7 @@
 
 /// Partners that are well, and answer at once.
 pub fn partners() -> Vec<Partner> {
-    (0..PARTNERS).map(|_| Partner::new(Mood::Well(Duration::ZERO))).collect()
+    (0..PARTNERS).map(|_| Partner::new(Behavior::Healthy(Duration::ZERO))).collect()
 }
 
 /// A sender with room for all that comes, and these partners.
@@ -150,7 +150,7 @@
         "{:>11} {:>14} {:>12} {:>14} {:>14} {:>12} {:>7}",
         "connections", "delivered/s", "refused/s", "CPU each, µs", "proxy's/s", "CPU each, µs", "ratio"
     );
-    let well = Mood::Well(Duration::ZERO);
+    let well = Behavior::Healthy(Duration::ZERO);
     let (mut worst, mut best) = (0.0f64, 0.0f64);
     for clients in counts {
         let (partners, platform) = (partners(), Platform::new());
--- a/crates/loadtest/src/upgrade_kills.rs
+++ b/crates/loadtest/src/upgrade_kills.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use test_doubles::{Heard, Load, Mood, Node, Notices, Partner, Plan, Platform, Starting, listing};
+use test_doubles::{
+    Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, Starting, listing,
+};
 
 use crate::scenario::{Ends, Options, Scenario, program};
 
@@ -119,12 +121,13 @@
         if let Some(most) = self.cores {
             for destination in 7..10 {
                 let core = self.rng.u8(..most);
-                let told = old.try_ops("POST", &format!("/cores/move?destination={destination}&core={core}"));
+                let told =
+                    old.try_admin("POST", &format!("/cores/move?destination={destination}&core={core}"));
                 self.came.moves += usize::from(told.is_some_and(|told| told.status() == 202));
             }
         }
         switch_on(&self.operators, another(&mut self.rng))?;
-        let mut new = old.starting_beside();
+        let mut new = old.starting_successor();
         std::thread::sleep(Duration::from_micros(self.rng.u64(..60_000)));
         let (kills, pauses) = match fire {
             Fire::Kill { old, new } => ((old, new), (false, false)),
@@ -141,7 +144,7 @@
         signals("-KILL", kills, &old, &new);
         signals("-STOP", pauses, &old, &new);
         switch_on(&self.operators, another(&mut self.rng))?;
-        let (mut third, began) = (old.starting_beside(), Instant::now());
+        let (mut third, began) = (old.starting_successor(), Instant::now());
         let mut paused = pauses != (false, false);
         let mut termed = false;
         while !third.is_ready() && began.elapsed() < READY_WITHIN {
@@ -176,8 +179,9 @@
         };
         self.came.slowest = self.came.slowest.max(took);
         // Two that decide: both say that they take clients, one of them before and after the other did.
-        let decides =
-            |node: &Node| node.try_ops("GET", "/status").is_some_and(|told| told.body == b"taking clients\n");
+        let decides = |node: &Node| {
+            node.try_admin("GET", "/status").is_some_and(|told| told.body == b"taking clients\n")
+        };
         let new = if new.is_ready() {
             new.ready(Duration::ZERO).map_err(|_| ()).ok()
         } else {
@@ -197,7 +201,7 @@
 
     /// Holds the figures against what partners counted, with callers that finish no call.
     fn compare(&mut self) -> Result<(), String> {
-        let Some(ops) = self.node.ops else { return Err("there is no second address".into()) };
+        let Some(ops) = self.node.admin else { return Err("there is no second address".into()) };
         let silent: Vec<_> = (0..SILENT)
             .filter_map(|_| {
                 let mut caller = TcpStream::connect(ops).ok()?;
@@ -236,8 +240,8 @@
 fn lane(seed: u64, points: usize, cores: Option<u8>) -> Result<Came, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut platform = Platform::new();
-    let notices = Notices::keep(&mut platform);
-    let well = |ms| Mood::Well(Duration::from_millis(ms));
+    let notices = Notifications::collect(&mut platform);
+    let well = |ms| Behavior::Healthy(Duration::from_millis(ms));
     let partners = vec![Partner::new(well(2)), Partner::new(well(40)), Partner::new(well(5))];
     let endpoints: Vec<_> = partners
         .iter()
@@ -269,7 +273,7 @@
     let mut lane = Lane { partners: partners_of, rng: rng.fork(), node, came, operators, cores };
     for point in 1..=points {
         std::thread::sleep(Duration::from_millis(rng.u64(50..250)));
-        let ill = [Mood::Silent, Mood::Failing, Mood::Full, well(5)];
+        let ill = [Behavior::Silent, Behavior::Failing, Behavior::Rejecting, well(5)];
         partners[2].set(ill[rng.usize(..ill.len())]);
         lane = lane.point().map_err(|e| format!("point {point}: {e}"))?;
         if point % 5 == 0 {
@@ -287,7 +291,7 @@
     let mut came = lane.came;
     (came.delivered, came.noticed, came.taken) =
         (ends.delivered, ends.noticed, ends.delivered + ends.noticed);
-    came.orders = said.values().filter(|m| m.class == "order" && m.heard == Heard::Taken).count();
+    came.orders = said.values().filter(|m| m.class == "order" && m.answer == ClientAnswer::Accepted).count();
     Ok(came)
 }
 
--- a/crates/sender/tests/node/bad.rs
+++ b/crates/sender/tests/node/bad.rs
@@ -8,7 +8,7 @@
 
 /// A request with that much changed.
 fn changed(from: &str, to: &str) -> Vec<u8> {
-    let text = String::from_utf8(handing_in("bad", "order", 7, 20_000)).unwrap();
+    let text = String::from_utf8(submission("bad", "order", 7, 20_000)).unwrap();
     assert!(text.contains(from), "{from}");
     text.replacen(from, to, 1).into_bytes()
 }
@@ -44,22 +44,22 @@
     for (what, text, status) in cases {
         let mut client = Client::new(&node);
         assert_eq!(client.ask(READY).status(), 200, "{what}: a good one before it");
-        client.say(&text);
+        client.write(&text);
         let answer = client.answer().unwrap_or_else(|| panic!("{what}: no answer"));
         assert_eq!(answer.status(), status, "{what}");
     }
     // A head that is cut, and a body that is: nobody is there to be told.
-    for cut in [20, handing_in("bad", "order", 7, 20_000).len() - 1] {
+    for cut in [20, submission("bad", "order", 7, 20_000).len() - 1] {
         let mut client = Client::new(&node);
         assert_eq!(client.ask(READY).status(), 200);
-        client.say(&handing_in("bad", "order", 7, 20_000)[..cut]);
+        client.write(&submission("bad", "order", 7, 20_000)[..cut]);
     }
     assert_eq!(node.journal_length(), before, "nothing was taken on");
     // What is longer than told is another request, and none: the first one holds.
-    let mut longer = handing_in("longer", "note", 7, 20_000);
+    let mut longer = submission("longer", "note", 7, 20_000);
     longer.extend(b"and more\r\n\r\n");
     let mut client = Client::new(&node);
-    client.say(&longer);
+    client.write(&longer);
     assert_eq!(client.answer().unwrap().status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "longer");
@@ -72,9 +72,9 @@
 fn an_id_that_comes_twice_is_one_message() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
-    assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
     let before = node.journal_length();
     call.reply(status(200));
     wait_until(|| node.journal_length() > before);
--- a/crates/sender/tests/node/closes.rs
+++ b/crates/sender/tests/node/closes.rs
@@ -13,7 +13,7 @@
 const ROUNDS: usize = 6;
 
 fn pipelined(ids: &[String]) -> Vec<u8> {
-    ids.iter().flat_map(|id| handing_in(id, "order", 7, 20_000)).collect()
+    ids.iter().flat_map(|id| submission(id, "order", 7, 20_000)).collect()
 }
 
 fn named(prefix: &str, count: usize) -> Vec<String> {
@@ -59,21 +59,21 @@
     const COUNT: usize = 48;
     for (prefix, piece) in [("whole", usize::MAX), ("cut", 97)] {
         let (platform, endpoint) = (Platform::new(), Served::new());
-        let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
+        let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
         let mut text = vec![];
         for id in named(prefix, COUNT) {
-            text.extend(handing_in_with(&id, "order", 7, 20_000, &[b'x'; 700]));
+            text.extend(submission_with(&id, "order", 7, 20_000, &[b'x'; 700]));
             text.extend(READY);
-            text.extend(handing_in(&format!("nowhere-{id}"), "order", 8, 20_000));
+            text.extend(submission(&format!("nowhere-{id}"), "order", 8, 20_000));
         }
         let mut client = Client::new(&node);
-        text.chunks(piece.min(text.len())).for_each(|piece| client.say(piece));
+        text.chunks(piece.min(text.len())).for_each(|piece| client.write(piece));
         for n in 0..COUNT {
             let statuses = [(); 3].map(|()| client.answer().expect("an answer").status());
             assert_eq!(statuses, [202, 200, 503], "{prefix}{n}");
         }
         assert_eq!(client.ask(READY).status(), 200, "the connection is kept");
-        platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
+        platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
         let mut called = BTreeSet::new();
         while called.len() < COUNT {
             let call = endpoint.next();
@@ -100,7 +100,7 @@
         }
         let ids = named("m", 30);
         node.stop();
-        client.say(&pipelined(&ids));
+        client.write(&pipelined(&ids));
         node.signal("-TERM");
         node.signal("-CONT");
         let answers = answers(&mut client);
@@ -123,7 +123,7 @@
         let mut client = Client::new(&node);
         assert_eq!(client.ask(READY).status(), 200);
         let ids = named("m", if round % 2 == 0 { 3 } else { 400 });
-        client.say(&pipelined(&ids));
+        client.write(&pipelined(&ids));
         // They have been read once what came later is answered.
         assert_eq!(node.ask(READY).status(), 200);
         node.signal("-TERM");
@@ -145,9 +145,9 @@
     node.signal("-TERM");
     assert!(kept.ended(), "the process has heard it");
     // It is closed: nothing is read from it any more.
-    kept.say(&handing_in("behind", "order", 7, 20_000));
+    kept.write(&submission("behind", "order", 7, 20_000));
     let ids = named("m", 5);
-    client.say(&pipelined(&ids));
+    client.write(&pipelined(&ids));
     let answers = answers(&mut client);
     assert_eq!(answers.len(), 1);
     answered_alone_are_forwarded(&mut node, &endpoint, &ids, &answers);
@@ -167,7 +167,7 @@
     assert_eq!(half.ask(&[READY, first].concat()).status(), 200);
     node.signal("-TERM");
     assert!(kept.ended(), "the process has heard it");
-    half.say(rest);
+    half.write(rest);
     let answers = answers(&mut half);
     eprintln!("{} of 1 answered", answers.len());
     answered_alone_are_forwarded(&mut node, &endpoint, &ids, &answers);
@@ -188,7 +188,7 @@
     // Time has to pass, and nothing else: an idle connection's 2.2 s.
     std::thread::sleep(Duration::from_millis(2_400));
     for (client, id) in clients.iter_mut().zip(named("m", CLIENTS)) {
-        client.say(&handing_in(&id, "order", 7, 20_000));
+        client.write(&submission(&id, "order", 7, 20_000));
     }
     node.signal("-CONT");
     let mut accepted = BTreeSet::new();
@@ -199,7 +199,7 @@
         }
     }
     eprintln!("{} of {CLIENTS} accepted", accepted.len());
-    assert_eq!(node.hand_in("last", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("last", "order", 7, 20_000).status(), 202);
     accepted.insert("last".to_owned());
     let mut called = BTreeSet::new();
     while called.len() < accepted.len() {
@@ -224,8 +224,8 @@
     for round in 0..8 {
         let start = |id: &String| {
             let mut stream = TcpStream::connect(node.address).unwrap();
-            stream.set_read_timeout(Some(PATIENCE)).unwrap();
-            stream.write_all(&handing_in(id, "order", 7, 20_000)).unwrap();
+            stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+            stream.write_all(&submission(id, "order", 7, 20_000)).unwrap();
             stream
         };
         let mut ending: Vec<_> = named(&format!("ends{round}-"), CLIENTS).iter().map(start).collect();
@@ -236,7 +236,7 @@
             ending.iter_mut().filter_map(|stream| stream.read(&mut [0]).ok()).filter(|size| *size == 0);
         let all_ended = ended.count() == CLIENTS;
         let last = format!("last{round}");
-        assert_eq!(node.hand_in(&last, "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&last, "order", 7, 20_000).status(), 202);
         let mut before = 0;
         loop {
             let call = endpoint.next();
--- a/crates/sender/tests/node/cores.rs
+++ b/crates/sender/tests/node/cores.rs
@@ -25,7 +25,7 @@
     for (n, client) in clients.iter_mut().enumerate() {
         for dest in 1..9 {
             let id = format!("m{n}-{dest}");
-            client.say(&handing_in_with(&id, "order", dest, 20_000, b"x"));
+            client.write(&submission_with(&id, "order", dest, 20_000, b"x"));
             let call = served.next();
             assert_eq!(call.http.headers["req-id"], id);
             call.reply(status(200));
@@ -43,7 +43,7 @@
     let (node, folder) = start(&platform, &known, 4);
     let mut calls = Vec::new();
     for dest in 1..9 {
-        assert_eq!(node.hand_in(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
         calls.push(served.next());
     }
     let (mut node, operators) = (node, folder.path().join("operators.toml"));
@@ -78,7 +78,7 @@
     let (platform, served) = (Platform::new(), Served::new());
     let (node, _folder) = start(&platform, &[listing("e7", 7, "plain", served.address)], 3);
     for core in [0, 1, 2, 0] {
-        assert_eq!(node.hand_in(&format!("a{core}"), "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("a{core}"), "order", 7, 20_000).status(), 202);
         let call = served.next();
         move_to(&node, 7, core);
         wait_until(|| node.figure("svc_open_requests") == 1);
@@ -110,7 +110,7 @@
     }
     assert_eq!(node.figure("svc_out_of_rotation"), 8);
     for dest in 1..9 {
-        assert_eq!(node.hand_in(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
     }
     assert!(!served.unseen(), "held out everywhere from the yes on");
     move_to(&node, 1, 3);
@@ -162,12 +162,12 @@
     for count in [2, 1, 4] {
         let calls: Vec<_> = (1..9)
             .map(|dest| {
-                assert_eq!(node.hand_in(&format!("m{count}-{dest}"), "order", dest, 20_000).status(), 202);
+                assert_eq!(node.submit(&format!("m{count}-{dest}"), "order", dest, 20_000).status(), 202);
                 served.next()
             })
             .collect();
         cores(count);
-        let next = node.start_beside();
+        let next = node.start_successor();
         assert_eq!(next.figure("svc_open_requests"), 8, "all of it is known there: {:?}", next.log());
         // They end on the old one's connections, after it handed over.
         calls.into_iter().for_each(|call| call.reply(status(200)));
--- a/crates/sender/tests/node/crowded.rs
+++ b/crates/sender/tests/node/crowded.rs
@@ -14,7 +14,7 @@
     listed["weight"] = json!(20.0);
     let node = Node::start(&program(), &platform, &[listed], |_| {});
     for id in ["a", "b", "c"] {
-        assert_eq!(node.hand_in(id, "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(id, "order", 7, 20_000).status(), 202);
         let turned_away = endpoint.next();
         assert_eq!(turned_away.http.headers["req-id"], id);
         let connection = turned_away.connection;
@@ -31,7 +31,7 @@
     // At the pace after a refusal most of these would be out of time.
     let ids = ["d", "e", "f", "g"];
     for id in ids {
-        assert_eq!(node.hand_in(id, "note", 7, 1_500).status(), 202);
+        assert_eq!(node.submit(id, "note", 7, 1_500).status(), 202);
     }
     for id in ids {
         let call = endpoint.next();
@@ -48,7 +48,7 @@
         let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
         let ids = if kept { vec!["a", "b", "c"] } else { vec!["c"] };
         for id in &ids {
-            assert_eq!(node.hand_in(id, "note", 7, 20_000).status(), 202);
+            assert_eq!(node.submit(id, "note", 7, 20_000).status(), 202);
             let call = endpoint.next();
             let before = node.journal_length();
             if *id == "c" {
@@ -61,7 +61,7 @@
             wait_until(|| node.journal_length() > before);
         }
         // The least pace: a call in 2 s.
-        assert_eq!(node.hand_in("late", "note", 7, 1_500).status(), 202);
-        assert_eq!(platform.notice(204)[0]["id"], json!("late"), "kept {kept}, report {report}");
+        assert_eq!(node.submit("late", "note", 7, 1_500).status(), 202);
+        assert_eq!(platform.answer_notification(204)[0]["id"], json!("late"), "kept {kept}, report {report}");
     }
 }
--- a/crates/sender/tests/node/duty.rs
+++ b/crates/sender/tests/node/duty.rs
@@ -28,7 +28,7 @@
     assert_eq!(node.ops("POST", "/maintenance/enter?target=e1").status(), 200, "the call may come again");
     assert_eq!(node.figure("svc_out_of_rotation"), 1);
     // Listed anew, and listed in a new process.
-    platform.tell(&[listed[0].clone(), leaving("e2", 8)]);
+    platform.publish(&[listed[0].clone(), draining("e2", 8)]);
     let both_avoided = |node: &Node| {
         wait_until(|| node.figure("svc_registry_entries") == 2);
         assert_eq!(node.figure("svc_out_of_rotation"), 2);
@@ -36,17 +36,17 @@
     both_avoided(&node);
     let node = node.kill_and_restart();
     both_avoided(&node);
-    assert_eq!(node.hand_in("a", "note", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
     assert_eq!(node.figure("svc_open_requests"), 1);
     assert!(!endpoint.unseen());
     assert_eq!(node.ops("POST", "/maintenance/exit?target=e1").status(), 200, "one call back ends it");
     endpoint.next().reply(status(200));
     assert_eq!(node.ops("POST", "/maintenance/exit?target=e1").status(), 200);
     // An endpoint that has left the list was known all the same.
-    platform.tell(&[leaving("e2", 8)]);
+    platform.publish(&[draining("e2", 8)]);
     wait_until(|| node.figure("svc_registry_entries") == 1);
     assert_eq!(node.ops("POST", "/maintenance/enter?target=e1").status(), 200);
-    platform.tell(&listed);
+    platform.publish(&listed);
     wait_until(|| node.figure("svc_out_of_rotation") == 1);
 }
 
@@ -63,11 +63,11 @@
     assert_eq!(node.ops("POST", "/standby").status(), 200);
     assert_eq!(node.ask(READY).status(), 503);
     // Not closed on before it has had its answer, which says that it is the last.
-    let answer = busy.ask(&handing_in("a", "note", 7, 20_000));
+    let answer = busy.ask(&submission("a", "note", 7, 20_000));
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (202, "close"));
     assert!(busy.ended());
     let mut late = Client::new(&node);
-    assert_eq!(late.ask(&handing_in("b", "note", 7, 20_000)).status(), 202);
+    assert_eq!(late.ask(&submission("b", "note", 7, 20_000)).status(), 202);
     assert!(late.ended() && idle.ended());
     // What it has taken on it still delivers.
     endpoint.next().reply(status(200));
@@ -76,7 +76,7 @@
     assert_eq!(node.ops("POST", "/active").status(), 200);
     let mut back = Client::new(&node);
     assert_eq!(back.ask(READY).status(), 200);
-    assert_eq!(back.ask(&handing_in("c", "note", 7, 20_000)).status(), 202);
+    assert_eq!(back.ask(&submission("c", "note", 7, 20_000)).status(), 202);
     assert_eq!(back.ask(READY).status(), 200, "it stays open");
 }
 
@@ -86,16 +86,16 @@
     let node = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(node.ops("GET", "/status").status(), 200);
     for id in ["a", "b", "c"] {
-        assert_eq!(node.hand_in(id, "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(id, "order", 7, 20_000).status(), 202);
     }
-    assert_eq!(node.hand_in("d", "note", 9, 20_000).status(), 503, "no list names it");
+    assert_eq!(node.submit("d", "note", 9, 20_000).status(), 503, "no list names it");
     let calls: Vec<_> = (0..3).map(|_| endpoint.next()).collect();
     wait_until(|| node.figure("svc_relayed") == 3);
     assert_eq!(node.figure("svc_open_requests"), 3);
     for (call, code) in calls.into_iter().zip([200, 200, 500]) {
         call.reply(status(code));
     }
-    platform.notice(204);
+    platform.answer_notification(204);
     wait_until(|| node.figure("svc_open_requests") == 0);
     let count =
         |class, status| node.figure(&format!("svc_operations{{priority=\"{class}\",status=\"{status}\"}}"));
@@ -110,7 +110,7 @@
 fn silent_callers_keep_nobody_out() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    let mut silent: Vec<_> = (0..100).map(|_| TcpStream::connect(node.ops.unwrap()).unwrap()).collect();
+    let mut silent: Vec<_> = (0..100).map(|_| TcpStream::connect(node.admin.unwrap()).unwrap()).collect();
     assert_eq!(node.ops("GET", "/status").status(), 200);
     // Well before a caller's time is up: the first made way.
     silent[0].set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -124,7 +124,7 @@
     let held = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddr = held.local_addr().unwrap();
     let program = program().inheriting(&held);
-    let node = Node::start(&program, &platform, &[leaving("e0", 7)], |config| {
+    let node = Node::start(&program, &platform, &[draining("e0", 7)], |config| {
         config["listen"] = json!(address.to_string());
     });
     assert_eq!(node.address, address);
--- a/crates/sender/tests/node/endings.rs
+++ b/crates/sender/tests/node/endings.rs
@@ -19,7 +19,7 @@
     let mut client = Client::new(&node);
     let early = (0..200).any(|n| {
         let since = Instant::now();
-        assert_eq!(client.ask(&handing_in(&format!("m{n}"), "order", 7, 400)).status(), 202);
+        assert_eq!(client.ask(&submission(&format!("m{n}"), "order", 7, 400)).status(), 202);
         let call = endpoint.next();
         let waits: u64 = call.http.headers["req-deadline-ms"].parse().unwrap();
         let end = since.elapsed() + Duration::from_millis(waits);
@@ -35,14 +35,14 @@
 #[test]
 fn a_notice_on_a_silent_connection_goes_over_another_in_time() {
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     let mut soonest = Duration::MAX;
     // One that is quick is enough: without the guard none is, and a busy machine may delay some.
     for n in 0..8 {
-        assert_eq!(node.hand_in(&format!("m{n}"), "order", 7, 60).status(), 202);
-        let silent = platform.notices.recv_timeout(PATIENCE).unwrap();
+        assert_eq!(node.submit(&format!("m{n}"), "order", 7, 60).status(), 202);
+        let silent = platform.notifications.recv_timeout(TIMEOUT).unwrap();
         let since = Instant::now();
-        let again = platform.notices.recv_timeout(PATIENCE).unwrap();
+        let again = platform.notifications.recv_timeout(TIMEOUT).unwrap();
         soonest = soonest.min(since.elapsed());
         assert_eq!(again.http.body, silent.http.body);
         assert_ne!(again.connection, silent.connection);
@@ -70,7 +70,7 @@
     let mut after = Client::new(&node);
     assert_eq!(node.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n").status(), 503);
     for (id, client) in [("before", &mut before), ("after", &mut after)] {
-        let answer = client.ask(&handing_in(id, "note", 7, 20_000));
+        let answer = client.ask(&submission(id, "note", 7, 20_000));
         assert_eq!(answer.status(), 202);
         assert_eq!(answer.headers["connection"], "close");
         assert!(client.ended(), "and that was the last answer on it");
@@ -87,14 +87,14 @@
     const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
     let (mut kept, mut half) = (Client::new(&node), Client::new(&node));
     assert_eq!(half.ask(READY).status(), 200);
-    let request = handing_in("a", "note", 7, 20_000);
+    let request = submission("a", "note", 7, 20_000);
     let (first, rest) = request.split_at(40);
-    half.say(first);
+    half.write(first);
     // It has been read once what came later is answered.
     assert_eq!(kept.ask(READY).status(), 200);
     node.signal("-TERM");
     assert!(kept.ended(), "the process has heard it");
-    half.say(rest);
+    half.write(rest);
     let answer = half.answer().expect("an answer");
     assert_eq!((answer.status(), &*answer.headers["connection"]), (202, "close"));
     assert!(half.ended());
@@ -109,7 +109,7 @@
     const STILL: Duration = Duration::from_millis(350);
     const WITHIN: u32 = 900;
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     let mut latest = Duration::MAX;
     // One that is in time is enough: without the guard none is, and a busy machine may delay some.
     for n in 0..8 {
@@ -117,12 +117,12 @@
         assert_eq!(client.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n").status(), 200);
         node.stop();
         let since = Instant::now();
-        client.say(&handing_in(&format!("m{n}"), "order", 7, WITHIN));
+        client.write(&submission(&format!("m{n}"), "order", 7, WITHIN));
         // Time has to pass, and nothing else.
         std::thread::sleep(STILL);
         node.signal("-CONT");
         assert_eq!(client.answer().expect("an answer").status(), 202);
-        platform.notice(204);
+        platform.answer_notification(204);
         latest = latest.min(since.elapsed());
         if latest < Duration::from_millis(u64::from(WITHIN) + 100) {
             return;
@@ -136,19 +136,19 @@
 #[test]
 fn who_says_it_once_more_is_owed_its_end_though_the_first_connection_goes() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     let (mut first, mut second) = (Client::new(&node), Client::new(&node));
     for client in [&mut first, &mut second] {
         assert_eq!(client.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n").status(), 200);
     }
     // Stopped, the process finds all of it at once: both requests and the end of the first connection.
     node.stop();
-    first.say(&handing_in("a", "note", 7, 20_000));
-    second.say(&handing_in("a", "note", 7, 20_000));
+    first.write(&submission("a", "note", 7, 20_000));
+    second.write(&submission("a", "note", 7, 20_000));
     drop(first);
     node.signal("-CONT");
     assert_eq!(second.answer().unwrap().status(), 202);
-    platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
+    platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "a");
     call.reply(status(200));
@@ -158,14 +158,14 @@
 #[test]
 fn what_a_restart_finds_untried_is_tried_and_told_of() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7), leaving("e1", 8)], |_| {});
+    let node = Node::start(&program(), &platform, &[draining("e0", 7), draining("e1", 8)], |_| {});
     for n in 0..3 {
-        assert_eq!(node.hand_in(&format!("m{n}"), "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("m{n}"), "order", 7, 20_000).status(), 202);
     }
-    assert_eq!(node.hand_in("short", "order", 8, 700).status(), 202);
+    assert_eq!(node.submit("short", "order", 8, 700).status(), 202);
     let node = node.kill_and_restart();
-    assert_eq!(platform.notice(204)[0]["id"], json!("short"));
-    platform.tell(&[listing("e2", 7, "plain", endpoint.address), leaving("e1", 8)]);
+    assert_eq!(platform.answer_notification(204)[0]["id"], json!("short"));
+    platform.publish(&[listing("e2", 7, "plain", endpoint.address), draining("e1", 8)]);
     let mut ids: Vec<_> = (0..3)
         .map(|_| {
             let call = endpoint.next();
@@ -187,19 +187,19 @@
 fn what_a_restart_finds_untried_does_not_make_way() {
     const OLD: usize = 12;
     let (platform, endpoint) = (Platform::new(), Served::new());
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |config| {
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |config| {
         config["settings"]["limits"]["max_open"] = json!(16);
     });
     for n in 0..OLD {
-        assert_eq!(node.hand_in(&format!("old{n}"), "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("old{n}"), "order", 7, 20_000).status(), 202);
     }
     let node = node.kill_and_restart();
     for n in 0..20 {
-        assert_eq!(node.hand_in(&format!("new{n}"), "note", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("new{n}"), "note", 7, 20_000).status(), 202);
     }
-    let first_to_go = platform.notice(204)[0]["id"].to_string();
+    let first_to_go = platform.answer_notification(204)[0]["id"].to_string();
     assert!(first_to_go.contains("new"), "{first_to_go}");
-    platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
+    platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
     let ids: Vec<_> = (0..OLD)
         .map(|_| {
             let call = endpoint.next();
@@ -216,11 +216,11 @@
 #[test]
 fn of_messages_that_travel_together_the_one_with_most_time_is_the_first() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     for (id, within) in [("short", 3_000), ("long", 20_000), ("shorter", 2_000)] {
-        assert_eq!(node.hand_in(id, "order", 7, within).status(), 202);
+        assert_eq!(node.submit(id, "order", 7, within).status(), 202);
     }
-    platform.tell(&[listing("e1", 7, "bulk", endpoint.address)]);
+    platform.publish(&[listing("e1", 7, "bulk", endpoint.address)]);
     let call = endpoint.next();
     assert_eq!(ids(&call), ["long", "short", "shorter"]);
     call.reply(status(200));
@@ -236,15 +236,19 @@
         let node = Node::start(&program(), &platform, &known, |config| {
             config["settings"]["classes"][1]["effect"] = json!(before);
         });
-        assert_eq!(node.hand_in("old", "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit("old", "order", 7, 20_000).status(), 202);
         let _called = endpoint.next();
         let mut configuration = node.configuration();
         configuration["settings"]["classes"][1]["effect"] = json!(after);
         node.reconfigure(&configuration.to_string());
         let node = node.kill_and_restart();
-        assert_eq!(platform.notice(204), [json!({"id": "old", "status": "undeliverable"})], "{before}");
+        assert_eq!(
+            platform.answer_notification(204),
+            [json!({"id": "old", "status": "undeliverable"})],
+            "{before}"
+        );
         // What comes now is the settings'.
-        assert_eq!(node.hand_in("new", "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit("new", "order", 7, 20_000).status(), 202);
         let call = endpoint.next();
         assert_eq!(call.http.headers["req-id"], "new");
         call.reply(Reply::Close);
@@ -253,7 +257,7 @@
             assert_eq!(again.http.headers["req-id"], "new", "it may run twice");
             again.reply(status(200));
         } else {
-            assert_eq!(platform.notice(204), [json!({"id": "new", "status": "undeliverable"})]);
+            assert_eq!(platform.answer_notification(204), [json!({"id": "new", "status": "undeliverable"})]);
         }
     }
 }
@@ -269,7 +273,7 @@
         let node = Node::start(&program(), &platform, &known, |config| {
             config["settings"]["classes"][1]["on_time_us"] = json!(aim * 1000);
         });
-        assert_eq!(node.hand_in("a", "order", 7, within).status(), 202);
+        assert_eq!(node.submit("a", "order", 7, within).status(), 202);
         let call = endpoint.next();
         let waits: u64 = call.http.headers["req-deadline-ms"].parse().unwrap();
         assert!(waits <= 400, "{waits}");
@@ -278,7 +282,11 @@
         // Time has to pass, and nothing else; from when the call came it is more than is left.
         std::thread::sleep(Duration::from_millis(waits + 100));
         node.signal("-CONT");
-        assert_eq!(platform.notice(204), [json!({"id": "a", "status": "undeliverable"})], "{within}");
+        assert_eq!(
+            platform.answer_notification(204),
+            [json!({"id": "a", "status": "undeliverable"})],
+            "{within}"
+        );
     }
 }
 
@@ -286,10 +294,10 @@
 #[test]
 fn a_notice_that_is_answered_late_over_its_first_connection_is_done() {
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
-    assert_eq!(node.hand_in("a", "order", 7, 60).status(), 202);
-    let first = platform.notices.recv_timeout(PATIENCE).unwrap();
-    let second = platform.notices.recv_timeout(PATIENCE).unwrap();
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
+    assert_eq!(node.submit("a", "order", 7, 60).status(), 202);
+    let first = platform.notifications.recv_timeout(TIMEOUT).unwrap();
+    let second = platform.notifications.recv_timeout(TIMEOUT).unwrap();
     assert!(first.closed.try_recv().is_err(), "it is not given up");
     let before = node.journal_length();
     first.reply(status(204));
--- a/crates/sender/tests/node/kept.rs
+++ b/crates/sender/tests/node/kept.rs
@@ -30,21 +30,21 @@
     let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
     let known = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let (node, _folder) = start(&platform, &known, "[journal]\nretain = \"1h\"\nledger = \"10kB\"\n");
-    assert_eq!(node.hand_in("delivered", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("delivered", "order", 7, 20_000).status(), 202);
     seven.next().reply(status(200));
-    assert_eq!(node.hand_in("failed", "order", 8, 20_000).status(), 202);
+    assert_eq!(node.submit("failed", "order", 8, 20_000).status(), 202);
     eight.next().reply(status(500));
-    assert_eq!(platform.notice(204), [json!({"id": "failed", "status": "undeliverable"})]);
-    assert_eq!(node.hand_in("note", "note", 7, 20_000).status(), 202);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "failed", "status": "undeliverable"})]);
+    assert_eq!(node.submit("note", "note", 7, 20_000).status(), 202);
     seven.next().reply(status(200));
     // Its end is written when nothing is owed any more.
     wait_until(|| {
         lines(&look(&node, "verify")).last().unwrap().starts_with("0 messages are owed their end, 2 ends")
     });
     let node = node.kill_and_restart();
-    assert_eq!(node.hand_in("delivered", "order", 7, 20_000).status(), 200);
-    assert_eq!(node.hand_in("failed", "order", 8, 20_000).status(), 500);
-    assert_eq!(node.hand_in("note", "note", 7, 20_000).status(), 202, "it may be repeated");
+    assert_eq!(node.submit("delivered", "order", 7, 20_000).status(), 200);
+    assert_eq!(node.submit("failed", "order", 8, 20_000).status(), 500);
+    assert_eq!(node.submit("note", "note", 7, 20_000).status(), 202, "it may be repeated");
     assert_eq!(seven.next().http.headers["req-id"], "note");
     assert!(!seven.unseen() && !eight.unseen(), "no order is sent again");
 }
@@ -54,11 +54,11 @@
     let platform = Platform::new();
     // Room for one entry: 20 bytes and its id.
     let (node, _folder) =
-        start(&platform, &[leaving("e0", 7)], "[journal]\nretain = \"1h\"\nledger = \"30B\"\n");
-    assert_eq!(node.hand_in("one", "order", 7, 20_000).status(), 202);
-    let refused = node.hand_in("two", "order", 7, 20_000);
+        start(&platform, &[draining("e0", 7)], "[journal]\nretain = \"1h\"\nledger = \"30B\"\n");
+    assert_eq!(node.submit("one", "order", 7, 20_000).status(), 202);
+    let refused = node.submit("two", "order", 7, 20_000);
     assert_eq!((refused.status(), refused.headers["retry-after"].as_str()), (503, "1.000"));
-    assert_eq!(node.hand_in("three", "note", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("three", "note", 7, 20_000).status(), 202);
 }
 
 /// Spoils a byte of the first segment.
@@ -73,11 +73,11 @@
 #[test]
 fn what_a_damaged_journal_may_hide_is_not_sent_again() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
-    assert_eq!(node.hand_in("early", "order", 7, 20_000).status(), 202);
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
+    assert_eq!(node.submit("early", "order", 7, 20_000).status(), 202);
     let from = node.journal_length();
-    assert_eq!(node.hand_in("lost", "order", 7, 20_000).status(), 202);
-    assert_eq!(node.hand_in("late", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("lost", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("late", "order", 7, 20_000).status(), 202);
     spoil(&node, from + 40);
     let verified = look(&node, "verify");
     assert!(!verified.status.success());
@@ -88,8 +88,8 @@
         "{:?}",
         node.log()
     );
-    assert_eq!(platform.notice(204), [json!({"id": "early", "status": "undeliverable"})]);
-    platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "early", "status": "undeliverable"})]);
+    platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "late", "what came later is not affected");
     call.reply(status(200));
@@ -100,9 +100,9 @@
 #[test]
 fn a_damaged_journal_can_be_refused() {
     let platform = Platform::new();
-    let (node, folder) = start(&platform, &[leaving("e0", 7)], "[journal]\ndamage = \"refuse\"\n");
+    let (node, folder) = start(&platform, &[draining("e0", 7)], "[journal]\ndamage = \"refuse\"\n");
     for id in ["a", "b"] {
-        assert_eq!(node.hand_in(id, "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(id, "order", 7, 20_000).status(), 202);
     }
     spoil(&node, 100);
     let (state, config) = (node.state(), node.state().with_file_name("config.json"));
@@ -125,12 +125,12 @@
 #[test]
 fn a_second_sender_on_the_same_folder_does_not_start() {
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     let folder = node.state().parent().unwrap().to_owned();
     let second = program().command(&folder).output().unwrap();
     let said = String::from_utf8(second.stderr).unwrap();
     assert!(!second.status.success() && said.contains("another process writes to this folder"), "{said}");
-    assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202, "the first goes on");
+    assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202, "the first goes on");
 }
 
 /// Guards a keyed message against a repeat after a time that nobody knows: the clock was set back in between. Here the
@@ -139,7 +139,7 @@
 fn with_a_clock_that_was_set_back_ages_are_not_known() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    assert_eq!(node.hand_in("a", "note", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
     let call = endpoint.next();
     let hour = 3_600_000_000;
     let state = node.state();
@@ -154,7 +154,7 @@
     });
     assert!(node.log().iter().any(|line| line.contains("the clock was set back")), "{:?}", node.log());
     // Its time may be up or not, but it has an end, and no second copy.
-    let notice = platform.notice(204);
+    let notice = platform.answer_notification(204);
     assert_eq!(notice, [json!({"id": "a", "status": "undeliverable"})]);
     drop((call, node));
     assert!(!endpoint.unseen());
@@ -165,15 +165,15 @@
 #[test]
 fn on_a_full_disk_what_is_held_still_has_its_end() {
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
-    assert_eq!(node.hand_in("held", "order", 7, 3_000).status(), 202);
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
+    assert_eq!(node.submit("held", "order", 7, 3_000).status(), 202);
     // The journal has two blocks, and may not grow.
     let node = node.kill_and_restart_with(Some(1));
     let long = "x".repeat(2_000);
-    let text = handing_in_with("new", "order", 7, 20_000, long.as_bytes());
+    let text = submission_with("new", "order", 7, 20_000, long.as_bytes());
     let refused = node.ask(&text);
     assert_eq!((refused.status(), refused.headers["retry-after"].as_str()), (503, "1.000"));
-    assert_eq!(platform.notice(204), [json!({"id": "held", "status": "deferred"})]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "held", "status": "deferred"})]);
     assert!(node.log().iter().any(|line| line.contains("the journal can't be written")), "{:?}", node.log());
     let node = node.kill_and_restart();
     assert_eq!(node.ask(&text).status(), 202);
@@ -183,11 +183,11 @@
 #[test]
 fn the_looks_tell_what_is_owed() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    let known = [listing("e1", 7, "plain", endpoint.address), leaving("e0", 9)];
+    let known = [listing("e1", 7, "plain", endpoint.address), draining("e0", 9)];
     let node = Node::start(&program(), &platform, &known, |_| {});
-    assert_eq!(node.hand_in("out", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("out", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
-    assert_eq!(node.hand_in("held", "note", 9, 20_000).status(), 202);
+    assert_eq!(node.submit("held", "note", 9, 20_000).status(), 202);
     assert!(look(&node, "verify").status.success());
     let listed = lines(&look(&node, "list"));
     assert!(
--- a/crates/sender/tests/node/known.rs
+++ b/crates/sender/tests/node/known.rs
@@ -34,12 +34,12 @@
     let (platform, endpoint) = (Platform::new(), Served::new());
     let (node, _folder) =
         start(&platform, &[listing("e1", 7, "plain", endpoint.address)], "clock = \"boot\"\n", |_| {});
-    assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
     let told = Instant::now();
     endpoint.next().reply(Reply::Answer(429, vec![("retry-after", "2.5".into())], "".into()));
     wait_until(|| show(&node).contains("destination 7, ") && show(&node).contains("a wait runs for 2."));
     let node = node.kill_and_restart();
-    assert_eq!(node.hand_in("b", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("b", "order", 7, 20_000).status(), 202);
     let first = endpoint.next();
     assert!(told.elapsed() >= Duration::from_millis(2_450), "{:?}", told.elapsed());
     first.reply(status(200));
@@ -52,7 +52,7 @@
     let (node, _folder) =
         start(&platform, &[listing("e1", 7, "plain", endpoint.address)], "clock = \"boot\"\n", |_| {});
     for n in 0..5 {
-        assert_eq!(node.hand_in(&format!("a{n}"), "note", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("a{n}"), "note", 7, 20_000).status(), 202);
     }
     for _ in 0..5 {
         endpoint.next().reply(status(500));
@@ -61,7 +61,7 @@
     // What the killed process had out is none of the next one's.
     let node = node.kill_and_restart_after(|| while endpoint.unseen() {});
     for n in 0..5 {
-        assert_eq!(node.hand_in(&format!("b{n}"), "note", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("b{n}"), "note", 7, 20_000).status(), 202);
     }
     let trial = endpoint.next();
     std::thread::sleep(Duration::from_millis(300));
@@ -77,16 +77,16 @@
     let mut listed = [listing("e1", 7, "plain", leaves.address), listing("e2", 7, "plain", stays.address)];
     let (node, _folder) = start(&platform, &listed, "", |_| {});
     listed[0]["status"] = json!("leaving");
-    let index = platform.tell(&listed);
+    let index = platform.publish(&listed);
     wait_until(|| show(&node).contains("e1: Draining"));
     while platform.watched.try_recv().is_ok() {}
     let node = node.kill_and_restart();
     for n in 0..6 {
-        assert_eq!(node.hand_in(&format!("a{n}"), "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&format!("a{n}"), "order", 7, 20_000).status(), 202);
         stays.next().reply(status(200));
     }
     assert!(!leaves.unseen());
-    let path = platform.watched.recv_timeout(PATIENCE).unwrap();
+    let path = platform.watched.recv_timeout(TIMEOUT).unwrap();
     assert!(path.contains(&format!("from={index}&")), "{path}: it goes on from the newest that is known");
 }
 
@@ -95,7 +95,7 @@
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     for id in ["a", "b"] {
-        assert_eq!(node.hand_in(id, "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(id, "order", 7, 20_000).status(), 202);
         endpoint.next().reply(status(200));
     }
     assert_eq!(node.length_of("known-"), 0);
@@ -105,7 +105,7 @@
 /// Guards what is owed to messages: what is known makes room for it, and comes again when there is some.
 #[test]
 fn its_room_is_given_back_to_the_journal() {
-    let (platform, endpoint) = (Platform::new(), Partner::new(Mood::Well(Duration::ZERO)));
+    let (platform, endpoint) = (Platform::new(), Partner::new(Behavior::Healthy(Duration::ZERO)));
     let listed: Vec<_> = (7..307).map(|d| listing(&format!("e{d}"), d, "plain", endpoint.address)).collect();
     let limit = 64_000;
     let (node, _folder) = start(&platform, &listed, "size = \"48KiB\"\n", |config| {
@@ -116,7 +116,7 @@
     let mut taken = 0;
     let mut gone = false;
     for n in 0..300 {
-        let answer = node.ask(&handing_in_with(&format!("m{n}"), "note", 7, 20_000, &[b'x'; 8_000]));
+        let answer = node.ask(&submission_with(&format!("m{n}"), "note", 7, 20_000, &[b'x'; 8_000]));
         taken += usize::from(answer.status() == 202);
         let used: u64 = std::fs::read_dir(node.state())
             .unwrap()
--- a/crates/sender/tests/node/lost.rs
+++ b/crates/sender/tests/node/lost.rs
@@ -8,7 +8,7 @@
 use test_doubles::*;
 
 fn hand_in(node: &Node, id: &str, class: &str) {
-    assert_eq!(node.hand_in(id, class, 7, 20_000).status(), 202);
+    assert_eq!(node.submit(id, class, 7, 20_000).status(), 202);
 }
 
 /// Has a message delivered; tells on which connection.
@@ -39,7 +39,7 @@
     assert_ne!(call.connection, kept);
     assert!(broken.try_recv().is_ok(), "it was tried on the kept one");
     call.reply(status(200));
-    assert!(platform.notices.try_recv().is_err());
+    assert!(platform.notifications.try_recv().is_err());
 }
 
 /// Guards what must not run twice against kept connections while such are lost: others may still use them.
@@ -81,7 +81,7 @@
     }
     let mut ends = Vec::new();
     while ends.len() < 2 {
-        ends.extend(platform.notice(204));
+        ends.extend(platform.answer_notification(204));
     }
     assert!(ends.iter().all(|end| end["status"] == "undeliverable"), "they may have run");
     delivered(&node, &endpoint, "d", "note", status(200));
@@ -90,7 +90,7 @@
     // Held for the ramp after an outage, they would be out of time.
     let ids = ["e", "f", "g", "h", "i"];
     for id in ids {
-        assert_eq!(node.hand_in(id, "note", 7, 1500).status(), 202);
+        assert_eq!(node.submit(id, "note", 7, 1500).status(), 202);
     }
     let calls = ids.map(|_| endpoint.next());
     assert_eq!(calls.map(|call| call.http.headers["req-id"].clone()), ids);
@@ -133,7 +133,7 @@
 /// Hands in so many notes, of which the first is turned away once: what comes next goes at the least pace,
 /// a call in 2 s, and one call at a time until one is accepted.
 fn turned_away(node: &Node, endpoint: &Served, ids: &[&str], within_ms: u32) -> Asked {
-    assert_eq!(node.hand_in(ids[0], "note", 7, within_ms).status(), 202);
+    assert_eq!(node.submit(ids[0], "note", 7, within_ms).status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], ids[0]);
     let before = node.journal_length();
@@ -141,7 +141,7 @@
     // The refusal has been read once the journal has heard of it.
     wait_until(|| node.journal_length() > before);
     for id in &ids[1..] {
-        assert_eq!(node.hand_in(id, "note", 7, within_ms).status(), 202);
+        assert_eq!(node.submit(id, "note", 7, within_ms).status(), 202);
     }
     let again = endpoint.next();
     assert_eq!(again.http.headers["req-id"], ids[0]);
@@ -161,7 +161,7 @@
         assert_eq!(call.http.headers["req-id"], *id);
         call.reply(status(410));
     }
-    assert!(platform.notices.try_recv().is_err());
+    assert!(platform.notifications.try_recv().is_err());
 }
 
 /// Guards messages that are still waited for against those that nobody waits for any more, where a destination
@@ -171,7 +171,7 @@
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let over = turned_away(&node, &endpoint, &["a", "old"], 24_000);
-    assert_eq!(node.hand_in("new", "note", 7, 24_000).status(), 202);
+    assert_eq!(node.submit("new", "note", 7, 24_000).status(), 202);
     // The older one gets past the age at which the first was sent; aims are at 4 s, and neither has passed its own.
     std::thread::sleep(Duration::from_millis(500));
     over.reply(status(410));
@@ -194,7 +194,7 @@
     let since = std::time::Instant::now();
     let again = endpoint.next();
     assert_eq!(again.http.headers["req-id"], "c");
-    assert!(hangs.closed.recv_timeout(PATIENCE).is_ok(), "never two at once");
+    assert!(hangs.closed.recv_timeout(TIMEOUT).is_ok(), "never two at once");
     assert!(since.elapsed() < Duration::from_secs(3), "the aim is four seconds");
     again.reply(status(200));
     // What must not be repeated is waited for.
@@ -203,5 +203,5 @@
     std::thread::sleep(Duration::from_secs(2));
     assert!(waited_for.closed.try_recv().is_err());
     waited_for.reply(status(200));
-    assert!(!endpoint.unseen() && platform.notices.try_recv().is_err());
+    assert!(!endpoint.unseen() && platform.notifications.try_recv().is_err());
 }
--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -39,7 +39,7 @@
     assert_eq!(ready.status(), 200);
     let mut connections = vec![];
     for id in ["a", "b", "c"] {
-        assert_eq!(node.hand_in(id, "note", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(id, "note", 7, 20_000).status(), 202);
         let call = endpoint.next();
         assert_eq!(call.http.first, "POST /v1/messages HTTP/1.1");
         assert_eq!(call.http.headers["req-id"], id);
@@ -64,27 +64,23 @@
     let known = [
         listing("e1", 7, "plain", seven.address),
         listing("e2", 8, "plain", eight.address),
-        leaving("e0", 9),
+        draining("e0", 9),
     ];
     let node = Node::start(&program(), &platform, &known, |_| {});
-    assert_eq!(node.hand_in("unsafe", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("unsafe", "order", 7, 20_000).status(), 202);
     let unsafe_call = seven.next();
-    assert_eq!(node.hand_in("keyed", "note", 8, 20_000).status(), 202);
+    assert_eq!(node.submit("keyed", "note", 8, 20_000).status(), 202);
     let keyed_call = eight.next();
-    assert_eq!(
-        node.hand_in("held", "order", 9, 20_000).status(),
-        202,
-        "no endpoint of it takes anything yet"
-    );
+    assert_eq!(node.submit("held", "order", 9, 20_000).status(), 202, "no endpoint of it takes anything yet");
     let node = node.kill_and_restart();
-    assert_eq!(platform.notice(204), [json!({"id": "unsafe", "status": "undeliverable"})]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "unsafe", "status": "undeliverable"})]);
     let again = eight.next();
     assert_eq!(again.http.headers["req-id"], "keyed");
     assert_eq!(again.http.headers["idempotency-key"], "key-keyed");
     assert_eq!(again.http.body, keyed_call.http.body);
     again.reply(status(200));
     let nine = Served::new();
-    platform.tell(&[listing("e3", 9, "plain", nine.address)]);
+    platform.publish(&[listing("e3", 9, "plain", nine.address)]);
     let held = nine.next();
     assert_eq!(held.http.headers["req-id"], "held");
     assert_eq!(held.http.body, b"body\0of held");
@@ -102,10 +98,10 @@
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["settings"]["classes"][0]["dedup_window_us"] = json!(1);
     });
-    assert_eq!(node.hand_in("a", "note", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
     let call = endpoint.next();
     let node = node.kill_and_restart();
-    assert_eq!(platform.notice(204), [json!({"id": "a", "status": "undeliverable"})]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "a", "status": "undeliverable"})]);
     drop((call, node));
     assert!(!endpoint.unseen());
 }
@@ -114,13 +110,13 @@
 #[test]
 fn a_notice_is_sent_until_the_platform_has_it() {
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
-    assert_eq!(node.hand_in("a", "order", 7, 1000).status(), 202);
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
+    assert_eq!(node.submit("a", "order", 7, 1000).status(), 202);
     let expected = [json!({"id": "a", "status": "deferred"})];
-    assert_eq!(platform.notice(500), expected);
-    assert_eq!(platform.notice(503), expected);
+    assert_eq!(platform.answer_notification(500), expected);
+    assert_eq!(platform.answer_notification(503), expected);
     let node = node.kill_and_restart();
-    assert_eq!(platform.notice(204), expected);
+    assert_eq!(platform.answer_notification(204), expected);
     drop(node);
 }
 
@@ -132,11 +128,11 @@
     let replies = [Reply::Close, Reply::Bytes(b"\x00\xff what?\r\n\r\n"), status(500), status(299)];
     for (n, reply) in replies.into_iter().enumerate() {
         let id = format!("m{n}");
-        assert_eq!(node.hand_in(&id, "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit(&id, "order", 7, 20_000).status(), 202);
         let call = endpoint.next();
         assert_eq!(call.http.headers["req-id"], id);
         call.reply(reply);
-        assert_eq!(platform.notice(204), [json!({"id": id, "status": "undeliverable"})]);
+        assert_eq!(platform.answer_notification(204), [json!({"id": id, "status": "undeliverable"})]);
     }
 }
 
@@ -148,15 +144,15 @@
     {
         let (platform, endpoint) = (Platform::new(), Served::new());
         let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-        assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
         endpoint.next().reply(reply);
         let again = endpoint.next();
         assert_eq!(again.http.headers["req-id"], "a");
         again.reply(status(200));
         // 410: over, and nothing more is owed.
-        assert_eq!(node.hand_in("b", "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit("b", "order", 7, 20_000).status(), 202);
         endpoint.next().reply(status(410));
-        assert_eq!(node.hand_in("c", "order", 7, 20_000).status(), 202);
+        assert_eq!(node.submit("c", "order", 7, 20_000).status(), 202);
         assert_eq!(endpoint.next().http.headers["req-id"], "c");
     }
 }
@@ -166,22 +162,22 @@
 fn a_time_out_closes_the_connection() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    assert_eq!(node.hand_in("a", "order", 7, 1500).status(), 202);
+    assert_eq!(node.submit("a", "order", 7, 1500).status(), 202);
     let call = endpoint.next();
-    call.closed.recv_timeout(PATIENCE).expect("the connection ends");
-    assert_eq!(platform.notice(204), [json!({"id": "a", "status": "undeliverable"})]);
+    call.closed.recv_timeout(TIMEOUT).expect("the connection ends");
+    assert_eq!(platform.answer_notification(204), [json!({"id": "a", "status": "undeliverable"})]);
 }
 
 /// What waits for one endpoint goes as one call, whose messages may end apart.
 #[test]
 fn a_turns_messages_to_one_endpoint_travel_together() {
     let (platform, endpoint) = (Platform::new(), Served::new());
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     for id in ["a", "b", "c", "d", "e"] {
         let class = if id == "c" { "order" } else { "note" };
-        assert_eq!(node.hand_in(id, class, 7, 20_000).status(), 202);
+        assert_eq!(node.submit(id, class, 7, 20_000).status(), 202);
     }
-    platform.tell(&[listing("e1", 7, "bulk", endpoint.address)]);
+    platform.publish(&[listing("e1", 7, "bulk", endpoint.address)]);
     let batch = endpoint.next();
     assert_eq!(batch.http.first, "POST /v1/messages:batch HTTP/1.1");
     assert_eq!(ids(&batch), ["a", "b", "c", "d", "e"]);
@@ -192,7 +188,7 @@
     let ends = [("a", "ok"), ("b", "later"), ("c", "error"), ("d", "gone")];
     let ends: Vec<_> = ends.iter().map(|(id, state)| json!({"id": id, "state": state})).collect();
     batch.reply(Reply::Answer(200, vec![], json!(ends).to_string()));
-    assert_eq!(platform.notice(204), [json!({"id": "c", "status": "undeliverable"})]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "c", "status": "undeliverable"})]);
     // Turned away, and not told of: both go again, together or one by one.
     let mut again = BTreeSet::new();
     while again.len() < 2 {
@@ -212,7 +208,7 @@
     let (platform, endpoint) = (Platform::new(), Served::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut idle = Client::new(&node);
-    assert_eq!(idle.ask(&handing_in("a", "order", 7, 20_000)).status(), 202);
+    assert_eq!(idle.ask(&submission("a", "order", 7, 20_000)).status(), 202);
     let call = endpoint.next();
     node.signal("-TERM");
     assert!(idle.ended(), "idle client connections are closed");
@@ -220,7 +216,7 @@
     assert_eq!(late.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n").status(), 503);
     assert!(late.ended());
     let mut late = Client::new(&node);
-    assert_eq!(late.ask(&handing_in("b", "note", 7, 20_000)).status(), 202);
+    assert_eq!(late.ask(&submission("b", "note", 7, 20_000)).status(), 202);
     assert!(late.ended());
     let second = endpoint.next();
     assert_eq!(second.http.headers["req-id"], "b");
@@ -233,7 +229,7 @@
 fn strange_requests_are_told_off_and_do_no_harm() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    let good = String::from_utf8(handing_in("a", "order", 7, 1000)).unwrap();
+    let good = String::from_utf8(submission("a", "order", 7, 1000)).unwrap();
     for (from, to) in [
         ("Req-Id: a\r\n", ""),
         ("Req-Kind: order", "Req-Kind: none"),
@@ -254,7 +250,7 @@
     let long = good.replace("Content-Length: 9", &format!("Content-Length: {}", (64 << 10) + 1));
     assert_eq!(node.ask(long.as_bytes()).status(), 413, "by its length, before its body");
     assert_eq!(node.ask(b"\x01\x02\x03\r\n\r\n").status(), 400);
-    assert_eq!(node.hand_in("fine", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("fine", "order", 7, 20_000).status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "fine");
 }
 
@@ -277,12 +273,12 @@
 #[test]
 fn messages_beyond_the_room_on_the_disk_are_refused() {
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |config| {
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |config| {
         config["limits"]["disk_mb"] = json!(0.02)
     });
     let mut taken = 0;
     let refused = loop {
-        let answer = node.hand_in(&format!("m{taken}"), "order", 7, 20_000);
+        let answer = node.submit(&format!("m{taken}"), "order", 7, 20_000);
         if answer.status() != 202 {
             break answer;
         }
@@ -294,10 +290,10 @@
     assert_eq!(refused.headers["retry-after"], "1.000");
     assert!(node.journal_length() <= 20_000);
     let endpoint = Served::new();
-    platform.tell(&[listing("e1", 7, "plain", endpoint.address)]);
+    platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
     endpoint.next().reply(status(200));
     // The answer is on its way to the journal: there is room once it has got there.
-    wait_until(|| node.hand_in("again", "order", 7, 20_000).status() == 202);
+    wait_until(|| node.submit("again", "order", 7, 20_000).status() == 202);
 }
 
 /// Guards the promise of a 202: what the journal can't hold is neither taken on nor sent, and does not spoil
@@ -307,17 +303,17 @@
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node =
         Node::start_short_of_disk(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    let small = String::from_utf8(handing_in("big", "order", 7, 20_000)).unwrap();
+    let small = String::from_utf8(submission("big", "order", 7, 20_000)).unwrap();
     let (head, _) = small.split_once("Content-Length").unwrap();
     let big = format!("{head}Content-Length: 4000\r\n\r\n{}", "x".repeat(4000));
     let refused = node.ask(big.as_bytes());
     assert_eq!(refused.status(), 503);
     assert_eq!(refused.headers["retry-after"], "1.000");
-    assert_eq!(node.hand_in("small", "order", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("small", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "small");
     let node = node.kill_and_restart();
-    assert_eq!(platform.notice(204), [json!({"id": "small", "status": "undeliverable"})]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "small", "status": "undeliverable"})]);
     drop((call, node));
     assert!(!endpoint.unseen());
 }
@@ -329,18 +325,18 @@
     let node = Node::start(&program(), &platform, &[], |_| {});
     let entry = |dest: u16| listing(&format!("e{dest}"), dest, "plain", endpoint.address);
     let all: Vec<_> = (0..20_000).map(entry).collect();
-    platform.tell(&all);
+    platform.publish(&all);
     // Refused until a list names it, which is at its very end.
-    wait_until(|| node.hand_in("last", "note", 19_999, 20_000).status() == 202);
+    wait_until(|| node.submit("last", "note", 19_999, 20_000).status() == 202);
     endpoint.next().reply(status(200));
-    platform.tell(&all[..10]);
+    platform.publish(&all[..10]);
     // What is taken away is told last: what came new in the list after that one shows that it is done with.
     for (n, dest) in [20_001, 20_002].into_iter().enumerate() {
-        platform.tell(&[&all[..10], &[listing("new", dest, "plain", endpoint.address)]].concat());
-        wait_until(|| node.hand_in(&format!("new{n}"), "note", dest, 20_000).status() == 202);
+        platform.publish(&[&all[..10], &[listing("new", dest, "plain", endpoint.address)]].concat());
+        wait_until(|| node.submit(&format!("new{n}"), "note", dest, 20_000).status() == 202);
         endpoint.next().reply(status(200));
     }
-    assert_eq!(node.hand_in("away", "note", 19_999, 2_000).status(), 202);
-    assert_eq!(platform.notice(204)[0]["id"], json!("away"));
+    assert_eq!(node.submit("away", "note", 19_999, 2_000).status(), 202);
+    assert_eq!(platform.answer_notification(204)[0]["id"], json!("away"));
     assert!(!endpoint.unseen());
 }
--- a/crates/sender/tests/node/rough.rs
+++ b/crates/sender/tests/node/rough.rs
@@ -6,7 +6,7 @@
 use test_doubles::*;
 
 fn orders(node: &Node, id: &str, dest: u16) -> u16 {
-    node.hand_in(id, "order", dest, 20_000).status()
+    node.submit(id, "order", dest, 20_000).status()
 }
 
 /// Guards against dying of SIGHUP, against a watch that waits on at the old place, against notices that go
@@ -15,36 +15,37 @@
 fn a_new_configuration_moves_the_watch_and_the_notices() {
     let (old, new, newer) = (Platform::new(), Platform::new(), Platform::new());
     let endpoint = Served::new();
-    let mut node = Node::start(&program(), &old, &[leaving("e0", 7)], |_| {});
-    assert!(old.watched.recv_timeout(PATIENCE).unwrap().contains("from=1&"));
+    let mut node = Node::start(&program(), &old, &[draining("e0", 7)], |_| {});
+    assert!(old.watched.recv_timeout(TIMEOUT).unwrap().contains("from=1&"));
     let mut config = node.configuration();
     config["discovery"] = json!(new.address.to_string());
     node.reconfigure(&config.to_string());
     node.signal("-HUP");
-    assert_eq!(new.watched.recv_timeout(PATIENCE).unwrap(), "/v1/endpoints", "the whole list comes first");
-    assert!(new.watched.recv_timeout(PATIENCE).unwrap().contains("from=1&"));
-    new.tell(&[listing("e1", 7, "plain", endpoint.address)]);
+    assert_eq!(new.watched.recv_timeout(TIMEOUT).unwrap(), "/v1/endpoints", "the whole list comes first");
+    assert!(new.watched.recv_timeout(TIMEOUT).unwrap().contains("from=1&"));
+    new.publish(&[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(orders(&node, "a", 7), 202);
     endpoint.next().reply(status(500));
-    let end = new.notices.recv_timeout(PATIENCE).expect("the notice comes to the new place");
+    let end = new.notifications.recv_timeout(TIMEOUT).expect("the notice comes to the new place");
     assert_eq!(end.http.json(), json!({"id": "a", "status": "undeliverable"}));
     // It is not answered there, and so goes to where the platform is by then.
     config["discovery"] = json!(newer.address.to_string());
     node.reconfigure(&config.to_string());
     node.signal("-HUP");
     node.signal("-HUP");
-    assert_eq!(newer.notice(204), [json!({"id": "a", "status": "undeliverable"})]);
-    assert_eq!(newer.watched.recv_timeout(PATIENCE).unwrap(), "/v1/endpoints");
+    assert_eq!(newer.answer_notification(204), [json!({"id": "a", "status": "undeliverable"})]);
+    assert_eq!(newer.watched.recv_timeout(TIMEOUT).unwrap(), "/v1/endpoints");
     // What can't be read changes nothing, and the process ends as it is asked to.
     node.reconfigure("{");
     node.signal("-HUP");
-    newer.tell(&[listing("e1", 7, "plain", endpoint.address), listing("e2", 8, "plain", endpoint.address)]);
+    newer
+        .publish(&[listing("e1", 7, "plain", endpoint.address), listing("e2", 8, "plain", endpoint.address)]);
     wait_until(|| orders(&node, "b", 8) == 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "b");
     node.signal("-HUP");
     node.signal("-TERM");
     assert_eq!(node.exit_code(), Some(0));
-    assert!(old.notices.try_recv().is_err(), "nothing is told to the old place");
+    assert!(old.notifications.try_recv().is_err(), "nothing is told to the old place");
 }
 
 /// Guards a message against another client that used its id: that one's close withdraws nothing.
@@ -58,8 +59,8 @@
     assert_eq!(orders(&node, "first", 7), 202);
     let _ = endpoint.next();
     let (mut one, mut other) = (Client::new(&node), Client::new(&node));
-    one.say(&handing_in("a", "order", 7, 20_000));
-    other.say(&handing_in("a", "order", 7, 20_000));
+    one.write(&submission("a", "order", 7, 20_000));
+    other.write(&submission("a", "order", 7, 20_000));
     drop(other);
     assert_eq!(one.answer().expect("an answer").status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "a");
@@ -73,21 +74,21 @@
         config["limits"]["sockets"] = json!(64);
     });
     let mut kept = Client::new(&node);
-    assert_eq!(kept.ask(&handing_in("kept", "order", 7, 20_000)).status(), 202);
+    assert_eq!(kept.ask(&submission("kept", "order", 7, 20_000)).status(), 202);
     let mut silent: Vec<_> = (0..100).map(|_| Client::new(&node)).collect();
     assert_eq!(orders(&node, "a", 7), 202);
     assert!(kept.ended(), "one that was answered goes first: its client can open another");
     assert!(silent.iter_mut().all(Client::ended), "those that found a place lose it in time");
-    let request = String::from_utf8(handing_in("c", "order", 7, 20_000)).unwrap();
+    let request = String::from_utf8(submission("c", "order", 7, 20_000)).unwrap();
     let (head, _) = request.split_once("\r\n\r\n").unwrap();
     let mut endless = Client::new(&node);
-    endless.say(head.as_bytes());
+    endless.write(head.as_bytes());
     assert!(endless.ended());
     let mut half = Client::new(&node);
-    half.say(format!("{head}\r\n\r\nhalf").as_bytes());
+    half.write(format!("{head}\r\n\r\nhalf").as_bytes());
     assert_eq!(half.answer().expect("an answer").status(), 400);
     let mut long = Client::new(&node);
-    long.say(format!("POST /order HTTP/1.1\r\nLong: {}", "x".repeat(100_000)).as_bytes());
+    long.write(format!("POST /order HTTP/1.1\r\nLong: {}", "x".repeat(100_000)).as_bytes());
     assert!(long.answer().is_none_or(|answer| answer.status() == 431));
 }
 
@@ -96,8 +97,8 @@
 fn a_request_with_two_lengths_is_told_off_and_hides_nothing() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    let hidden = String::from_utf8(handing_in("hidden", "order", 7, 20_000)).unwrap();
-    let request = String::from_utf8(handing_in("a", "order", 7, 20_000)).unwrap();
+    let hidden = String::from_utf8(submission("hidden", "order", 7, 20_000)).unwrap();
+    let request = String::from_utf8(submission("a", "order", 7, 20_000)).unwrap();
     let (head, _) = request.split_once("Content-Length").unwrap();
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -108,7 +109,7 @@
         format!("{chunked}Transfer-Encoding: identity\r\n{length}"),
     ] {
         let mut client = Client::new(&node);
-        client.say(format!("{head}{lengths}\r\n0\r\n\r\n{hidden}").as_bytes());
+        client.write(format!("{head}{lengths}\r\n0\r\n\r\n{hidden}").as_bytes());
         assert_eq!(client.answer().expect("an answer").status(), 400, "{lengths}");
         assert!(client.answer().is_none(), "{lengths}");
     }
@@ -121,11 +122,11 @@
 #[test]
 fn a_destination_that_no_list_has_named_takes_nothing() {
     let platform = Platform::new();
-    let node = Node::start(&program(), &platform, &[leaving("e0", 7)], |_| {});
-    let refused = node.hand_in("a", "order", 8, 20_000);
+    let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
+    let refused = node.submit("a", "order", 8, 20_000);
     assert_eq!((refused.status(), refused.headers["retry-after"].as_str()), (503, "1.000"));
     assert_eq!(orders(&node, "b", 7), 202);
-    platform.tell(&[leaving("e0", 7), leaving("e1", 8)]);
+    platform.publish(&[draining("e0", 7), draining("e1", 8)]);
     wait_until(|| orders(&node, "a", 8) == 202);
 }
 
@@ -136,7 +137,7 @@
     assert_eq!(call.http.headers["req-id"], id);
     call.reply(reply);
     loop {
-        if let Ok(notice) = platform.notices.try_recv() {
+        if let Ok(notice) = platform.notifications.try_recv() {
             let end = notice.http.json();
             assert_eq!(end["id"], id);
             notice.reply(status(204));
@@ -198,7 +199,7 @@
         call.reply(Reply::Bytes(bytes));
         wait_until(|| node.journal_length() > taken);
         // A single order whose call may have run would have ended by a notice.
-        assert!(platform.notices.try_recv().is_err(), "{}", String::from_utf8_lossy(bytes));
+        assert!(platform.notifications.try_recv().is_err(), "{}", String::from_utf8_lossy(bytes));
         assert_eq!(orders(&node, &format!("n{n}"), 7), 202);
         let next = endpoint.next();
         assert_ne!(next.connection, spoilt, "what is spoilt is not used again");
@@ -211,7 +212,7 @@
 /// Answers a call so that its message may have run, and tells which one the platform hears of.
 fn unsafe_reply(platform: &Platform, call: Asked) -> String {
     call.reply(status(500));
-    platform.notice(204)[0]["id"].as_str().unwrap().to_owned()
+    platform.answer_notification(204)[0]["id"].as_str().unwrap().to_owned()
 }
 
 /// Guards against taking spoilt answers for a destination that fails: its breaker would hold back the rest.
@@ -224,7 +225,7 @@
         let reply = Reply::Bytes(b"\x00\x01\x02 noise\r\n\r\n");
         assert_eq!(unsafe_end(&platform, &endpoint, &node, &format!("s{n}"), reply), "undeliverable");
     }
-    assert_eq!(node.hand_in("a", "order", 7, 1500).status(), 202);
+    assert_eq!(node.submit("a", "order", 7, 1500).status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "a");
 }
 
@@ -234,10 +235,10 @@
     let platform = Platform::new();
     let node = Node::start(&program(), &platform, &[], |_| {});
     let churn = |round: usize| {
-        let endpoints: Vec<_> = (0..250).map(|n| leaving(&format!("e{round}-{n}"), n % 9)).collect();
-        let index = platform.tell(&endpoints);
+        let endpoints: Vec<_> = (0..250).map(|n| draining(&format!("e{round}-{n}"), n % 9)).collect();
+        let index = platform.publish(&endpoints);
         // It asks on from a version once it has read it.
-        while !platform.watched.recv_timeout(PATIENCE).unwrap().contains(&format!("from={index}&")) {}
+        while !platform.watched.recv_timeout(TIMEOUT).unwrap().contains(&format!("from={index}&")) {}
     };
     (0..40).for_each(churn);
     let before = node.memory_kb();
@@ -250,7 +251,7 @@
 #[test]
 fn a_discovery_that_turns_a_call_away_is_left_in_peace() {
     let (platform, discovery) = (Platform::new(), Served::new());
-    let _node = Node::start(&program(), &platform, &[leaving("e0", 7)], |config| {
+    let _node = Node::start(&program(), &platform, &[draining("e0", 7)], |config| {
         config["discovery"] = json!(discovery.address.to_string());
         config["settings"]["balancers"] = json!(48);
     });
--- a/crates/sender/tests/node/shared.rs
+++ b/crates/sender/tests/node/shared.rs
@@ -45,7 +45,7 @@
 
     /// A message for the destination, at that sender; it is tried until it is given up.
     fn hand_in(&self, rank: usize, n: usize) {
-        assert_eq!(self.nodes[rank].hand_in(&format!("m{rank}-{n}"), "note", 7, 20_000).status(), 202);
+        assert_eq!(self.nodes[rank].submit(&format!("m{rank}-{n}"), "note", 7, 20_000).status(), 202);
     }
 }
 
@@ -53,7 +53,7 @@
 /// others again, and a call that goes well ends it for all.
 #[test]
 fn an_outage_that_two_saw_is_believed_by_all_that_hear_of_it() {
-    let partner = Partner::new(Mood::Down);
+    let partner = Partner::new(Behavior::Unreachable);
     let fleet = Fleet::new(5, &[listing("e1", 7, "plain", partner.address)]);
     // The last one hears nobody.
     fleet.switch.set(|from, to| if from == 4 || to == 4 { Fault::CUT } else { Fault::default() });
@@ -64,7 +64,7 @@
     assert!(!fleet.believes_ill(4), "{}", fleet.shows(4));
     fleet.switch.set(|_, _| Fault { lost: 0.2, doubled: 0.2, ..Fault::default() });
     wait_until(|| fleet.believes_ill(4));
-    partner.set(Mood::Well(std::time::Duration::from_millis(1)));
+    partner.set(Behavior::Healthy(std::time::Duration::from_millis(1)));
     wait_until(|| (0..5).all(|rank| !fleet.believes_ill(rank)));
     assert!(fleet.switch.carried() > 0);
     drop(fleet.platform);
@@ -73,7 +73,7 @@
 /// One sender's own way to the partner is ill: however much it says, nobody else believes it.
 #[test]
 fn one_that_is_wrong_is_not_believed() {
-    let partner = Partner::new(Mood::Down);
+    let partner = Partner::new(Behavior::Unreachable);
     let fleet = Fleet::new(3, &[listing("e1", 7, "plain", partner.address)]);
     for n in 0..4 {
         fleet.hand_in(0, n);
@@ -86,7 +86,7 @@
 /// Without the operators' word nothing is said, and what others say counts for nothing.
 #[test]
 fn nothing_is_shared_unless_the_operators_say_so() {
-    let (platform, partner) = (Platform::new(), Partner::new(Mood::Down));
+    let (platform, partner) = (Platform::new(), Partner::new(Behavior::Unreachable));
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", partner.address)], |config| {
         config["ops"] = json!("127.0.0.1:0");
     });
--- a/crates/sender/tests/node/upgrade.rs
+++ b/crates/sender/tests/node/upgrade.rs
@@ -49,18 +49,18 @@
     let listed = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let mut old = start(&platform, &listed);
     let mut client = Client::new(&old);
-    assert_eq!(client.ask(&handing_in("out", "order", 7, 20_000)).status(), 202);
+    assert_eq!(client.ask(&submission("out", "order", 7, 20_000)).status(), 202);
     let out = seven.next();
     assert_eq!(old.ops("POST", "/maintenance/enter?target=e2").status(), 200);
-    assert_eq!(client.ask(&handing_in("held", "note", 8, 20_000)).status(), 202);
+    assert_eq!(client.ask(&submission("held", "note", 8, 20_000)).status(), 202);
 
-    let new = old.start_beside();
+    let new = old.start_successor();
     assert_eq!(new.ops("GET", "/status").status(), 200);
     assert_eq!(new.address, old.address);
     assert_eq!(new.figure("svc_open_requests"), 2);
     assert_eq!(new.figure("svc_out_of_rotation"), 1, "held out by hand before");
     // By the old process's connection, with the new one's answer, which is the last.
-    let answer = client.ask(&handing_in("late", "order", 7, 20_000));
+    let answer = client.ask(&submission("late", "order", 7, 20_000));
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (202, "close"));
     assert!(client.ended());
     let late = seven.next();
@@ -77,11 +77,11 @@
     wait_until(|| new.figure("svc_open_requests") == 0);
     assert!(!seven.unseen(), "nothing goes twice");
     // The one after that.
-    let next = new.start_beside();
+    let next = new.start_successor();
     assert_eq!(next.ask(READY).status(), 200);
-    assert_eq!(next.hand_in("next", "order", 7, 20_000).status(), 202);
+    assert_eq!(next.submit("next", "order", 7, 20_000).status(), 202);
     assert_eq!(seven.next().http.headers["req-id"], "next");
-    assert!(platform.notices.try_recv().is_err(), "nothing failed on the way");
+    assert!(platform.notifications.try_recv().is_err(), "nothing failed on the way");
 }
 
 /// Guards a wait against the change of processes: both are one sender.
@@ -89,14 +89,14 @@
 fn a_wait_that_the_old_process_was_told_binds_the_new_one() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let old = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    assert_eq!(old.hand_in("a", "order", 7, 20_000).status(), 202);
+    assert_eq!(old.submit("a", "order", 7, 20_000).status(), 202);
     let told = Instant::now();
     endpoint.next().reply(Reply::Answer(429, vec![("retry-after", "2".into())], "".into()));
     // The old one has heard of it once the message waits again.
     let journal = old.journal_length();
     wait_until(|| old.journal_length() > journal || told.elapsed() > Duration::from_millis(300));
-    let new = old.start_beside();
-    assert_eq!(new.hand_in("b", "order", 7, 20_000).status(), 202);
+    let new = old.start_successor();
+    assert_eq!(new.submit("b", "order", 7, 20_000).status(), 202);
     let first = endpoint.next();
     assert!(told.elapsed() >= Duration::from_secs(2), "{:?}", told.elapsed());
     first.reply(status(200));
@@ -110,14 +110,14 @@
 fn a_process_that_asks_and_dies_changes_nothing() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let old = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    assert_eq!(old.hand_in("a", "order", 7, 20_000).status(), 202);
+    assert_eq!(old.submit("a", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
     let mut asking = UnixStream::connect(old.state().join("successor")).unwrap();
     say(&mut asking, &ToPredecessor::RequestTakeover);
     let ToSuccessor::State(state) = hear(&mut asking) else { panic!("a state") };
     assert_eq!(state.attempts_in_flight.len(), 1);
     drop(asking);
-    assert_eq!(old.hand_in("b", "order", 7, 20_000).status(), 202);
+    assert_eq!(old.submit("b", "order", 7, 20_000).status(), 202);
     let second = endpoint.next();
     call.reply(status(200));
     second.reply(status(200));
@@ -125,7 +125,7 @@
     assert_eq!(old.figure("svc_operations{priority=\"order\",status=\"fulfilled\"}"), 2);
     // One that says nothing at all is not waited for, and a proper one takes over after all.
     let _silent = UnixStream::connect(old.state().join("successor")).unwrap();
-    let new = old.start_beside();
+    let new = old.start_successor();
     assert_eq!(new.ask(READY).status(), 200);
 }
 
@@ -135,12 +135,12 @@
     let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
     let listed = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let old = start(&platform, &listed);
-    assert_eq!(old.hand_in("unsafe", "order", 7, 20_000).status(), 202);
-    assert_eq!(old.hand_in("keyed", "note", 8, 20_000).status(), 202);
+    assert_eq!(old.submit("unsafe", "order", 7, 20_000).status(), 202);
+    assert_eq!(old.submit("keyed", "note", 8, 20_000).status(), 202);
     let (unsafe_call, keyed_call) = (seven.next(), eight.next());
-    let _new = old.start_beside();
+    let _new = old.start_successor();
     drop(old);
-    assert_eq!(platform.notice(204), [json!({"id": "unsafe", "status": "undeliverable"})]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "unsafe", "status": "undeliverable"})]);
     let again = eight.next();
     assert_eq!(again.http.headers["req-id"], "keyed");
     again.reply(status(200));
@@ -154,7 +154,7 @@
 fn a_state_that_is_not_understood_is_taken_over_as_after_a_kill() {
     let (platform, endpoint) = (Platform::new(), Served::new());
     let old = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    assert_eq!(old.hand_in("keyed", "note", 7, 20_000).status(), 202);
+    assert_eq!(old.submit("keyed", "note", 7, 20_000).status(), 202);
     let call = endpoint.next();
     // What the old process says passes through here, spoilt.
     let (socket, real) = (old.state().join("successor"), old.state().join("real"));
@@ -174,14 +174,14 @@
         say(&mut new, &hear::<ToSuccessor>(&mut old));
         (at, old, new)
     });
-    let new = old.start_beside();
+    let new = old.start_successor();
     let (at, _old, _new) = spoils.join().unwrap();
-    call.closed.recv_timeout(PATIENCE).expect("it was broken off");
+    call.closed.recv_timeout(TIMEOUT).expect("it was broken off");
     let again = endpoint.next();
     assert_eq!(again.http.headers["req-id"], "keyed");
     assert!(at.elapsed() >= Duration::from_millis(1_400), "{:?}", at.elapsed());
     again.reply(status(200));
-    assert_eq!(new.hand_in("b", "note", 7, 20_000).status(), 202);
+    assert_eq!(new.submit("b", "note", 7, 20_000).status(), 202);
     endpoint.next().reply(status(200));
 }
 
@@ -189,7 +189,7 @@
 #[test]
 fn a_folder_that_is_locked_by_one_that_says_nothing_is_not_begun_on() {
     let platform = Platform::new();
-    let old = start(&platform, &[leaving("e0", 7)]);
+    let old = start(&platform, &[draining("e0", 7)]);
     let (state, folder) = (old.state(), old.into_folder());
     let lock = File::open(state.join("lock")).unwrap();
     wait_until(|| lock.try_lock().is_ok());
--- a/crates/sender/tests/node/waits.rs
+++ b/crates/sender/tests/node/waits.rs
@@ -67,8 +67,8 @@
     let node = Node::start(&program(), platform, &known, |config| {
         config["settings"]["limits"]["connect_timeout_us"] = json!(6_000_000);
     });
-    assert_eq!(node.hand_in("a", "note", 7, 20_000).status(), 202);
-    assert_eq!(node.hand_in("b", "note", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("b", "note", 7, 20_000).status(), 202);
     let asked = first.next();
     (node, asked)
 }
@@ -115,9 +115,9 @@
 fn a_call_whose_connection_comes_up_after_its_endpoint_drains_goes_elsewhere() {
     let (platform, first, second) = (Platform::new(), Served::new(), Clogged::new());
     let (node, asked) = two_calls(&platform, &first, &second);
-    platform.tell(&[listing("e1", 7, "plain", first.address), leaving("e2", 7)]);
+    platform.publish(&[listing("e1", 7, "plain", first.address), draining("e2", 7)]);
     // It is known once it is asked for what is newer.
-    let newest = || platform.watched.recv_timeout(PATIENCE).unwrap().contains("from=2");
+    let newest = || platform.watched.recv_timeout(TIMEOUT).unwrap().contains("from=2");
     wait_until(newest);
     let mut stream = second.unclog();
     asked.reply(status(200));
@@ -139,12 +139,12 @@
         config["settings"]["period_us"] = json!(100_000);
     });
     let mut clients = [Client::new(&node), Client::new(&node)];
-    clients[0].say(&handing_in("short", "order", 7, 700));
-    clients[1].say(&handing_in("long", "order", 7, 20_000));
+    clients[0].write(&submission("short", "order", 7, 700));
+    clients[1].write(&submission("long", "order", 7, 20_000));
     for client in &mut clients {
         assert_eq!(client.answer().unwrap().status(), 202);
     }
-    let notice = platform.notice(204);
+    let notice = platform.answer_notification(204);
     assert_eq!(notice[0]["id"], "short");
     let stream = endpoint.unclog();
     let call = Http::read(&mut std::io::BufReader::new(&stream)).unwrap();
@@ -163,14 +163,14 @@
         // The system tries a connection again after a second: what comes up then comes too late.
         config["settings"]["classes"][0]["dedup_window_us"] = json!(800_000);
     });
-    assert_eq!(node.hand_in("a", "note", 7, 20_000).status(), 202);
+    assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
     let call = first.next();
-    platform.tell(&[leaving("e1", 7), listing("e2", 7, "plain", second.address)]);
-    wait_until(|| platform.watched.recv_timeout(PATIENCE).unwrap().contains("from=2"));
+    platform.publish(&[draining("e1", 7), listing("e2", 7, "plain", second.address)]);
+    wait_until(|| platform.watched.recv_timeout(TIMEOUT).unwrap().contains("from=2"));
     call.reply(Reply::Close);
     wait_until(|| second.is_dialled());
     let mut stream = second.unclog();
-    assert_eq!(platform.notice(204), [json!({"id": "a", "status": "undeliverable"})]);
+    assert_eq!(platform.answer_notification(204), [json!({"id": "a", "status": "undeliverable"})]);
     assert_eq!(first_byte(&mut stream, Instant::now() + SLACK), None);
     drop(node);
 }
--- a/crates/sender/tests/program.rs
+++ b/crates/sender/tests/program.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-use test_doubles::{Node, Platform, Program, leaving};
+use test_doubles::{Node, Platform, Program, draining};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_myrtleyard");
 
@@ -56,8 +56,8 @@
     std::fs::write(&file, "[journal]\nsync = \"group\"\n[status]\nevery = \"100ms\"\n").unwrap();
     let platform = Platform::new();
     let program = Program::new(PROGRAM).arg("--operators").arg(&file);
-    let node = Node::start(&program, &platform, &[leaving("e0", 7)], |_| {});
-    assert_eq!(node.hand_in("a", "order", 7, 20_000).status(), 202);
+    let node = Node::start(&program, &platform, &[draining("e0", 7)], |_| {});
+    assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
     test_doubles::wait_until(|| {
         node.log().iter().any(|line| line == "status held=1 awake=1 asleep=0 open=[]")
     });
--- a/crates/test-doubles/src/arrival.rs
+++ b/crates/test-doubles/src/arrival.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct Stamped {
     stream: TcpStream,
-    came: SystemTime,
+    arrived: SystemTime,
 }
 
 impl Stamped {
@@ -27,12 +27,12 @@
         let software =
             TimestampingFlag::SOF_TIMESTAMPING_RX_SOFTWARE | TimestampingFlag::SOF_TIMESTAMPING_SOFTWARE;
         setsockopt(&stream, sockopt::Timestamping, &software)?;
-        Ok(Self { stream, came: SystemTime::now() })
+        Ok(Self { stream, arrived: SystemTime::now() })
     }
 
     /// When the last byte that was read came, by the wall's clock; when it was read, where the system tells nothing.
     pub fn came(&self) -> SystemTime {
-        self.came
+        self.arrived
     }
 }
 
@@ -42,12 +42,12 @@
         let mut into = [IoSliceMut::new(buffer)];
         let fd = self.stream.as_raw_fd();
         let read = recvmsg::<SockaddrIn>(fd, &mut into, Some(&mut notes), MsgFlags::empty())?;
-        self.came = SystemTime::now();
+        self.arrived = SystemTime::now();
         for note in read.cmsgs()? {
             if let ControlMessageOwned::ScmTimestampsns(stamps) = note
                 && stamps.system != TimeSpec::new(0, 0)
             {
-                self.came = UNIX_EPOCH + Duration::from(stamps.system);
+                self.arrived = UNIX_EPOCH + Duration::from(stamps.system);
             }
         }
         Ok(read.bytes)
--- a/crates/test-doubles/src/crowd.rs
+++ b/crates/test-doubles/src/crowd.rs
@@ -14,12 +14,12 @@
 
 /// What one of them does with calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum CallBehavior {
     /// Answers 200.
     #[default]
-    Well,
+    Healthy,
     /// Answers 503 with a `Retry-After` that ends so long after its first call since, and 200 from then on.
-    Waits(Duration),
+    RetryAfter(Duration),
     /// Never answers.
     Silent,
     /// Closes once a call has come.
@@ -29,7 +29,7 @@
 /// One of them, and what it saw.
 #[derive(Debug, Clone, Copy, Default)]
 struct Member {
-    way: Way,
+    way: CallBehavior,
     /// When it first told a wait, and until when nothing may come.
     told: Option<(Instant, Instant)>,
     last: Option<Instant>,
@@ -40,13 +40,13 @@
 
 /// What all of them saw.
 #[derive(Debug, Clone, Default)]
-pub struct Saw {
+pub struct Observations {
     /// Calls in all.
     pub calls: u64,
     /// Calls that came before a wait was over that had been told, and how long before they came.
     pub early: Vec<(u16, Duration)>,
     /// Calls beside another one, to one that had answered none since it woke.
-    pub pushed: Vec<u16>,
+    pub concurrent: Vec<u16>,
     /// Ids of messages that were answered 200, each time.
     pub answered: Vec<String>,
     /// Destination, when it came since the beginning, and how long after it was handed in; of the watched ones.
@@ -60,18 +60,18 @@
     idle: Duration,
     watched: u16,
     begun: Instant,
-    saw: Saw,
+    saw: Observations,
 }
 
 /// All of them.
 #[derive(Clone)]
-pub struct Crowd {
+pub struct ManyPartners {
     /// Where they listen; a destination has the place of its number modulo their count.
     pub addresses: Arc<Vec<SocketAddr>>,
     state: Arc<Mutex<State>>,
 }
 
-impl Crowd {
+impl ManyPartners {
     /// So many partners on so many addresses. One that had no call for `idle` has slept; of the first `watched` each
     /// call's time is kept.
     pub fn new(count: u16, addresses: u16, idle: Duration, watched: u16) -> Self {
@@ -84,7 +84,7 @@
         }
         let addresses = Arc::new(listeners.iter().map(|l| l.local_addr().unwrap()).collect());
         let members = vec![Member { fresh: true, ..Member::default() }; usize::from(count)];
-        let state = State { members, idle, watched, begun: Instant::now(), saw: Saw::default() };
+        let state = State { members, idle, watched, begun: Instant::now(), saw: Observations::default() };
         let crowd = Self { addresses, state: Arc::new(Mutex::new(state)) };
         let serving = crowd.clone();
         thread::spawn(move || {
@@ -132,7 +132,7 @@
     }
 
     /// One of them does so from now on.
-    pub fn set(&self, destination: u16, way: Way) {
+    pub fn set(&self, destination: u16, way: CallBehavior) {
         let member = &mut self.state().members[usize::from(destination)];
         member.way = way;
         // A wait that is over makes room for a further one.
@@ -140,7 +140,7 @@
     }
 
     /// What they saw so far.
-    pub fn saw(&self) -> Saw {
+    pub fn observations(&self) -> Observations {
         self.state().saw.clone()
     }
 
@@ -197,18 +197,18 @@
             saw.early.push((destination, now.duration_since(told)));
         }
         if member.fresh && member.out > 0 {
-            saw.pushed.push(destination);
+            saw.concurrent.push(destination);
         }
         member.out += 1;
         match member.way {
-            Way::Well => Some("200 OK".to_owned()),
-            Way::Silent => None,
-            Way::Closes => Some(String::new()),
-            Way::Waits(wait) => {
+            CallBehavior::Healthy => Some("200 OK".to_owned()),
+            CallBehavior::Silent => None,
+            CallBehavior::Closes => Some(String::new()),
+            CallBehavior::RetryAfter(wait) => {
                 let (_, until) = *member.told.get_or_insert((now, now + wait));
                 let left = until.saturating_duration_since(now);
                 if left.is_zero() {
-                    member.way = Way::Well;
+                    member.way = CallBehavior::Healthy;
                     return Some("200 OK".to_owned());
                 }
                 Some(format!("503 Full\r\nretry-after: {:.6}", left.as_secs_f64() + 0.000_001))
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -9,7 +9,7 @@
 
 use serde_json::Value;
 
-use crate::PATIENCE;
+use crate::TIMEOUT;
 
 /// A request or an answer: its first line, its headers in lower case, its body.
 #[derive(Debug, Clone)]
@@ -121,7 +121,7 @@
 
     /// The next request.
     pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(PATIENCE).expect("a request comes")
+        self.asked.recv_timeout(TIMEOUT).expect("a request comes")
     }
 
     /// A request that has come already.
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -15,23 +15,23 @@
 use std::thread;
 use std::time::Duration;
 
-pub use crowd::{Crowd, Saw, Way};
+pub use crowd::{CallBehavior, ManyPartners, Observations};
 pub use http::{Asked, Http, Reply, Served, status};
-pub use load::{HandedIn, Heard, Load, Notices, Place, Plan};
-pub use node::{Client, Node, Program, Starting, handing_in, handing_in_with};
-pub use partner::{Counted, Effects, Mood, Partner};
-pub use platform::{Platform, leaving, listing};
+pub use load::{ClientAddress, ClientAnswer, Load, Notifications, Plan, Submission};
+pub use node::{Client, Node, Program, Starting, submission, submission_with};
+pub use partner::{Behavior, CallCounts, Effects, Partner};
+pub use platform::{Platform, draining, listing};
 pub use switch::{Fault, Switch};
-pub use terms::{Breach, Terms};
+pub use terms::{Terms, Violation};
 
 /// How long anything is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Looks again and again until it is so.
 pub fn wait_until(mut so: impl FnMut() -> bool) {
     let begun = std::time::Instant::now();
     while !so() {
-        assert!(begun.elapsed() < PATIENCE, "it comes to be so");
+        assert!(begun.elapsed() < TIMEOUT, "it comes to be so");
         thread::yield_now();
     }
 }
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -9,19 +9,19 @@
 
 use serde_json::Value;
 
-use crate::node::{Client, handing_in_with};
+use crate::node::{Client, submission_with};
 use crate::{Platform, status};
 
 /// Where the clients of a sender connect: another place after each restart.
-pub type Place = Arc<Mutex<Option<SocketAddr>>>;
+pub type ClientAddress = Arc<Mutex<Option<SocketAddr>>>;
 
 /// What a client heard of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Heard {
+pub enum ClientAnswer {
     /// 202: the sender owes it its end.
-    Taken,
+    Accepted,
     /// 503.
-    Refused,
+    Rejected,
     /// Any other answer.
     Failed,
     /// Nothing: the connection broke, could not be made, or the client's patience ended.
@@ -30,13 +30,13 @@
 
 /// A message that was handed in.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HandedIn {
+pub struct Submission {
     /// Its class.
     pub class: &'static str,
     /// What its client heard.
-    pub heard: Heard,
+    pub answer: ClientAnswer,
     /// How long that took.
-    pub after: Duration,
+    pub latency: Duration,
     /// When it was handed in, since the load began.
     pub at: Duration,
 }
@@ -59,23 +59,23 @@
 }
 
 /// How long a client waits for its answer.
-const CLIENT_PATIENCE: Duration = Duration::from_millis(400);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Clients at work until they are stopped.
 pub struct Load {
     stop: Arc<AtomicBool>,
-    said: Arc<Mutex<HashMap<String, HandedIn>>>,
+    said: Arc<Mutex<HashMap<String, Submission>>>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl Load {
     /// Begins.
-    pub fn start(plan: &Plan, place: &Place) -> Self {
+    pub fn start(plan: &Plan, place: &ClientAddress) -> Self {
         Self::start_every(plan, place, Duration::from_secs(1) * plan.clients / plan.rate.max(1))
     }
 
     /// The same with the time between two messages of a client, whatever the plan says of the rate.
-    pub fn start_every(plan: &Plan, place: &Place, period: Duration) -> Self {
+    pub fn start_every(plan: &Plan, place: &ClientAddress, period: Duration) -> Self {
         let start = Instant::now();
         let stop = Arc::new(AtomicBool::new(false));
         let said = Arc::new(Mutex::new(HashMap::new()));
@@ -94,28 +94,28 @@
                     let turn = n * u64::from(plan.clients) + u64::from(number);
                     let (class, dest) = plan.mix[turn as usize % plan.mix.len()];
                     let id = format!("{}-{number}-{n}", plan.prefix);
-                    let text = handing_in_with(&id, class, dest, plan.within_ms, &vec![b'x'; plan.body]);
+                    let text = submission_with(&id, class, dest, plan.within_ms, &vec![b'x'; plan.body]);
                     let begun = Instant::now();
                     let at = *place.lock().unwrap();
                     connection = connection.take().filter(|c| Some(c.0) == at).or_else(|| {
                         let at = at?;
-                        Some((at, Client::connect(at, CLIENT_PATIENCE).ok()?))
+                        Some((at, Client::connect(at, CLIENT_TIMEOUT).ok()?))
                     });
                     let answer = connection.as_mut().and_then(|c| {
-                        c.1.say(&text);
+                        c.1.write(&text);
                         c.1.answer()
                     });
                     let heard = match answer.as_ref().map(crate::Http::status) {
-                        Some(202) => Heard::Taken,
-                        Some(503) => Heard::Refused,
-                        Some(_) => Heard::Failed,
-                        None => Heard::Nothing,
+                        Some(202) => ClientAnswer::Accepted,
+                        Some(503) => ClientAnswer::Rejected,
+                        Some(_) => ClientAnswer::Failed,
+                        None => ClientAnswer::Nothing,
                     };
-                    if heard == Heard::Nothing {
+                    if heard == ClientAnswer::Nothing {
                         connection = None;
                     }
                     let (after, at) = (begun.elapsed(), begun.duration_since(start));
-                    said.lock().unwrap().insert(id, HandedIn { class, heard, after, at });
+                    said.lock().unwrap().insert(id, Submission { class, answer: heard, latency: after, at });
                 }
             })
         };
@@ -124,14 +124,14 @@
     }
 
     /// What was handed in so far, by what its client heard.
-    pub fn tally(&self) -> BTreeMap<Heard, usize> {
+    pub fn tally(&self) -> BTreeMap<ClientAnswer, usize> {
         let mut tally = BTreeMap::new();
-        self.said.lock().unwrap().values().for_each(|m| *tally.entry(m.heard).or_default() += 1);
+        self.said.lock().unwrap().values().for_each(|m| *tally.entry(m.answer).or_default() += 1);
         tally
     }
 
     /// Ends, and tells of each message by its id.
-    pub fn stop(self) -> HashMap<String, HandedIn> {
+    pub fn stop(self) -> HashMap<String, Submission> {
         self.stop.store(true, Ordering::Relaxed);
         for client in self.clients {
             client.join().unwrap();
@@ -142,14 +142,14 @@
 
 /// How messages ended by notices, by their ids: each notice that came, in order.
 #[derive(Debug, Clone, Default)]
-pub struct Notices(Arc<Mutex<HashMap<String, Vec<String>>>>);
+pub struct Notifications(Arc<Mutex<HashMap<String, Vec<String>>>>);
 
-impl Notices {
+impl Notifications {
     /// Answers every notice that comes to the platform from now on.
-    pub fn keep(platform: &mut Platform) -> Self {
+    pub fn collect(platform: &mut Platform) -> Self {
         let notices = Self::default();
         let kept = notices.clone();
-        let asked = platform.take_notices();
+        let asked = platform.take_notifications();
         thread::spawn(move || {
             while let Ok(asked) = asked.recv() {
                 let text = String::from_utf8_lossy(&asked.http.body).into_owned();
--- a/crates/test-doubles/src/node.rs
+++ b/crates/test-doubles/src/node.rs
@@ -14,7 +14,7 @@
 
 use serde_json::{Value, json};
 
-use crate::{Http, PATIENCE, Platform};
+use crate::{Http, Platform, TIMEOUT};
 
 /// Lines of a log that are kept.
 const LOG_LINES: usize = 1000;
@@ -26,7 +26,7 @@
     /// Where clients connect.
     pub address: SocketAddr,
     /// Where it answers on-call staff, if it does.
-    pub ops: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     log: Arc<Mutex<VecDeque<String>>>,
     folder: Arc<tempfile::TempDir>,
 }
@@ -162,7 +162,7 @@
     }
 
     fn run(program: &Program, folder: Arc<tempfile::TempDir>, command: Command) -> Self {
-        match Starting::new(program, folder, command).ready(PATIENCE) {
+        match Starting::new(program, folder, command).ready(TIMEOUT) {
             Ok(node) => node,
             Err(failed) => panic!("it does not come to be ready: {:?}", failed.1),
         }
@@ -195,13 +195,13 @@
     }
 
     /// A second process on the same folder, beside this one.
-    pub fn start_beside(&self) -> Self {
+    pub fn start_successor(&self) -> Self {
         let command = self.program.command(self.folder.path());
         Self::run(&self.program, self.folder.clone(), command)
     }
 
     /// The same, told before it is ready.
-    pub fn starting_beside(&self) -> Starting {
+    pub fn starting_successor(&self) -> Starting {
         Starting::new(&self.program, self.folder.clone(), self.program.command(self.folder.path()))
     }
 
@@ -282,13 +282,14 @@
 
     /// One call of on-call staff.
     pub fn ops(&self, method: &str, call: &str) -> Http {
-        self.try_ops(method, call).expect("an answer at a second address")
+        self.try_admin(method, call).expect("an answer at a second address")
     }
 
     /// The same of a sender that may be gone.
-    pub fn try_ops(&self, method: &str, call: &str) -> Option<Http> {
-        let mut caller = Client::connect(self.ops?, PATIENCE).ok()?;
-        caller.say(format!("{method} {call} HTTP/1.1\r\nHost: ops\r\nContent-Length: 0\r\n\r\n").as_bytes());
+    pub fn try_admin(&self, method: &str, call: &str) -> Option<Http> {
+        let mut caller = Client::connect(self.admin?, TIMEOUT).ok()?;
+        caller
+            .write(format!("{method} {call} HTTP/1.1\r\nHost: ops\r\nContent-Length: 0\r\n\r\n").as_bytes());
         caller.answer()
     }
 
@@ -305,8 +306,8 @@
     }
 
     /// Hands a message in.
-    pub fn hand_in(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
-        self.ask(&handing_in(id, class, dest, within_ms))
+    pub fn submit(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
+        self.ask(&submission(id, class, dest, within_ms))
     }
 }
 
@@ -390,7 +391,7 @@
             return Err(Box::new((self, log)));
         };
         let Self { child, program, folder, log, .. } = self;
-        Ok(Node { child, program, address, ops, log, folder })
+        Ok(Node { child, program, address, admin: ops, log, folder })
     }
 }
 
@@ -407,7 +408,7 @@
 impl Client {
     /// Connects.
     pub fn new(node: &Node) -> Self {
-        Self::connect(node.address, PATIENCE).unwrap()
+        Self::connect(node.address, TIMEOUT).unwrap()
     }
 
     /// Connects; an answer is waited for no longer than that.
@@ -423,12 +424,12 @@
 
     /// Writes, and reads the answer.
     pub fn ask(&mut self, text: &[u8]) -> Http {
-        self.say(text);
+        self.write(text);
         self.answer().expect("an answer")
     }
 
     /// Writes; the other side may have closed already.
-    pub fn say(&mut self, text: &[u8]) {
+    pub fn write(&mut self, text: &[u8]) {
         let _ = self.0.get_mut().write_all(text);
     }
 
@@ -444,12 +445,12 @@
 }
 
 /// A request that hands a message in; a `note` has a key.
-pub fn handing_in(id: &str, class: &str, dest: u16, within_ms: u32) -> Vec<u8> {
-    handing_in_with(id, class, dest, within_ms, format!("body\0of {id}").as_bytes())
+pub fn submission(id: &str, class: &str, dest: u16, within_ms: u32) -> Vec<u8> {
+    submission_with(id, class, dest, within_ms, format!("body\0of {id}").as_bytes())
 }
 
 /// The same with this body.
-pub fn handing_in_with(id: &str, class: &str, dest: u16, within_ms: u32, body: &[u8]) -> Vec<u8> {
+pub fn submission_with(id: &str, class: &str, dest: u16, within_ms: u32, body: &[u8]) -> Vec<u8> {
     let key = if class == "note" { format!("Idempotency-Key: key-{id}\r\n") } else { String::new() };
     let mut text = format!(
         "POST /{class} HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\n{key}\
--- a/crates/test-doubles/src/partner.rs
+++ b/crates/test-doubles/src/partner.rs
@@ -9,21 +9,21 @@
 
 use crate::Http;
 use crate::arrival::Stamped;
-use crate::terms::{Breach, Record, Terms, Written};
+use crate::terms::{Record, Terms, Violation, Written};
 
 /// What a partner does with a call once its last byte has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behavior {
     /// It takes effect, and is answered 200 after that time.
-    Well(Duration),
+    Healthy(Duration),
     /// It takes effect, and is answered 500.
     Failing,
     /// It takes no effect, and is answered 503.
-    Full,
+    Rejecting,
     /// It takes effect, and is never answered.
     Silent,
     /// Connections end as soon as they are made.
-    Down,
+    Unreachable,
 }
 
 /// What came of one message.
@@ -37,7 +37,7 @@
 
 /// What a partner counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct CallCounts {
     /// Calls.
     pub calls: u64,
     /// Calls at once, at most.
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct State {
-    mood: Mood,
+    mood: Behavior,
     /// Calls that were answered 200.
     answered: u64,
     effects: HashMap<String, Effects>,
@@ -76,12 +76,12 @@
 
 impl Partner {
     /// Listens.
-    pub fn new(mood: Mood) -> Self {
+    pub fn new(mood: Behavior) -> Self {
         Self::with_terms(mood, Terms::default())
     }
 
     /// The same with terms.
-    pub fn with_terms(mood: Mood, terms: Terms) -> Self {
+    pub fn with_terms(mood: Behavior, terms: Terms) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let partner = Self {
@@ -99,7 +99,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let partner = serving.clone();
-                if partner.state().mood != Mood::Down {
+                if partner.state().mood != Behavior::Unreachable {
                     thread::spawn(move || partner.serve(stream));
                 }
             }
@@ -112,7 +112,7 @@
     }
 
     /// Calls whose last byte comes from now on fare so.
-    pub fn set(&self, mood: Mood) {
+    pub fn set(&self, mood: Behavior) {
         self.state().mood = mood;
     }
 
@@ -122,14 +122,14 @@
     }
 
     /// What it counted.
-    pub fn counted(&self) -> Counted {
+    pub fn counts(&self) -> CallCounts {
         let state = self.state();
-        Counted { calls: state.record.calls(), at_once: state.at_once, waits: state.record.waits() }
+        CallCounts { calls: state.record.calls(), at_once: state.at_once, waits: state.record.waits() }
     }
 
     /// Calls that came when they might not have.
-    pub fn breaches(&self) -> Vec<Breach> {
-        self.state().record.breaches()
+    pub fn violations(&self) -> Vec<Violation> {
+        self.state().record.violations()
     }
 
     /// Calls that were answered 200, so far.
@@ -146,10 +146,11 @@
             let id = call.headers.get("req-id").cloned().unwrap_or_default();
             let (mood, says) = {
                 let mut state = self.state();
-                let says = state.record.comes(input.get_ref().came());
+                let says = state.record.call_arrived(input.get_ref().came());
                 state.out += 1;
                 state.at_once = state.at_once.max(state.out);
-                if says.status.is_none() && !matches!(state.mood, Mood::Full | Mood::Down) {
+                if says.status.is_none() && !matches!(state.mood, Behavior::Rejecting | Behavior::Unreachable)
+                {
                     state.effects.entry(id.clone()).or_default().ran += 1;
                 }
                 (state.mood, says)
@@ -157,14 +158,14 @@
             let counts = Out(self);
             let status = match mood {
                 _ if says.status.is_some() => says.status.unwrap_or_default(),
-                Mood::Well(after) => {
+                Behavior::Healthy(after) => {
                     thread::sleep(after);
                     200
                 }
-                Mood::Failing => 500,
-                Mood::Full => 503,
-                Mood::Down => return,
-                Mood::Silent => {
+                Behavior::Failing => 500,
+                Behavior::Rejecting => 503,
+                Behavior::Unreachable => return,
+                Behavior::Silent => {
                     // Until the other side gives the call up.
                     let _ = std::io::Read::read(&mut input, &mut [0]);
                     return;
@@ -182,7 +183,7 @@
             }
             let written = Written { from, to: SystemTime::now() };
             let mut state = self.state();
-            state.record.told(&says, written);
+            state.record.answer_written(&says, written);
             if status == 200 {
                 state.answered += 1;
                 state.effects.entry(id).or_default().answered += 1;
--- a/crates/test-doubles/src/platform.rs
+++ b/crates/test-doubles/src/platform.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 
-use crate::PATIENCE;
+use crate::TIMEOUT;
 use crate::http::{Asked, Reply, Served, status};
 
 /// Discovery and the place for notices.
@@ -20,7 +20,7 @@
     list: Arc<(Mutex<Value>, Condvar)>,
     load: Arc<Mutex<Load>>,
     /// Requests with notices, as they come.
-    pub notices: Receiver<Asked>,
+    pub notifications: Receiver<Asked>,
 }
 
 /// What calls for the list cost a discovery that has few places for them.
@@ -94,7 +94,7 @@
                 });
             }
         });
-        Self { address, watched, list, load, notices }
+        Self { address, watched, list, load, notifications: notices }
     }
 
     /// From now on a call for the list takes so long, one after the other, and is turned away where it would wait longer.
@@ -109,7 +109,7 @@
     }
 
     /// The whole list is this from now on; tells its version.
-    pub fn tell(&self, endpoints: &[Value]) -> u64 {
+    pub fn publish(&self, endpoints: &[Value]) -> u64 {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
         let index = list["index"].as_u64().unwrap() + 1;
@@ -119,13 +119,13 @@
     }
 
     /// Hands over what brings the notices, once.
-    pub fn take_notices(&mut self) -> Receiver<Asked> {
-        std::mem::replace(&mut self.notices, channel().1)
+    pub fn take_notifications(&mut self) -> Receiver<Asked> {
+        std::mem::replace(&mut self.notifications, channel().1)
     }
 
     /// The next notice, which is answered so.
-    pub fn notice(&self, code: u16) -> Vec<Value> {
-        let asked = self.notices.recv_timeout(PATIENCE).expect("a notice comes");
+    pub fn answer_notification(&self, code: u16) -> Vec<Value> {
+        let asked = self.notifications.recv_timeout(TIMEOUT).expect("a notice comes");
         let text = String::from_utf8(asked.http.body.clone()).unwrap();
         asked.reply(status(code));
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
@@ -139,7 +139,7 @@
 }
 
 /// An endpoint that wants nothing new: its destination is known, and nothing goes there.
-pub fn leaving(name: &str, group: u16) -> Value {
+pub fn draining(name: &str, group: u16) -> Value {
     let mut entry = listing(name, group, "plain", SocketAddr::from(([127, 0, 0, 1], 9)));
     entry["status"] = json!("leaving");
     entry
--- a/crates/test-doubles/src/terms.rs
+++ b/crates/test-doubles/src/terms.rs
@@ -29,19 +29,19 @@
 
 /// A call that came when it might not have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     /// When its last byte came.
-    pub came: SystemTime,
+    pub arrived: SystemTime,
     /// The answer that told its sender better.
-    pub told: Written,
+    pub answer: Written,
     /// The wait that ran; none where it was beyond the limit that the first report told of.
     pub wait: Option<Duration>,
 }
 
-impl std::fmt::Display for Breach {
+impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let after = |at| self.came.duration_since(at).unwrap_or_default().as_secs_f64() * 1e3;
-        let (from, to) = (after(self.told.from), after(self.told.to));
+        let after = |at| self.arrived.duration_since(at).unwrap_or_default().as_secs_f64() * 1e3;
+        let (from, to) = (after(self.answer.from), after(self.answer.to));
         match self.wait {
             Some(wait) => write!(f, "came {to:.1} to {from:.1} ms after a wait of {wait:?} was written"),
             None => write!(f, "came beyond the limit, {to:.1} to {from:.1} ms after the first report of it"),
@@ -66,7 +66,7 @@
 
 /// What a call's answer is to say by the terms.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Says {
+pub struct AnswerTerms {
     /// A status in place of what the partner would say.
     pub status: Option<u16>,
     /// A wait.
@@ -82,9 +82,9 @@
     }
 
     /// A call's last byte came then.
-    pub fn comes(&mut self, at: SystemTime) -> Says {
+    pub fn call_arrived(&mut self, at: SystemTime) -> AnswerTerms {
         self.came.push(at);
-        let mut says = Says::default();
+        let mut says = AnswerTerms::default();
         if let Some(limit) = self.terms.limit {
             // Threads may be heard in another order than calls came.
             let place = self.latest.partition_point(|came| *came <= at);
@@ -109,7 +109,7 @@
     }
 
     /// The answer that says so has been written.
-    pub fn told(&mut self, says: &Says, written: Written) {
+    pub fn answer_written(&mut self, says: &AnswerTerms, written: Written) {
         if let Some(wait) = says.wait {
             self.waits.push((written, wait));
         }
@@ -130,7 +130,7 @@
 
     /// Calls that came over a tenth of a second after a wait was written and surely before it was over; and those beyond
     /// the limit that came over a tenth of a second after the first report of it: before that no caller can know it.
-    pub fn breaches(&self) -> Vec<Breach> {
+    pub fn violations(&self) -> Vec<Violation> {
         let mut came = self.came.clone();
         came.sort_unstable();
         let mut breaches = Vec::new();
@@ -139,12 +139,16 @@
                 .waits
                 .iter()
                 .find(|(written, wait)| *came > written.to + LET_THROUGH && *came < written.from + *wait);
-            breaches.extend(told.map(|(told, wait)| Breach { came: *came, told: *told, wait: Some(*wait) }));
+            breaches.extend(told.map(|(told, wait)| Violation {
+                arrived: *came,
+                answer: *told,
+                wait: Some(*wait),
+            }));
         }
         let reported = self.reported.iter();
         breaches.extend(reported.flat_map(|told| {
             let late = self.beyond.iter().filter(|came| **came > told.to + LET_THROUGH);
-            late.map(|came| Breach { came: *came, told: *told, wait: None })
+            late.map(|came| Violation { arrived: *came, answer: *told, wait: None })
         }));
         breaches
     }
