--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -3,7 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use decision::interface::*;
+use decision::interface::{
+    Action, Class, Decay, DestinationId, DestinationKind, EndpointEntry, EndpointId, Event, GossipConfig,
+    Idempotency, IdempotencyScope, Listing, Message, MessageId, Micros, Outcome, RouteSnapshot, Rules,
+    Settings, Weights,
+};
 use decision::policy::Policy;
 
 use health_snapshot::DestinationRecord;
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -77,6 +77,9 @@
         println!("broken: there is no scenario {name}; `loadtest list` names them");
         return ExitCode::FAILURE;
     };
+    if let Some(sender) = &options.sender {
+        scenario::OTHER_SENDER.get_or_init(|| sender.clone());
+    }
     println!("{name}, seed {}", options.seed());
     let run = catch_unwind(AssertUnwindSafe(|| (scenario.run)(&options)));
     match run.unwrap_or_else(|_| Err("the load test itself failed, as it said above".into())) {
--- a/crates/loadtest/src/scenario.rs
+++ b/crates/loadtest/src/scenario.rs
@@ -1,6 +1,7 @@
 //! What scenarios have in common.
 
 use std::collections::HashMap;
+use std::path::PathBuf;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
@@ -33,6 +34,9 @@
     /// How many senders there are.
     #[arg(long)]
     pub senders: Option<usize>,
+    /// The program that is the sender, in place of this one: another version, or one that runs several by turns.
+    #[arg(long, value_name = "FILE")]
+    pub sender: Option<PathBuf>,
     #[arg(skip)]
     drawn: OnceLock<u64>,
 }
@@ -54,8 +58,14 @@
     pub run: fn(&Options) -> Result<String, String>,
 }
 
-/// The sender that the program was built with.
+/// The program that is the sender, where it is not this one.
+pub static OTHER_SENDER: OnceLock<PathBuf> = OnceLock::new();
+
+/// The sender that the program was built with, or the one that the command line names.
 pub fn program() -> Program {
+    if let Some(other) = OTHER_SENDER.get() {
+        return Program::new(other);
+    }
     Program::new(std::env::current_exe().expect("the program's own file")).arg(SENDER)
 }
 
--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 use admin::held_out::{EjectError, Ejections, RetiredNames};
-use decision::interface::*;
+use decision::interface::{
+    DestinationId, DestinationKind, EndpointEntry, EndpointId, Event, Listing, RouteId,
+};
 
 use crate::config::Names;
 use crate::discovery::endpoint_list::{EndpointList, EndpointListing as Listed};
--- a/crates/sender/src/event_loop/messages.rs
+++ b/crates/sender/src/event_loop/messages.rs
@@ -1,7 +1,7 @@
 //! The life of a message: submitted, withdrawn, its attempts' outcomes, notified and completed.
 
 use admin::figures::FinalOutcome;
-use decision::interface::*;
+use decision::interface::{DestinationId, Event, Message, MessageId, Micros, Outcome};
 use journal::{Abandonment, AcceptedMessage, LedgerEntry, Record};
 
 use super::{EventLoop, NO_REQUEST, PendingSubmission, RETRY_AFTER_JOURNAL_FULL, RETRY_AFTER_UNLISTED};
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use admin::door::AdmissionGate;
-use decision::interface::*;
+use decision::interface::{Event, MessageId, Micros};
 use handover::HandoverState;
 use health_snapshot::belief::LIST_GOOD_FOR;
 use journal::{Abandonment, PendingMessage, Record};
--- a/crates/sender/src/event_loop/snapshot.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -1,6 +1,6 @@
 //! The health snapshot: what the event loop restores from it, and what it writes to it.
 
-use decision::interface::*;
+use decision::interface::{DestinationId, EndpointId, Event, Outcome};
 use health_snapshot::belief::RestoredState;
 
 use super::EventLoop;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -6,7 +6,10 @@
 
 use serde::Deserialize;
 
-use decision::interface::*;
+use decision::interface::{
+    Action, Class, Decay, DestinationId, DestinationKind, EndpointEntry, EndpointId, Event, Idempotency,
+    IdempotencyScope, Listing, Message, MessageId, Micros, Outcome, Rules, Settings, Tenant, Weights,
+};
 
 const EVENT_SIZE: usize = 48;
 const ACTION_SIZE: usize = 24;
