--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -423,7 +423,7 @@
 /// A whole, and differences behind it.
 fn known_files(folder: &Path) -> io::Result<()> {
     let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
-    let disk = Box::new(Folder::beside(folder));
+    let disk = Box::new(Folder::companion(folder));
     let (mut store, _) = Store::open(disk, OWNER, options)?;
     let mut world = World { now: START, all: (1..=6).map(|n| (n, kept(n))).collect() };
     let slice = |store: &mut Store, world: &World| {
@@ -451,7 +451,7 @@
 fn generations(folder: &Path) -> io::Result<()> {
     known_files(folder)?;
     let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
-    let (mut store, _) = Store::open(Box::new(Folder::beside(folder)), OWNER, options)?;
+    let (mut store, _) = Store::open(Box::new(Folder::companion(folder)), OWNER, options)?;
     // More than one slice holds, so that the further generation is not at its end.
     let mut all: BTreeMap<u16, DestinationRecord> = (1..=120).map(|n| (n, kept(n))).collect();
     all.values_mut().for_each(|kept| kept.routes[0].1.wait_until = 0);
--- a/crates/health-snapshot/src/store.rs
+++ b/crates/health-snapshot/src/store.rs
@@ -367,7 +367,7 @@
         let bytes = self.writer.bytes();
         if let Err(e) = self.disk.append(&active.name, bytes) {
             // Guards what comes later against standing behind a write that is not whole.
-            let _ = self.disk.cut(&active.name, active.length);
+            let _ = self.disk.truncate(&active.name, active.length);
             return Err(e);
         }
         let size = bytes.len() as u64;
--- a/crates/health-snapshot/tests/store.rs
+++ b/crates/health-snapshot/tests/store.rs
@@ -173,7 +173,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     for operation in 0..operations {
         let disk = SimDisk::new();
-        disk.fail(operation, Fault::Kill(rng.usize(..700)));
+        disk.inject(operation, Fault::Kill(rng.usize(..700)));
         let mut run = Run::new(&disk, 150, seed).unwrap();
         for _ in 0..steps {
             // What fails for the sender is tried again; a killed process does nothing more.
@@ -184,7 +184,7 @@
         }
         assert!(disk.is_killed(), "operation {operation}");
         disk.restart();
-        disk.mend();
+        disk.clear_faults();
         let snapshot = load(&mut disk.clone(), "n1").unwrap();
         assert!(!snapshot.lost(), "operation {operation}: {:?}", snapshot.troubles);
         judge(&run, &snapshot, &format!("operation {operation}"));
@@ -226,9 +226,9 @@
 fn a_failed_write_is_not_followed_by_others() {
     let seed = first_seed();
     for operation in (0..100).step_by(2) {
-        for fault in [Fault::NoRoom(100), Fault::Device(37)] {
+        for fault in [Fault::StorageFull(100), Fault::Device(37)] {
             let disk = SimDisk::new();
-            disk.fail(operation, fault);
+            disk.inject(operation, fault);
             let mut run = Run::new(&disk, 60, seed).unwrap();
             let mut failed = 0;
             for _ in 0..150 {
@@ -311,7 +311,7 @@
     let names = disk.clone().names().unwrap();
     let (file, length) = names.iter().max_by_key(|name| name.1).cloned().unwrap();
     let whole = load(&mut disk.clone(), "n1").unwrap();
-    disk.spoil(&file, |bytes| bytes[length as usize / 3] ^= 0x20);
+    disk.corrupt(&file, |bytes| bytes[length as usize / 3] ^= 0x20);
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
     assert!(snapshot.lost() && snapshot.troubles.iter().any(|t| matches!(t, ReplayFault::Damaged { .. })));
     assert_eq!(snapshot.stamp, whole.stamp, "the newest is read");
@@ -343,7 +343,7 @@
     let waits = run.waits.clone();
     assert!(!waits.is_empty());
     for (file, _) in disk.clone().names().unwrap() {
-        disk.spoil(&file, |bytes| {
+        disk.corrupt(&file, |bytes| {
             bytes[8..10].copy_from_slice(&7u16.to_le_bytes());
             let end = 28 + 2;
             let crc = crc32fast::hash(&bytes[..end]);
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -1,91 +1,98 @@
-//! What a journal needs of a disk, and the folder of a real one.
+//! The storage that a journal needs, and its implementation on a folder of the file system.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files that are appended to. Names are plain, with no separators.
+/// A folder of append-only files. Names contain no separators.
 ///
-/// What was appended outlasts the process as soon as the call returned, in the order of the calls. It outlasts the
-/// machine once [`Disk::sync`] returned, and a name once [`Disk::sync_names`] did; before that, any part of it may be
-/// there without the parts before it.
+/// An append survives the end of the process once the call has returned, in the order of the calls. It survives a loss
+/// of power once [`Disk::sync`] has returned, and a change of names once [`Disk::sync_names`] has. Until then a loss of
+/// power may keep any part of it without the parts before.
 pub trait Disk: Send {
-    /// The files' names and lengths, in no order.
+    /// The files' names and lengths in bytes, in no particular order.
     ///
     /// # Errors
     /// Fails when the folder can't be read.
     fn names(&mut self) -> io::Result<Vec<(String, u64)>>;
 
-    /// Reads a file's first bytes, so many at most, in the place of what `into` held.
+    /// Reads a file's first `limit` bytes, or all if there are fewer, and replaces the contents of `into`.
     ///
     /// # Errors
-    /// Fails when it is not there or can't be read.
-    fn read(&mut self, name: &str, most: u64, into: &mut Vec<u8>) -> io::Result<()>;
+    /// Fails when the file does not exist or can't be read.
+    fn read(&mut self, name: &str, limit: u64, into: &mut Vec<u8>) -> io::Result<()>;
 
-    /// Makes a new, empty file.
+    /// Creates an empty file.
     ///
     /// # Errors
-    /// Fails when there is one of that name, or none can be made.
+    /// Fails when a file of that name exists or none can be created.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Writes at a file's end.
+    /// Writes at the end of a file.
     ///
     /// # Errors
-    /// Fails when not all could be written; any first part of it may stand there.
+    /// Fails when not all bytes could be written. Any prefix of them may have been.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file off behind its first `length` bytes.
+    /// Truncates a file to its first `length` bytes.
     ///
     /// # Errors
-    /// Fails when it can't be cut; it is as it was.
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()>;
+    /// Fails when it can't be truncated. The file is unchanged then.
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-    /// Gives a file another name, in the place of any that has it.
+    /// Renames a file and replaces any file of the new name.
     ///
     /// # Errors
-    /// Fails when it has the old name still.
+    /// Fails when the file still has its old name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Fails when it is there still, or was not there.
+    /// Fails when the file still exists, or did not exist.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Waits until a file's bytes outlast the machine.
+    /// Waits until a file's bytes would survive a loss of power.
     ///
     /// # Errors
-    /// Fails when that is not known.
+    /// Fails when that is not certain.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Waits until the names outlast the machine.
+    /// Waits until all changes of names would survive a loss of power.
     ///
     /// # Errors
-    /// Fails when that is not known.
+    /// Fails when that is not certain.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the system's.
+/// An open file of a [`Folder`].
+#[derive(Debug)]
+struct OpenFile {
+    name: String,
+    file: File,
+}
+
+/// A folder of the file system.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    /// The file that was appended to last.
-    open: Option<(String, File)>,
-    /// Held for as long as the folder is written to.
+    /// The file that was written last, kept open.
+    open: Option<OpenFile>,
+    /// Keeps other processes from writing to the folder.
     _lock: Option<File>,
 }
 
-/// The file whose lock says that a process writes to the folder. It is empty.
+/// Name of the empty file that a process which writes to the folder keeps locked.
 pub const LOCK: &str = "lock";
 
 impl Folder {
-    /// Opens a folder to write in it, and makes it if it is not there. None where another process does so already.
+    /// Opens a folder for writing and creates it if it does not exist. `None` where another process has it open.
     ///
     /// # Errors
-    /// Fails when it can't be made or locked.
+    /// Fails when the folder can't be created or locked.
     pub fn lock(path: &Path) -> io::Result<Option<Self>> {
         fs::create_dir_all(path)?;
-        // Guards against two processes that write to one journal. The system drops the lock with its process.
+        // Guards against two processes that write to one journal. The system releases the lock when its process ends.
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))?;
         match lock.try_lock() {
             Ok(()) => Ok(Some(Self { path: path.to_owned(), open: None, _lock: Some(lock) })),
@@ -94,26 +101,28 @@
         }
     }
 
-    /// A folder that is only read, whoever else writes to it.
+    /// A folder that is only read, whichever process writes to it.
     pub fn reader(path: &Path) -> Self {
         Self { path: path.to_owned(), open: None, _lock: None }
     }
 
-    /// A folder that another part of this process has locked: for files that stand beside what it writes.
-    pub fn beside(path: &Path) -> Self {
+    /// A folder that another part of this process has locked, to write other files in it.
+    pub fn companion(path: &Path) -> Self {
         Self::reader(path)
     }
 
+    /// The file of this name, opened for appending.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if self.open.as_ref().is_none_or(|open| open.0 != name) {
+        if self.open.as_ref().is_none_or(|open| open.name != name) {
             let file = OpenOptions::new().append(true).open(self.path.join(name))?;
-            self.open = Some((name.to_owned(), file));
+            self.open = Some(OpenFile { name: name.to_owned(), file });
         }
-        self.open.as_mut().map(|open| &mut open.1).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.open.as_mut().map(|open| &mut open.file).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
+    /// Closes the file if it is the one that is kept open.
     fn close(&mut self, name: &str) {
-        self.open.take_if(|open| open.0 == name);
+        self.open.take_if(|open| open.name == name);
     }
 }
 
@@ -124,7 +133,7 @@
             let entry = entry?;
             let metadata = match entry.metadata() {
                 Ok(metadata) => metadata,
-                // Another process may remove files while this one reads.
+                // The process that writes may remove files meanwhile.
                 Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
                 Err(e) => return Err(e),
             };
@@ -135,18 +144,18 @@
         Ok(names)
     }
 
-    fn read(&mut self, name: &str, most: u64, into: &mut Vec<u8>) -> io::Result<()> {
+    fn read(&mut self, name: &str, limit: u64, into: &mut Vec<u8>) -> io::Result<()> {
         into.clear();
         let file = File::open(self.path.join(name))?;
-        let length = file.metadata()?.len().min(most);
+        let length = file.metadata()?.len().min(limit);
         into.reserve_exact(usize::try_from(length).map_err(io::Error::other)?);
-        file.take(most).read_to_end(into)?;
+        file.take(limit).read_to_end(into)?;
         Ok(())
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let file = OpenOptions::new().append(true).create_new(true).open(self.path.join(name))?;
-        self.open = Some((name.to_owned(), file));
+        self.open = Some(OpenFile { name: name.to_owned(), file });
         Ok(())
     }
 
@@ -154,7 +163,7 @@
         self.file(name)?.write_all(bytes)
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         OpenOptions::new().write(true).open(self.path.join(name))?.set_len(length)
     }
 
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -1,134 +1,128 @@
-//! What can go wrong, and what a person can do about it.
+//! The errors of opening a journal and appending to it, with what an operator can do about them.
 
 use std::fmt;
 use std::io;
 
-use crate::replay::Stretch;
+use crate::format::RecordTooLong;
+use crate::replay::DamagedRange;
 
 /// Why a journal can't be opened.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum OpenError {
     /// Another process writes to the folder. Two senders must not share one: end the other, or give this one a folder
     /// of its own.
+    #[error("another process writes to this folder: it must end first")]
     Locked,
     /// The folder holds what a newer version of this program wrote. Start that version.
+    #[error("{file} {}: a newer version of this program must read it", DescribeVersion(*version))]
     Newer {
         /// The file.
         file: String,
-        /// Its format's version; none where the head is this version's and a record is not.
+        /// Its format's version; `None` where the header is of this version and a record is of an unknown kind.
         version: Option<u16>,
     },
     /// A file is damaged, and the operators' file says not to start then. `myrtleyard journal verify` tells more;
     /// `damage = "suspect"` starts and treats every message that may be affected as possibly applied.
+    #[error("{file} {}", DescribeDamage(*range))]
     Damaged {
         /// The first damaged file.
         file: String,
-        /// Where, if it is there at all.
-        stretch: Option<Stretch>,
+        /// The first damaged range; `None` where the file is missing or its header is damaged.
+        range: Option<DamagedRange>,
     },
-    /// The damaged file is to be kept aside, and there is no room for that within the limit. Move the files named
-    /// `damaged-…` out of the folder, or raise the limit.
-    NoRoomAside {
-        /// The damaged file.
-        file: String,
-    },
-    /// The ledger's size is over a quarter of the journal's limit. Make it smaller, or the limit larger.
+    /// The ledger may occupy more than a quarter of the journal's limit. Make it smaller, or the limit larger.
+    #[error("the ledger's size is over a quarter of the journal's limit")]
     LedgerTooLarge,
-    /// The system says so of this file, or of the folder.
+    /// An operation on this file failed.
+    #[error("{}{source}", FilePrefix(file))]
     Io {
         /// The file, or nothing for the folder.
         file: String,
-        /// What it says.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-impl fmt::Display for OpenError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Self::Locked => f.write_str("another process writes to this folder: it must end first"),
-            Self::Newer { file, version: Some(version) } => {
-                write!(f, "{file} has format version {version}: a newer version of this program must read it")
-            }
-            Self::Newer { file, version: None } => {
-                write!(f, "{file} holds records of a kind that is not known: a newer version must read it")
-            }
-            Self::Damaged { file, stretch: None } => {
-                write!(f, "{file} is missing or has no head: not started")
-            }
-            Self::Damaged { file, stretch: Some(stretch) } => {
-                write!(f, "{file} is damaged, {stretch}: not started, as [journal] damage = \"refuse\" says")
-            }
-            Self::NoRoomAside { file } => {
-                write!(f, "{file} is damaged, and there is no room to keep it aside: move damaged-* away")
-            }
-            Self::LedgerTooLarge => f.write_str("the ledger's size is over a quarter of the journal's limit"),
-            Self::Io { file, source } if file.is_empty() => write!(f, "{source}"),
-            Self::Io { file, source } => write!(f, "{file}: {source}"),
-        }
+impl OpenError {
+    /// Names the file that an operation failed on, or nothing for the folder.
+    pub(crate) fn io(file: &str) -> impl FnOnce(io::Error) -> Self {
+        let file = file.to_owned();
+        move |source| Self::Io { file, source }
     }
 }
 
-impl std::error::Error for OpenError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            Self::Io { source, .. } => Some(source),
-            _ => None,
-        }
-    }
+/// Why records could not be appended. None of them counts, and nothing may be acted on.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum AppendError {
+    /// The limit is reached. Pending messages have to be completed first; space for that is reserved.
+    #[error("its limit is reached")]
+    LimitReached,
+    /// A record is longer than the format can hold.
+    #[error("a record is longer than the format has room for")]
+    TooLong(#[from] RecordTooLong),
+    /// Another process has the journal since [`JournalPart::close`](crate::JournalPart::close).
+    #[error(transparent)]
+    Closed(#[from] JournalClosed),
+    /// The system's error, a full disk for example. The next append retries.
+    #[error("{0}")]
+    Io(#[from] io::Error),
 }
 
-impl fmt::Display for Stretch {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "bytes {} to {}, ", self.from, self.to)?;
-        match self.records {
-            Some(1) => f.write_str("1 record lost"),
-            Some(records) => write!(f, "{records} records lost"),
-            None => f.write_str("records lost that can't be counted"),
-        }
+/// Another process has the journal.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("another process has the journal")]
+pub struct JournalClosed;
+
+impl From<JournalClosed> for io::Error {
+    fn from(error: JournalClosed) -> Self {
+        Self::other(error)
     }
 }
 
-/// Why records could not be appended. None of them counts, and none promises anything.
-#[derive(Debug)]
-#[non_exhaustive]
-pub enum AppendError {
-    /// The limit is reached. What is live has to end first; its ends have room kept for them.
-    Full,
-    /// A text is longer than the format has room for.
-    TooLong,
-    /// The system says so: a full disk, say. It is tried again with the next append.
-    Io(io::Error),
-}
+/// Completes the text of [`OpenError::Newer`].
+struct DescribeVersion(Option<u16>);
 
-impl fmt::Display for AppendError {
+impl fmt::Display for DescribeVersion {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Self::Full => f.write_str("its limit is reached"),
-            Self::TooLong => f.write_str("a record is longer than the format has room for"),
-            Self::Io(e) => write!(f, "{e}"),
+        match self.0 {
+            Some(version) => write!(f, "has format version {version}"),
+            None => f.write_str("holds records of an unknown kind"),
         }
     }
 }
 
-impl std::error::Error for AppendError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            Self::Io(e) => Some(e),
-            _ => None,
+/// Completes the text of [`OpenError::Damaged`].
+struct DescribeDamage(Option<DamagedRange>);
+
+impl fmt::Display for DescribeDamage {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self.0 {
+            Some(range) => {
+                write!(f, "is damaged, {range}: not started, as [journal] damage = \"refuse\" says")
+            }
+            None => f.write_str("is missing or has no head: not started"),
         }
     }
 }
 
-impl From<io::Error> for AppendError {
-    fn from(e: io::Error) -> Self {
-        Self::Io(e)
+/// A file's name and a colon, or nothing for the folder.
+struct FilePrefix<'a>(&'a str);
+
+impl fmt::Display for FilePrefix<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        if self.0.is_empty() { Ok(()) } else { write!(f, "{}: ", self.0) }
     }
 }
 
-impl From<crate::format::TooLong> for AppendError {
-    fn from(_: crate::format::TooLong) -> Self {
-        Self::TooLong
+impl fmt::Display for DamagedRange {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "bytes {} to {}, ", self.from, self.to)?;
+        match self.records {
+            Some(1) => f.write_str("1 record lost"),
+            Some(records) => write!(f, "{records} records lost"),
+            None => f.write_str("records lost that can't be counted"),
+        }
     }
 }
--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -1,4 +1,4 @@
-//! A look at a journal from outside: it changes nothing, and may be taken while a sender writes.
+//! Reads a journal without changing it, also while a sender writes to it.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,77 +7,84 @@
 use crate::error::OpenError;
 use crate::load::{DamagedFile, Loaded, load};
 use crate::record::{LedgerEntry, PendingMessage};
-use crate::replay::Follows;
+use crate::replay::Successor;
 use crate::segment::Segment;
 
-/// How often it is begun anew when files go while they are read.
-const TRIES: usize = 10;
+/// How often the files are read anew when a running sender changes them meanwhile.
+const MAX_READS: usize = 10;
 
-/// A file that counts.
+/// A segment of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileFigures {
     /// The file.
     pub file: String,
-    /// Its bytes, up to a torn end.
+    /// Its bytes, up to a torn write.
     pub bytes: u64,
     /// Its records.
     pub records: u32,
-    /// Messages that are owed their end and begin in it.
+    /// Pending messages that it holds.
     pub live: usize,
 }
 
-/// What was seen.
+/// What a journal holds.
 #[derive(Debug)]
 pub struct Inspection {
-    /// Files that count, oldest first.
+    /// The segments of the log, oldest first.
     pub files: Vec<FileFigures>,
-    /// Files that count for nothing and have not gone yet.
+    /// The number of files that are no longer part of the log and not removed yet.
     pub dying: usize,
     /// Bytes of all files in the folder, in whole blocks of 512.
     pub used: u64,
     /// What is damaged.
     pub damaged: Vec<DamagedFile>,
-    /// Messages that may be affected by the damage.
+    /// Messages that the damage may affect.
     pub suspected: usize,
-    /// Bytes at the end that are no whole append: torn, or being written at that moment.
+    /// Bytes at the end that are no complete write: torn, or being written at that moment.
     pub torn: u64,
-    /// Messages that are owed their end, by number.
+    /// The pending messages by number.
     pub live: BTreeMap<u32, PendingMessage>,
-    /// The ledger of orders, oldest first.
+    /// The ledger, oldest entry first.
     pub ledger: Vec<LedgerEntry>,
 }
 
-/// Looks at what a disk holds.
+/// Reads what a disk holds.
 ///
 /// # Errors
-/// Fails when the system does, or a newer version wrote it. Damage is no error here.
+/// Fails when the system does, or a newer version wrote the files. Damage is no error here.
 pub fn inspect(disk: &mut dyn Disk) -> Result<Inspection, OpenError> {
-    let mut tries = 0;
-    let loaded = loop {
-        tries += 1;
-        match load(disk, Follows::NothingInAnyOrder) {
-            // A running sender has dropped a file between two looks; or one was met whose head it was just writing.
-            Err(OpenError::Io { source, .. })
-                if source.kind() == io::ErrorKind::NotFound && tries < TRIES => {}
-            Ok(loaded) if !loaded.damaged.is_empty() && tries < TRIES => {}
-            loaded => break loaded?,
-        }
-    };
-    let Loaded { state, segments, dying, used, damaged, suspected, torn, .. } = loaded;
-    let figures = |s: &Segment| FileFigures {
-        file: s.name.clone(),
-        bytes: s.length,
-        records: s.records,
-        live: s.residents.len(),
-    };
+    let loaded = load_stable(disk)?;
     Ok(Inspection {
-        files: segments.iter().map(figures).collect(),
-        dying: dying.len(),
-        used,
-        damaged,
-        suspected,
-        torn,
-        ledger: state.ledger().map(|(_, entry)| entry.remembered.clone()).collect(),
-        live: state.live().iter().map(|(number, live)| (*number, live.clone())).collect(),
+        files: loaded.segments.iter().map(figures).collect(),
+        dying: loaded.retired.len(),
+        used: loaded.used,
+        damaged: loaded.damaged,
+        suspected: loaded.suspected,
+        torn: loaded.torn,
+        ledger: loaded.state.ledger().map(|(_, stored)| stored.entry.clone()).collect(),
+        live: loaded.state.live().iter().map(|(number, pending)| (*number, pending.clone())).collect(),
     })
 }
+
+/// Loads the files, again where a running sender may have changed them meanwhile: it removed a file between listing and
+/// reading, or was writing a header that looked damaged.
+fn load_stable(disk: &mut dyn Disk) -> Result<Loaded, OpenError> {
+    let mut reads = 0;
+    loop {
+        reads += 1;
+        match load(disk, Successor::NoneUnordered) {
+            Err(OpenError::Io { source, .. })
+                if source.kind() == io::ErrorKind::NotFound && reads < MAX_READS => {}
+            Ok(loaded) if !loaded.damaged.is_empty() && reads < MAX_READS => {}
+            loaded => return loaded,
+        }
+    }
+}
+
+fn figures(segment: &Segment) -> FileFigures {
+    FileFigures {
+        file: segment.file.clone(),
+        bytes: segment.length,
+        records: segment.records,
+        live: segment.messages.len(),
+    }
+}
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,13 +1,16 @@
-//! What a sender has taken on, in files that outlast its process.
+//! A crash-safe journal of the messages that a sender has accepted.
 //!
-//! The log is a row of segments. A turn's records are appended to the last one in one write, and only then count. The
-//! oldest segment goes once what is live in it has been written anew at the log's end, in slices between the turns; so
-//! there is one order of all that happened, and reading it from the first segment that counts to the last brings back
-//! what was live, wherever the process or the machine ended. `docs/journal.md` tells why it is built so.
+//! The journal is a log of segments. The records of a batch are appended to the last segment in one write, and count once
+//! it has returned. Compaction copies the live records of the oldest segment to the end of the log, in slices between
+//! batches, and then removes the segment. The log is therefore totally ordered: replaying it from its first segment to
+//! its last restores the pending messages, wherever the process or the machine stopped. `docs/journal.md` explains the
+//! design.
 //!
-//! It must never decide what is taken on, sent or answered, and knows neither sockets nor the module. Its parts without
-//! I/O are [`record`], `format`, `replay` and `state`; files are reached through [`disk::Disk`] alone, of which
-//! [`sim::SimDisk`] is one that fails as it is told to.
+//! [`Journal`] is the entry point; [`JournalPart`] shares one among shards, and [`inspect`] reads one from outside.
+//!
+//! The crate does not decide what is accepted, sent or answered, and knows neither sockets nor the decision module. Its
+//! parts without I/O are `record`, `format`, `replay` and `state`. Files are reached through [`disk::Disk`] alone, of
+//! which [`sim::SimDisk`] is an implementation with injected faults.
 
 pub mod disk;
 mod error;
@@ -15,23 +18,25 @@
 mod inspect;
 mod legacy;
 mod load;
+mod migration;
 mod open;
 mod record;
 mod replay;
 mod segment;
-mod shared;
+mod shards;
 pub mod sim;
 mod state;
 mod store;
 
-pub use error::{AppendError, OpenError};
+pub use error::{AppendError, JournalClosed, OpenError};
+pub use format::RecordTooLong;
 pub use inspect::{FileFigures, Inspection, inspect};
 pub use load::DamagedFile;
 pub use open::OpenReport;
 pub use record::{Abandonment, AcceptedMessage, Attempt, LedgerEntry, Micros, PendingMessage, Record};
-pub use replay::Stretch;
+pub use replay::DamagedRange;
 pub use segment::SNAPSHOT_PREFIX;
-pub use shared::JournalPart;
+pub use shards::JournalPart;
 pub use state::ByNumber;
 pub use store::{
     Capacity, Damage, Figures, Journal, LedgerOptions, Options, SLICE_BYTES, SLICE_CUT, SLICE_MESSAGES,
--- a/crates/journal/src/load.rs
+++ b/crates/journal/src/load.rs
@@ -1,172 +1,223 @@
-//! Reads a folder's files into a state, and changes nothing.
+//! Reads a folder's files into a [`State`] and changes nothing.
 
 use std::collections::BTreeMap;
-use std::io;
 
 use crate::disk::Disk;
 use crate::error::OpenError;
-use crate::format::{BadHead, HEAD, Head};
+use crate::format::{HEADER_SIZE, HeaderError, SegmentHeader};
 use crate::legacy;
-use crate::replay::{Follows, Replay, Stretch, Unreadable, floor};
-use crate::segment::{ASIDE, SNAPSHOT_PREFIX, Segment, blocks, name, sequence};
+use crate::replay::{DamagedRange, Replay, ReplayedSegment, Successor, Unreadable, floor};
+use crate::segment::{
+    DAMAGED_PREFIX, SNAPSHOT_PREFIX, Segment, StoredFile, file_name, parse_sequence, size_on_disk,
+};
 use crate::state::State;
 
-/// A file with a damaged stretch; without one it is missing, or has no head.
+/// A file that is damaged or missing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DamagedFile {
     /// The file.
     pub file: String,
-    /// Where it is damaged.
-    pub stretch: Option<Stretch>,
+    /// Where it is damaged; `None` where it is missing or its header is damaged.
+    pub range: Option<DamagedRange>,
 }
 
 /// What a folder holds.
 #[derive(Debug, Default)]
 pub struct Loaded {
-    /// What the records come to.
+    /// What the records amount to.
     pub(crate) state: State,
-    /// Files that count, oldest first, as far as they can be read.
+    /// The segments of the log, oldest first, as far as they can be read.
     pub(crate) segments: Vec<Segment>,
-    /// Files that count for nothing any more.
-    pub(crate) dying: Vec<(String, u64)>,
+    /// Files that are no longer part of the log.
+    pub(crate) retired: Vec<StoredFile>,
     /// Bytes of all files, in whole blocks.
     pub used: u64,
-    /// Records written ahead of the last segment.
-    pub(crate) records: u64,
-    /// Segments before this one count for nothing.
-    pub(crate) floor: u64,
+    /// Records written to all segments before the last one.
+    pub(crate) records_before_last: u64,
     /// What is damaged.
     pub damaged: Vec<DamagedFile>,
-    /// Messages that may be affected by damage, and are treated as possibly applied.
+    /// Messages that the damage may affect, which count as possibly applied.
     pub suspected: usize,
-    /// Bytes at the end of the last file that its process did not get to the end of, and promised to nobody.
+    /// Bytes of a torn write at the end of the last segment. Nobody was promised anything of them.
     pub torn: u64,
-    /// The file of an earlier version is there, and was read.
+    /// Whether there is a file of a version before 0.2.
     pub(crate) legacy: bool,
 }
 
-/// All of a file.
-pub const WHOLE: u64 = u64::MAX;
+/// Reads a file without a limit on its length.
+pub const WHOLE_FILE: u64 = u64::MAX;
 
-fn told<T>(file: &str, result: io::Result<T>) -> Result<T, OpenError> {
-    result.map_err(|source| OpenError::Io { file: file.to_owned(), source })
-}
-
-/// Reads all that is there.
+/// Reads everything that a folder holds. `newest` states what may be missing behind the last segment.
 ///
 /// # Errors
-/// Fails when the system does, or a newer version wrote it. Damage is no error here.
-pub fn load(disk: &mut dyn Disk, newest: Follows) -> Result<Loaded, OpenError> {
-    let mut loaded = Loaded::default();
-    let mut files: BTreeMap<u64, (String, u64)> = BTreeMap::new();
-    let mut names = told("", disk.names())?;
-    // A file that was kept aside and still counts is found under either name.
-    names.sort();
-    for (file, length) in names.into_iter().filter(|(file, _)| !file.starts_with(SNAPSHOT_PREFIX)) {
-        loaded.used += blocks(length);
-        if file == legacy::NAME {
-            loaded.legacy = true;
-        } else if let Some(number) = sequence(file.strip_prefix(ASIDE).unwrap_or(&file)) {
-            files.insert(number, (file, length));
+/// Fails when the system does, or a newer version wrote the files. Damage is no error here.
+pub fn load(disk: &mut dyn Disk, newest: Successor) -> Result<Loaded, OpenError> {
+    let mut loader = Loader::list(disk)?;
+    let stated_floor = loader.find_newest_segment()?;
+    loader.read_headers()?;
+    let Some(last) = loader.files.keys().next_back().copied() else {
+        loader.replay_legacy()?;
+        return Ok(loader.loaded);
+    };
+    let floor = loader.floor(stated_floor);
+    loader.retire_below(floor);
+    loader.replay(floor, last, newest)?;
+    loader.assign_to_segments();
+    loader.loaded.records_before_last = loader.headers.get(&last).map_or(0, |header| header.records_before);
+    Ok(loader.loaded)
+}
+
+/// The steps of [`load`] and what they share.
+struct Loader<'a> {
+    disk: &'a mut dyn Disk,
+    /// Segment files by sequence number.
+    files: BTreeMap<u64, StoredFile>,
+    /// Headers that can be read, by sequence number.
+    headers: BTreeMap<u64, SegmentHeader>,
+    /// Bytes of the file read last.
+    buffer: Vec<u8>,
+    loaded: Loaded,
+}
+
+impl<'a> Loader<'a> {
+    /// Lists the folder's files.
+    fn list(disk: &'a mut dyn Disk) -> Result<Self, OpenError> {
+        let mut names = disk.names().map_err(OpenError::io(""))?;
+        // A damaged segment may have been renamed while it was still part of the log: it is found under either name,
+        // and its own name, which sorts last, wins.
+        names.sort();
+        let mut loaded = Loaded::default();
+        let mut files = BTreeMap::new();
+        for (name, length) in names.into_iter().filter(|(name, _)| !name.starts_with(SNAPSHOT_PREFIX)) {
+            loaded.used += size_on_disk(length);
+            if name == legacy::FILE_NAME {
+                loaded.legacy = true;
+            } else if let Some(sequence) = parse_sequence(name.strip_prefix(DAMAGED_PREFIX).unwrap_or(&name))
+            {
+                files.insert(sequence, StoredFile { name, length });
+            }
         }
+        Ok(Self { disk, files, headers: BTreeMap::new(), buffer: Vec::new(), loaded })
     }
-    let mut bytes = Vec::new();
-    let mut heads = BTreeMap::new();
-    // The newest that was ever used tells what counts.
-    let mut told_floor = None;
-    while let Some((&number, (file, length))) = files.last_key_value() {
-        told(file, disk.read(file, WHOLE, &mut bytes))?;
-        match Head::read(&bytes) {
-            Ok(head) => {
-                told_floor = Some(floor(&bytes).unwrap_or(head.floor));
-                break;
-            }
-            Err(BadHead::Version(version)) => {
-                return Err(OpenError::Newer { file: file.clone(), version: Some(version) });
-            }
-            // Its process ended while it was made.
-            Err(_) if bytes.len() <= HEAD => {
-                loaded.dying.push((file.clone(), *length));
-                files.remove(&number);
+
+    /// Finds the newest segment that was ever used and returns the floor that it states. Newer files, which a process
+    /// was creating when it ended, are retired.
+    fn find_newest_segment(&mut self) -> Result<Option<u64>, OpenError> {
+        while let Some(newest) = self.files.last_entry() {
+            let file = newest.get();
+            self.disk.read(&file.name, WHOLE_FILE, &mut self.buffer).map_err(OpenError::io(&file.name))?;
+            match SegmentHeader::read(&self.buffer) {
+                Ok(header) => return Ok(Some(floor(&self.buffer).unwrap_or(header.floor))),
+                Err(HeaderError::UnsupportedVersion(version)) => {
+                    return Err(OpenError::Newer { file: file.name.clone(), version: Some(version) });
+                }
+                Err(_) if self.buffer.len() <= HEADER_SIZE => self.loaded.retired.push(newest.remove()),
+                Err(_) => return Ok(None),
             }
-            Err(_) => break,
         }
+        Ok(None)
     }
-    for (number, (file, _)) in &files {
-        if !heads.contains_key(number) {
-            told(file, disk.read(file, HEAD as u64, &mut bytes))?;
-            if let Ok(head) = Head::read(&bytes) {
-                heads.insert(*number, head);
+
+    /// Reads the headers of all segment files.
+    fn read_headers(&mut self) -> Result<(), OpenError> {
+        for (sequence, file) in &self.files {
+            let read = self.disk.read(&file.name, HEADER_SIZE as u64, &mut self.buffer);
+            read.map_err(OpenError::io(&file.name))?;
+            if let Ok(header) = SegmentHeader::read(&self.buffer) {
+                self.headers.insert(*sequence, header);
             }
         }
+        Ok(())
     }
-    let known = told_floor.or_else(|| heads.values().next_back().map(|head| head.floor));
-    loaded.floor = known.or(files.keys().next().copied()).unwrap_or(0);
-    let Some(last) = files.keys().next_back().copied() else {
-        if loaded.legacy {
-            told(legacy::NAME, disk.read(legacy::NAME, WHOLE, &mut bytes))?;
-            legacy::read(&bytes, &mut loaded.state);
-        }
-        return Ok(loaded);
-    };
-    for (_, (file, length)) in files.range(..loaded.floor) {
-        // What was kept aside stays.
-        if !file.starts_with(ASIDE) {
-            loaded.dying.push((file.clone(), *length));
+
+    /// Reads the file of a version before 0.2, if there is one.
+    fn replay_legacy(&mut self) -> Result<(), OpenError> {
+        if self.loaded.legacy {
+            let read = self.disk.read(legacy::FILE_NAME, WHOLE_FILE, &mut self.buffer);
+            read.map_err(OpenError::io(legacy::FILE_NAME))?;
+            legacy::read(&self.buffer, &mut self.loaded.state);
         }
+        Ok(())
     }
-    let mut replay = Replay::default();
-    for number in loaded.floor..=last {
-        let Some((file, _)) = files.get(&number) else {
-            loaded.damaged.push(DamagedFile { file: name(number), stretch: None });
-            loaded.suspected += loaded.state.suspect();
-            continue;
-        };
-        told(file, disk.read(file, WHOLE, &mut bytes))?;
-        let follows = match heads.get(&(number + 1)) {
-            Some(head) => Follows::Segment(head.records),
-            None if number < last => Follows::NothingInAnyOrder,
-            None => newest,
-        };
-        let mut segment = Segment::new(number, bytes.len() as u64);
-        match replay.segment(&bytes, follows, &mut loaded.state) {
-            Ok(found) => {
-                segment.length = found.length;
-                segment.records = found.records;
-                segment.damaged = !found.damaged.is_empty();
-                loaded.torn = found.torn;
-                loaded.suspected += found.suspected;
-                let damaged = |stretch: &Stretch| DamagedFile { file: file.clone(), stretch: Some(*stretch) };
-                loaded.damaged.extend(found.damaged.iter().map(damaged));
-            }
-            Err(Unreadable::Head(BadHead::Version(version))) => {
-                return Err(OpenError::Newer { file: file.clone(), version: Some(version) });
+
+    /// The sequence number of the log's first segment: as the newest segment states it, else the newest header that can
+    /// be read, else the first file.
+    fn floor(&self, stated: Option<u64>) -> u64 {
+        let in_header = || self.headers.values().next_back().map(|header| header.floor);
+        stated.or_else(in_header).or(self.files.keys().next().copied()).unwrap_or(0)
+    }
+
+    /// Retires the files that are no longer part of the log. Preserved damaged files stay.
+    fn retire_below(&mut self, floor: u64) {
+        let below = self.files.range(..floor).map(|(_, file)| file);
+        self.loaded.retired.extend(below.filter(|file| !file.name.starts_with(DAMAGED_PREFIX)).cloned());
+    }
+
+    /// Replays the segments from `floor` to `last`. A missing one counts as damaged.
+    fn replay(&mut self, floor: u64, last: u64, newest: Successor) -> Result<(), OpenError> {
+        let mut replay = Replay::default();
+        for sequence in floor..=last {
+            let Some(file) = self.files.get(&sequence).map(|file| file.name.clone()) else {
+                self.loaded.add_unreadable(file_name(sequence));
+                continue;
+            };
+            self.disk.read(&file, WHOLE_FILE, &mut self.buffer).map_err(OpenError::io(&file))?;
+            let successor = match self.headers.get(&(sequence + 1)) {
+                Some(header) => Successor::Segment { records_before: header.records_before },
+                None if sequence < last => Successor::NoneUnordered,
+                None => newest,
+            };
+            let mut segment = Segment::new(sequence, self.buffer.len() as u64);
+            match replay.segment(&self.buffer, successor, &mut self.loaded.state) {
+                Ok(found) => self.loaded.add_replayed(&file, &mut segment, &found),
+                Err(Unreadable::Header(HeaderError::UnsupportedVersion(version))) => {
+                    return Err(OpenError::Newer { file, version: Some(version) });
+                }
+                Err(Unreadable::UnknownRecord) => return Err(OpenError::Newer { file, version: None }),
+                Err(Unreadable::Header(_)) => {
+                    segment.damaged = true;
+                    segment.header_unreadable = true;
+                    self.loaded.add_unreadable(file);
+                }
             }
-            Err(Unreadable::Unknown(_)) => {
-                return Err(OpenError::Newer { file: file.clone(), version: None });
+            self.loaded.segments.push(segment);
+        }
+        Ok(())
+    }
+
+    /// Lists each pending message and ledger entry with the segment that holds it.
+    fn assign_to_segments(&mut self) {
+        let Loaded { state, segments, .. } = &mut self.loaded;
+        let index_of: BTreeMap<u64, usize> =
+            segments.iter().enumerate().map(|(index, segment)| (segment.sequence, index)).collect();
+        for (message, pending) in state.live() {
+            if let Some(index) = index_of.get(&pending.segment) {
+                segments[*index].messages.push(*message);
             }
-            Err(Unreadable::Head(_)) => {
-                segment.damaged = true;
-                segment.headless = true;
-                loaded.damaged.push(DamagedFile { file: file.clone(), stretch: None });
-                loaded.suspected += loaded.state.suspect();
+        }
+        for (number, stored) in state.ledger() {
+            if let Some(index) = index_of.get(&stored.segment) {
+                segments[*index].ledger_entries.push(number);
             }
         }
-        loaded.segments.push(segment);
     }
-    // Each message's beginning is where its segment says.
-    let places: BTreeMap<u64, usize> =
-        loaded.segments.iter().enumerate().map(|(at, s)| (s.sequence, at)).collect();
-    for (message, live) in loaded.state.live() {
-        if let Some(at) = places.get(&live.home) {
-            loaded.segments[*at].residents.push(*message);
-        }
+}
+
+impl Loaded {
+    /// A file is missing, or its header can't be read.
+    fn add_unreadable(&mut self, file: String) {
+        self.damaged.push(DamagedFile { file, range: None });
+        self.suspected += self.state.mark_possibly_applied();
     }
-    for (number, entry) in loaded.state.ledger() {
-        if let Some(at) = places.get(&entry.home) {
-            loaded.segments[*at].entries.push(number);
-        }
+
+    /// Takes over what was found in a segment that could be read.
+    fn add_replayed(&mut self, file: &str, segment: &mut Segment, found: &ReplayedSegment) {
+        segment.length = found.length;
+        segment.records = found.records;
+        segment.damaged = !found.damaged.is_empty();
+        self.torn = found.torn;
+        self.suspected += found.suspected;
+        let damaged = |range: &DamagedRange| DamagedFile { file: file.to_owned(), range: Some(*range) };
+        self.damaged.extend(found.damaged.iter().map(damaged));
     }
-    loaded.records = heads.get(&last).map_or(0, |head| head.records);
-    Ok(loaded)
 }
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -1,50 +1,48 @@
-//! Opening a journal: what an earlier process left is read, and made fit to be gone on with.
+//! Opening a journal: the files of earlier processes are read and made fit to be appended to.
 
 use std::fmt;
 use std::path::Path;
 
 use crate::disk::{Disk, Folder};
 use crate::error::OpenError;
-use crate::format::{HEAD, Head, Writer};
+use crate::format::HEADER_SIZE;
 use crate::legacy;
-use crate::load::{DamagedFile, Loaded, WHOLE, load};
+use crate::load::{DamagedFile, Loaded, load};
+use crate::migration;
 use crate::record::Micros;
-use crate::replay::Follows;
-use crate::segment::{BLOCK, Segment, blocks, name};
-use crate::state::State;
+use crate::replay::Successor;
+use crate::segment::{Segment, StoredFile, parse_sequence, size_on_disk};
 use crate::store::{Damage, Journal, Options};
 
-/// The file that an earlier version's journal is written anew to, until it is whole.
-const NEW: &str = "journal.new";
-/// Bytes that are written at a time when a journal is written anew.
-const CHUNK: usize = 1 << 20;
+/// The ledger may occupy the limit divided by this at most.
+const MAX_LEDGER_SHARE: u64 = 4;
 
-/// What was found at the opening that a person should know.
+/// What opening found that an operator should know.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OpenReport {
-    /// What is damaged. Each file is kept, under a name that begins with `damaged-` once its records are written anew.
+    /// What is damaged. Each file is preserved under a name that begins with `damaged-` once its records are copied.
     pub damaged: Vec<DamagedFile>,
-    /// Messages that may be affected, and are treated as possibly applied.
+    /// Messages that the damage may affect, which count as possibly applied.
     pub suspected: usize,
-    /// Bytes of a last append that its process did not get to the end of. They were promised to nobody.
+    /// Bytes of a torn last write, which are cut off. Nobody was promised anything of them.
     pub torn: u64,
-    /// An earlier version's file was carried over.
+    /// The file of an earlier version was migrated.
     pub migrated: bool,
 }
 
 impl fmt::Display for OpenReport {
-    /// A line for each thing that was found; nothing where all is well.
+    /// One line for each finding; nothing where there is none.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if self.migrated {
-            writeln!(f, "journal: the file of an earlier version is carried over")?;
+            writeln!(f, "journal: the file of an earlier version is migrated")?;
         }
         if self.torn > 0 {
-            writeln!(f, "journal: {} bytes of an append that was not finished are cut off", self.torn)?;
+            writeln!(f, "journal: {} bytes of a torn write are cut off", self.torn)?;
         }
-        for DamagedFile { file, stretch } in &self.damaged {
-            match stretch {
-                Some(stretch) => {
-                    writeln!(f, "journal: {file} is damaged, {stretch}; it is kept as damaged-{file}")?
+        for DamagedFile { file, range } in &self.damaged {
+            match range {
+                Some(range) => {
+                    writeln!(f, "journal: {file} is damaged, {range}; it is kept as damaged-{file}")?
                 }
                 None => writeln!(f, "journal: {file} is missing, or its head is damaged")?,
             }
@@ -57,17 +55,17 @@
 }
 
 impl Journal {
-    /// Opens the journal in a folder, which is made if it is not there and locked against other processes.
+    /// Opens the journal in a folder, which is created if it does not exist and locked against other processes.
     ///
     /// # Errors
-    /// Fails when it can't be written, is another process's or a newer version's, or is damaged and must not be gone
-    /// on with.
+    /// Fails when the folder can't be written, another process or a newer version has it, or it is damaged and the
+    /// options refuse that.
     pub fn open(folder: &Path, options: Options, now: Micros) -> Result<(Self, OpenReport), OpenError> {
-        let disk = Folder::lock(folder).map_err(|source| OpenError::Io { file: String::new(), source })?;
+        let disk = Folder::lock(folder).map_err(OpenError::io(""))?;
         Self::open_on(Box::new(disk.ok_or(OpenError::Locked)?), options, now)
     }
 
-    /// The same on any disk, which nobody else writes to.
+    /// Opens the journal on a disk that nobody else writes to.
     ///
     /// # Errors
     /// As [`Journal::open`].
@@ -76,15 +74,14 @@
         options: Options,
         now: Micros,
     ) -> Result<(Self, OpenReport), OpenError> {
-        if options.retain.as_ref().is_some_and(|retain| retain.bytes > options.limit / 4) {
+        if options.ledger_limit() > options.limit / MAX_LEDGER_SHARE {
             return Err(OpenError::LedgerTooLarge);
         }
-        let newest = if options.sync { Follows::NothingInAnyOrder } else { Follows::NothingInOrder };
+        let newest = if options.sync { Successor::NoneUnordered } else { Successor::NoneInOrder };
         let mut loaded = load(&mut *disk, newest)?;
-        if let (Damage::Refuse, Some(DamagedFile { file, stretch })) =
-            (options.damage, loaded.damaged.first())
+        if let (Damage::Refuse, Some(DamagedFile { file, range })) = (options.damage, loaded.damaged.first())
         {
-            return Err(OpenError::Damaged { file: file.clone(), stretch: *stretch });
+            return Err(OpenError::Damaged { file: file.clone(), range: *range });
         }
         let report = OpenReport {
             damaged: std::mem::take(&mut loaded.damaged),
@@ -92,119 +89,108 @@
             torn: loaded.torn,
             migrated: loaded.legacy && loaded.segments.is_empty(),
         };
-        let journal = Self::go_on(disk, options, loaded, now);
-        Ok((journal.map_err(|(file, source)| OpenError::Io { file, source })?, report))
+        let journal = Recovery { disk, options, loaded, now }.run()?;
+        Ok((journal, report))
     }
+}
 
-    /// Makes it fit to be gone on with. Each step leaves a folder that can be opened again.
-    fn go_on(
-        mut disk: Box<dyn Disk>,
-        options: Options,
-        loaded: Loaded,
-        now: Micros,
-    ) -> Result<Self, (String, std::io::Error)> {
-        let Loaded { state, mut segments, mut dying, used, records, torn, legacy, .. } = loaded;
-        let of = |file: &str| {
-            let file = file.to_owned();
-            move |source| (file, source)
-        };
-        let mut used = used;
-        if disk.names().map_err(of(""))?.iter().any(|(file, _)| file == NEW) {
-            let mut left = Vec::new();
-            disk.read(NEW, WHOLE, &mut left).map_err(of(NEW))?;
-            disk.remove(NEW).map_err(of(NEW))?;
-            used -= blocks(left.len() as u64);
-        }
-        if legacy {
-            let mut old = Vec::new();
-            disk.read(legacy::NAME, WHOLE, &mut old).map_err(of(legacy::NAME))?;
-            if segments.is_empty() {
-                // A segment that was begun and never used would be in the way.
-                for (file, length) in dying.drain(..) {
-                    disk.remove(&file).map_err(of(&file))?;
-                    used -= blocks(length);
-                }
-                let segment = carry_over(&mut *disk, &options, &state, used, now).map_err(of(NEW))?;
-                used += blocks(segment.length);
-                segments.push(segment);
-            }
-            // Whole segments are there: it counts for nothing.
-            dying.push((legacy::NAME.to_owned(), old.len() as u64));
-        }
-        let headless = segments.last().is_none_or(|last| last.headless);
-        if let Some(last) = segments.last().filter(|_| torn > 0) {
-            let file = last.name.clone();
-            disk.cut(&file, last.length).map_err(of(&file))?;
-            used -= blocks(last.length + torn) - blocks(last.length);
-        }
-        // Files that were begun and never used are in the way of a further one.
-        let last = segments.last().map_or(0, |last| last.sequence);
-        while let Some(at) = dying.iter().position(|(file, _)| crate::segment::sequence(file) > Some(last)) {
-            let (file, length) = dying.remove(at);
-            disk.remove(&file).map_err(of(&file))?;
-            used -= blocks(length);
-        }
-        let mut sure = HEAD as u64;
-        // Guards what this process is going to act on: the one before may have ended ahead of its sync.
-        if let (true, Some(last)) = (options.sync, segments.last()) {
-            let file = last.name.clone();
-            disk.sync(&file).map_err(of(&file))?;
-            disk.sync_names().map_err(of(""))?;
-            sure = last.length;
+/// Makes a loaded folder fit to be appended to. Every step leaves a folder that can be opened again.
+struct Recovery {
+    disk: Box<dyn Disk>,
+    options: Options,
+    loaded: Loaded,
+    now: Micros,
+}
+
+impl Recovery {
+    fn run(mut self) -> Result<Journal, OpenError> {
+        self.remove_unfinished_migration()?;
+        if self.loaded.legacy {
+            self.migrate_legacy()?;
         }
-        let mut journal = Self::new(disk, options, state);
-        journal.segments = segments.into();
-        journal.dying = dying.into();
-        journal.used = used;
-        journal.records = records;
-        journal.sure = sure;
-        if headless {
-            journal.begin_segment(now).map_err(of(""))?;
+        self.truncate_torn_write()?;
+        self.remove_unused_segments()?;
+        let durable_bytes = self.sync_last_segment()?;
+        let needs_new_segment = self.loaded.segments.last().is_none_or(|last| last.header_unreadable);
+        let mut journal = Journal::new(self.disk, self.options, self.loaded.state);
+        journal.segments = self.loaded.segments.into();
+        journal.retired = self.loaded.retired.into();
+        journal.used_bytes = self.loaded.used;
+        journal.records_before_active = self.loaded.records_before_last;
+        journal.durable_bytes = durable_bytes;
+        if needs_new_segment {
+            journal.roll(self.now).map_err(OpenError::io(""))?;
         }
         Ok(journal)
     }
-}
 
-/// Writes all that an earlier version's file came to as the first segment.
-fn carry_over(
-    disk: &mut dyn Disk,
-    options: &Options,
-    state: &State,
-    used: u64,
-    now: Micros,
-) -> std::io::Result<Segment> {
-    let sequence = 1;
-    let mut segment = Segment::new(sequence, 0);
-    let mut writer = Writer::default();
-    writer.turn(sequence, now, 0, 0);
-    disk.create(NEW)?;
-    disk.append(NEW, &Head { sequence, floor: sequence, records: 0, began: now }.bytes())?;
-    segment.length = HEAD as u64;
-    let mut flush = |writer: &mut Writer, segment: &mut Segment| -> std::io::Result<()> {
-        segment.length += writer.bytes().len() as u64;
-        segment.records += writer.records();
-        if used + blocks(segment.length) + BLOCK > options.limit {
-            return Err(std::io::ErrorKind::StorageFull.into());
+    /// Removes what a process left that ended while it migrated an earlier version's file.
+    fn remove_unfinished_migration(&mut self) -> Result<(), OpenError> {
+        let names = self.disk.names().map_err(OpenError::io(""))?;
+        if let Some((_, length)) = names.iter().find(|(name, _)| name == migration::FILE_NAME) {
+            self.disk.remove(migration::FILE_NAME).map_err(OpenError::io(migration::FILE_NAME))?;
+            self.loaded.used -= size_on_disk(*length);
         }
-        disk.append(NEW, writer.bytes())?;
-        writer.clear();
         Ok(())
-    };
-    for (message, live) in state.live() {
-        let written = writer.moved(sequence, *message, live);
-        written.map_err(|_| std::io::Error::other("a message that has no room in the format"))?;
-        segment.residents.push(*message);
-        if writer.bytes().len() > CHUNK {
-            flush(&mut writer, &mut segment)?;
+    }
+
+    /// Migrates an earlier version's file unless that was done before, and retires it.
+    fn migrate_legacy(&mut self) -> Result<(), OpenError> {
+        let names = self.disk.names().map_err(OpenError::io(""))?;
+        let length =
+            names.iter().find(|(name, _)| name == legacy::FILE_NAME).map_or(0, |(_, length)| *length);
+        if self.loaded.segments.is_empty() {
+            // A segment that was created and never used would be in the way.
+            for file in std::mem::take(&mut self.loaded.retired) {
+                self.remove(&file)?;
+            }
+            let segment = self.migrate().map_err(OpenError::io(migration::FILE_NAME))?;
+            self.loaded.used += size_on_disk(segment.length);
+            self.loaded.segments.push(segment);
+        }
+        self.loaded.retired.push(StoredFile { name: legacy::FILE_NAME.to_owned(), length });
+        Ok(())
+    }
+
+    fn migrate(&mut self) -> std::io::Result<Segment> {
+        let Loaded { state, used, .. } = &self.loaded;
+        migration::write_first_segment(&mut *self.disk, &self.options, state, *used, self.now)
+    }
+
+    /// Cuts off the torn write at the end of the last segment, if there is one.
+    fn truncate_torn_write(&mut self) -> Result<(), OpenError> {
+        let torn = self.loaded.torn;
+        let Some(last) = self.loaded.segments.last().filter(|_| torn > 0) else { return Ok(()) };
+        self.disk.truncate(&last.file, last.length).map_err(OpenError::io(&last.file))?;
+        self.loaded.used -= size_on_disk(last.length + torn) - size_on_disk(last.length);
+        Ok(())
+    }
+
+    /// Removes segments that were created and never used: they are in the way of the next one.
+    fn remove_unused_segments(&mut self) -> Result<(), OpenError> {
+        let last = self.loaded.segments.last().map_or(0, |last| last.sequence);
+        let is_unused = |file: &StoredFile| parse_sequence(&file.name) > Some(last);
+        while let Some(index) = self.loaded.retired.iter().position(is_unused) {
+            let file = self.loaded.retired.remove(index);
+            self.remove(&file)?;
         }
+        Ok(())
     }
-    flush(&mut writer, &mut segment)?;
-    if options.sync {
-        disk.sync(NEW)?;
+
+    /// Syncs the last segment and returns how many of its bytes are durable. Guards what this process is going to act
+    /// on: the one before may have ended ahead of its sync.
+    fn sync_last_segment(&mut self) -> Result<u64, OpenError> {
+        let (true, Some(last)) = (self.options.sync, self.loaded.segments.last()) else {
+            return Ok(HEADER_SIZE as u64);
+        };
+        self.disk.sync(&last.file).map_err(OpenError::io(&last.file))?;
+        self.disk.sync_names().map_err(OpenError::io(""))?;
+        Ok(last.length)
     }
-    disk.rename(NEW, &name(sequence))?;
-    if options.sync {
-        disk.sync_names()?;
+
+    fn remove(&mut self, file: &StoredFile) -> Result<(), OpenError> {
+        self.disk.remove(&file.name).map_err(OpenError::io(&file.name))?;
+        self.loaded.used -= size_on_disk(file.length);
+        Ok(())
     }
-    Ok(segment)
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,4 +1,4 @@
-//! What is written down, as plain data.
+//! What the journal stores, as plain data.
 
 use std::sync::Arc;
 
@@ -8,13 +8,15 @@
 /// A point in time (Unix time) or a span, in microseconds.
 pub type Micros = u64;
 
-/// One thing that happened to a message.
+/// An event of one message, or an entry of the ledger.
+///
+/// Versions before 0.2 stored this type in postcard: no variant or field may move or change its type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The sender owes the message its end from now on. Its number is no other live message's.
+    /// The sender accepted the message and owes it an outcome. No other pending message has its number.
     #[serde(rename = "Taken")]
     Accepted(u32, Arc<AcceptedMessage>),
-    /// An attempt is about to begin.
+    /// An attempt is about to start.
     #[serde(rename = "Begun")]
     AttemptStarted {
         /// The message.
@@ -23,10 +25,10 @@
         attempt: u16,
         /// The endpoint's name.
         endpoint: Arc<str>,
-        /// When.
+        /// When it starts.
         at: Micros,
     },
-    /// An attempt ended, and the message goes on.
+    /// An attempt ended, and the message stays pending.
     #[serde(rename = "Ended")]
     AttemptEnded {
         /// The message.
@@ -36,19 +38,21 @@
         /// Whether it is known not to have run.
         never_ran: bool,
     },
-    /// The module gave the message up; the platform is still to be told.
+    /// The decision module abandoned the message; the platform is still to be notified.
     #[serde(rename = "GivenUp")]
     Abandoned(u32, Abandonment),
-    /// Nothing more is owed.
+    /// The message reached its outcome, and the platform was notified.
     #[serde(rename = "Over")]
     Completed(u32),
-    /// How a message ended that must never be sent again; kept for the ledger's time. It goes ahead of the message's
-    /// [`Record::Over`] in the same append.
+    /// The outcome of a message that must never be sent again, kept for the ledger's span. It precedes the message's
+    /// [`Record::Completed`] in the same batch.
     #[serde(rename = "Remembered")]
     LedgerEntry(LedgerEntry),
 }
 
-/// A message as it was handed in.
+/// A message as it was submitted.
+///
+/// Part of [`Record`]: no field may move or change its type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
     /// Its `Req-Id`.
@@ -59,62 +63,62 @@
     pub class: Arc<str>,
     /// Its destination.
     pub destination: u16,
-    /// When its time is up.
+    /// Its deadline.
     pub deadline: Micros,
     /// Its body.
     pub body: Bytes,
 }
 
-/// An end that is owed to the platform.
+/// An outcome of which the platform is still to be notified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Abandonment {
-    /// Refused, with advice on when to return, in microseconds.
+    /// Rejected, with advice on how long to wait before submitting it again.
     Deferred(Micros),
     /// Failed.
     Undeliverable,
 }
 
-/// An entry of the ledger of orders.
+/// An entry of the ledger: the outcome of a message that must never be sent again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerEntry {
     /// The message's `Req-Id`.
     pub id: String,
     /// Whether it was delivered; otherwise it failed, and may have taken effect.
     pub delivered: bool,
-    /// When it ended.
+    /// When it reached its outcome.
     pub at: Micros,
 }
 
-/// An attempt as far as it is known.
+/// An attempt as far as the journal knows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
-    /// Its number: one that could not be written down, and so never began, is missing.
+    /// Its number. The number of an attempt that could not be recorded, and so never started, is missing.
     pub number: u16,
-    /// The endpoint's name; empty where the record of it is damaged and it is not known whether there was one.
+    /// The endpoint's name; empty for an attempt that damage may hide.
     pub endpoint: Arc<str>,
-    /// When it began; 0 where that is not known.
+    /// When it started; 0 where that is unknown.
     pub at: Micros,
     /// Whether it is known not to have run.
     pub never_ran: bool,
 }
 
-/// A message that is owed its end.
+/// A message that has not reached its outcome.
 #[derive(Debug, Clone)]
 pub struct PendingMessage {
-    /// As it was handed in.
+    /// As it was submitted.
     pub message: Arc<AcceptedMessage>,
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
-    /// Its end, where only the notice is still owed.
+    /// Its outcome, where only the notification of the platform is pending.
     pub abandoned: Option<Abandonment>,
-    /// The segment from which on all that is known of it stands.
-    pub(crate) home: u64,
+    /// Sequence number of the segment in which its records begin.
+    pub(crate) segment: u64,
 }
 
 impl PendingMessage {
-    /// A message that was just taken on.
-    pub(crate) fn new(taken: Arc<AcceptedMessage>, home: u64) -> Self {
-        Self { message: taken, attempts: Vec::new(), abandoned: None, home }
+    /// A message without attempts whose records begin in that segment.
+    pub(crate) fn new(message: Arc<AcceptedMessage>, segment: u64) -> Self {
+        Self { message, attempts: Vec::new(), abandoned: None, segment }
     }
 
     /// Whether one of its attempts may have taken effect.
@@ -123,7 +127,7 @@
     }
 }
 
-/// Where it stands on the disk is no part of what it is.
+/// Messages are equal wherever their records are stored.
 impl PartialEq for PendingMessage {
     fn eq(&self, other: &Self) -> bool {
         (&self.message, &self.attempts, self.abandoned) == (&other.message, &other.attempts, other.abandoned)
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -1,199 +1,238 @@
-//! Reads the bytes of segments back into a state. No I/O.
+//! Recovery of one segment: decodes its frames into a [`State`], and tells a torn write from damage. No I/O.
 
-use crate::format::{BadHead, Entry, FRAME, Frame, HEAD, Head, frame_at, turns};
+use crate::format::{
+    BatchOffset, FRAME_HEADER_SIZE, Frame, HEADER_SIZE, HeaderError, LogEntry, MAX_FRAME_BODY, SegmentHeader,
+    batch_starts, frame_at,
+};
 use crate::record::{PendingMessage, Record};
 use crate::state::{ByNumber, State};
 
-/// A stretch of a segment that was written and can't be read.
+/// A range of a segment that was written and can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stretch {
-    /// The segment.
+pub struct DamagedRange {
+    /// Sequence number of the segment.
     pub sequence: u64,
-    /// Where it begins.
+    /// Offset of the first damaged byte.
     pub from: u64,
-    /// Where it ends.
+    /// Offset behind the last damaged byte.
     pub to: u64,
-    /// How many records it held, where that can be told.
+    /// How many records are lost, where that can be told.
     pub records: Option<u64>,
 }
 
 /// What was found in a segment.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// Bytes of it that can be followed by further ones.
+pub struct ReplayedSegment {
+    /// Bytes that count; a write may be appended behind them.
     pub length: u64,
-    /// Records up to there, with those that are damaged as far as they can be counted.
+    /// Records up to there. Damaged ones are included as far as they can be counted.
     pub records: u32,
-    /// Stretches that can't be read.
-    pub damaged: Vec<Stretch>,
-    /// Bytes of a torn last append.
+    /// Ranges that can't be read.
+    pub damaged: Vec<DamagedRange>,
+    /// Bytes of a torn last write.
     pub torn: u64,
-    /// Messages that were live when a damaged stretch was met.
+    /// Messages that were pending where a damaged range was met.
     pub suspected: usize,
 }
 
 /// Why a segment can't be read at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unreadable {
-    /// Its head.
-    Head(BadHead),
-    /// A record at this offset is whole, and of a kind that this program does not know.
-    Unknown(u64),
+    /// The header can't be read.
+    Header(HeaderError),
+    /// An intact record is of a kind that this version does not know.
+    UnknownRecord,
 }
 
-/// What ends a segment: only where nothing follows may its last append be torn.
+/// What follows a segment. Only where nothing does may its last write be torn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Follows {
-    /// Another segment, ahead of which so many records were written.
-    Segment(u64),
-    /// Nothing, and what was written last stands there in order, up to some byte.
-    NothingInOrder,
-    /// Nothing, and of what was written last any part may stand there without the others.
-    NothingInAnyOrder,
+pub enum Successor {
+    /// Another segment, before which this many records were written.
+    Segment {
+        /// Records written to all segments before the successor.
+        records_before: u64,
+    },
+    /// Nothing, and the last writes are present in order up to some byte.
+    NoneInOrder,
+    /// Nothing, and of the writes since the last sync any part may be present without the others.
+    NoneUnordered,
 }
 
-/// Reads one segment after another. It keeps its tables, so that they are made once.
+/// Where a verified frame is.
+struct FrameLocation {
+    offset: usize,
+    body_length: u32,
+}
+
+/// Reads one segment after another and reuses its tables.
 #[derive(Default)]
 pub struct Replay {
-    frames: Vec<(usize, u32)>,
-    /// The last end of each message in the segment, by the frame's place.
-    ends: ByNumber<usize>,
+    frames: Vec<FrameLocation>,
+    /// For each message that is completed in the frames at hand, the index of the last frame that does so.
+    completions: ByNumber<usize>,
 }
 
 impl Replay {
-    /// Takes a segment's records into the state.
+    /// Applies a segment's records to the state.
     ///
     /// # Errors
-    /// Fails when it can't be read at all; the state is then as it was, or holds what came before.
+    /// Fails when the segment can't be read at all. The state may then hold the records before the unreadable one.
     pub fn segment(
         &mut self,
         bytes: &[u8],
-        follows: Follows,
+        successor: Successor,
         state: &mut State,
-    ) -> Result<Found, Unreadable> {
-        let head = Head::read(bytes).map_err(Unreadable::Head)?;
-        let segment = head.sequence;
-        state.latest = state.latest.max(head.began);
-        let mut found = Found { length: HEAD as u64, ..Found::default() };
-        let mut at = HEAD;
+    ) -> Result<ReplayedSegment, Unreadable> {
+        let header = SegmentHeader::read(bytes).map_err(Unreadable::Header)?;
+        state.latest_time = state.latest_time.max(header.created_at);
+        let mut found = ReplayedSegment::default();
+        let mut offset = HEADER_SIZE;
         loop {
-            at = self.stretch(segment, bytes, at, state, &mut found)?;
-            found.length = at as u64;
-            if at == bytes.len() {
+            offset = self.intact_frames(header.sequence, bytes, offset, state, &mut found)?;
+            found.length = offset as u64;
+            if offset == bytes.len() {
                 break;
             }
-            let next = turns(segment, bytes, at + 1).next();
-            // What was sure to be there once a later append began is not torn but damaged.
-            let was_sure = turns(segment, bytes, at + 1).any(|turn| turn.sure as usize > at);
-            let torn = match follows {
-                Follows::Segment(_) => false,
-                Follows::NothingInOrder => !was_sure && cut_short(&bytes[at..]),
-                Follows::NothingInAnyOrder => !was_sure,
-            };
-            if torn {
-                found.torn = (bytes.len() - at) as u64;
+            if is_torn_write(header.sequence, bytes, offset, successor) {
+                found.torn = (bytes.len() - offset) as u64;
                 return Ok(found);
             }
-            let Some(next) = next else {
-                let ahead = match follows {
-                    Follows::Segment(ahead) => ahead.checked_sub(head.records + u64::from(found.records)),
-                    _ => None,
-                };
-                found.damage(segment, at, bytes.len(), ahead, state);
+            let Some(next) = batch_starts(header.sequence, bytes, offset + 1).next() else {
+                let lost = found.records_missing(&header, successor);
+                found.add_damage(header.sequence, offset, bytes.len(), lost, state);
                 found.length = bytes.len() as u64;
                 return Ok(found);
             };
-            let lost = next.records.checked_sub(found.records).map(u64::from);
-            found.damage(segment, at, next.offset, lost, state);
-            found.records = found.records.max(next.records);
-            at = next.offset;
+            found.skip_to(header.sequence, offset, next, state);
+            offset = next.offset;
         }
-        if let Follows::Segment(ahead) = follows
-            && let Some(missing) =
-                ahead.checked_sub(head.records + u64::from(found.records)).filter(|n| *n > 0)
-        {
-            // Its end is missing, cut off between two records.
-            found.damage(segment, bytes.len(), bytes.len(), Some(missing), state);
+        if let Some(lost) = found.records_missing(&header, successor).filter(|lost| *lost > 0) {
+            // The segment was cut off between two records.
+            found.add_damage(header.sequence, bytes.len(), bytes.len(), Some(lost), state);
         }
         Ok(found)
     }
 
-    /// Reads frames up to one that can't be read, or the end, and tells where that is.
-    fn stretch(
+    /// Applies frames up to the first that is not intact, and returns its offset.
+    fn intact_frames(
         &mut self,
         segment: u64,
         bytes: &[u8],
         from: usize,
         state: &mut State,
-        found: &mut Found,
+        found: &mut ReplayedSegment,
     ) -> Result<usize, Unreadable> {
-        // First the ends: what was taken on and is over in the same stretch need not be read.
-        self.frames.clear();
-        self.ends.clear();
-        let mut at = from;
-        while let Some(frame) = frame_at(segment, bytes, at) {
-            if let Some(message) = frame.ends() {
-                self.ends.insert(message, self.frames.len());
-            }
-            self.frames.push((at, (frame.end() - at - FRAME) as u32));
-            at = frame.end();
-        }
-        for (place, (offset, length)) in self.frames.iter().enumerate() {
-            let frame = Frame::again(bytes, *offset, *length as usize);
+        let end = self.locate_frames(segment, bytes, from);
+        for (index, location) in self.frames.iter().enumerate() {
+            let frame = Frame::verified(bytes, location.offset, location.body_length as usize);
             found.records += 1;
-            let over = |message| self.ends.get(&message).is_some_and(|end| *end > place);
-            // A message's number may be used again once it is over: what was live before is over all the same.
-            if let Some(message) = frame.brings().filter(|message| over(*message)) {
+            let is_completed_later = |message| self.completions.get(&message).is_some_and(|at| *at > index);
+            // Decoding can be skipped. A completed message's number may be used again, so that an earlier message of
+            // the same number, if there is one, is completed now.
+            if let Some(message) = frame.introduced_message().filter(|message| is_completed_later(*message)) {
                 state.apply(Record::Completed(message), segment);
                 continue;
             }
-            if frame.concerns().is_some_and(|message| !state.live().contains_key(&message)) {
+            if frame.changed_message().is_some_and(|message| !state.live().contains_key(&message)) {
                 continue;
             }
-            match frame.read().ok_or(Unreadable::Unknown(*offset as u64))? {
-                Entry::Turn { at, .. } => state.latest = state.latest.max(at),
-                Entry::Record(record) => {
-                    state.apply(record, segment);
-                }
-                Entry::Moved(message, live) => state.set(message, PendingMessage { home: segment, ..live }),
-                // Told by the newest segment, before any is read.
-                Entry::Floor(_) => {}
+            apply(frame.read().ok_or(Unreadable::UnknownRecord)?, segment, state);
+        }
+        Ok(end)
+    }
+
+    /// Finds the intact frames from an offset on and the messages that they complete. Returns the offset behind them.
+    fn locate_frames(&mut self, segment: u64, bytes: &[u8], from: usize) -> usize {
+        self.frames.clear();
+        self.completions.clear();
+        let mut offset = from;
+        while let Some(frame) = frame_at(segment, bytes, offset) {
+            if let Some(message) = frame.completed_message() {
+                self.completions.insert(message, self.frames.len());
             }
+            self.frames.push(FrameLocation { offset, body_length: frame.body_length() as u32 });
+            offset = frame.end();
+        }
+        offset
+    }
+}
+
+impl ReplayedSegment {
+    /// Records that the successor counts and that were not found; `None` where that can't be told.
+    fn records_missing(&self, header: &SegmentHeader, successor: Successor) -> Option<u64> {
+        let Successor::Segment { records_before } = successor else { return None };
+        records_before.checked_sub(header.records_before + u64::from(self.records))
+    }
+
+    /// Counts the range up to the next intact batch as damaged.
+    fn skip_to(&mut self, sequence: u64, from: usize, next: BatchOffset, state: &mut State) {
+        let lost = next.records_before.checked_sub(self.records).map(u64::from);
+        self.add_damage(sequence, from, next.offset, lost, state);
+        self.records = self.records.max(next.records_before);
+    }
+
+    fn add_damage(&mut self, sequence: u64, from: usize, to: usize, records: Option<u64>, state: &mut State) {
+        self.damaged.push(DamagedRange { sequence, from: from as u64, to: to as u64, records });
+        self.suspected += state.mark_possibly_applied();
+    }
+}
+
+/// Applies what an intact frame holds.
+fn apply(entry: LogEntry, segment: u64, state: &mut State) {
+    match entry {
+        LogEntry::BatchStart { at, .. } => state.latest_time = state.latest_time.max(at),
+        LogEntry::Record(record) => {
+            state.apply(record, segment);
         }
-        Ok(at)
+        LogEntry::Relocated(message, pending) => {
+            state.insert(message, PendingMessage { segment, ..pending });
+        }
+        // Read by `floor` from the newest segment before any segment is replayed.
+        LogEntry::Floor(_) => {}
     }
 }
 
-impl Found {
-    fn damage(&mut self, sequence: u64, from: usize, to: usize, records: Option<u64>, state: &mut State) {
-        self.damaged.push(Stretch { sequence, from: from as u64, to: to as u64, records });
-        self.suspected += state.suspect();
+/// Whether what can't be read at an offset is a write that its process did not finish, rather than damage.
+fn is_torn_write(segment: u64, bytes: &[u8], offset: usize, successor: Successor) -> bool {
+    match successor {
+        Successor::Segment { .. } => false,
+        Successor::NoneInOrder => !was_durable(segment, bytes, offset) && is_cut_short(&bytes[offset..]),
+        Successor::NoneUnordered => !was_durable(segment, bytes, offset),
     }
 }
 
+/// Whether a batch behind an offset states that the bytes there were durable when it was written.
+fn was_durable(segment: u64, bytes: &[u8], offset: usize) -> bool {
+    batch_starts(segment, bytes, offset + 1).any(|batch| batch.durable_bytes as usize > offset)
+}
+
 /// Whether the bytes are the beginning of a frame whose rest is missing, as a write leaves them that was cut short.
-fn cut_short(bytes: &[u8]) -> bool {
+fn is_cut_short(bytes: &[u8]) -> bool {
     let Some(length) = bytes.first_chunk() else { return true };
     let length = u32::from_le_bytes(*length) as usize;
-    length > 0 && length <= crate::format::BODY_LIMIT && bytes.len() < FRAME + length
+    length > 0 && length <= MAX_FRAME_BODY && bytes.len() < FRAME_HEADER_SIZE + length
 }
 
-/// The segment before which nothing counts, as the newest segment tells it.
-pub fn floor(bytes: &[u8]) -> Result<u64, BadHead> {
-    let head = Head::read(bytes)?;
-    let (mut floor, mut at) = (head.floor, HEAD);
+/// The floor that the newest segment states: segments with a lower sequence number are no longer part of the log.
+///
+/// # Errors
+/// Fails when the header can't be read.
+pub fn floor(bytes: &[u8]) -> Result<u64, HeaderError> {
+    let header = SegmentHeader::read(bytes)?;
+    let mut floor = header.floor;
+    let mut offset = HEADER_SIZE;
     loop {
-        while let Some(frame) = frame_at(head.sequence, bytes, at) {
-            if let (true, Some(Entry::Floor(told))) = (frame.is_floor(), frame.read()) {
-                floor = floor.max(told);
+        while let Some(frame) = frame_at(header.sequence, bytes, offset) {
+            if let (true, Some(LogEntry::Floor(stated))) = (frame.is_floor(), frame.read()) {
+                floor = floor.max(stated);
             }
-            at = frame.end();
+            offset = frame.end();
         }
-        // What a torn append says behind its tear was acted on by nobody.
-        if !turns(head.sequence, bytes, at + 1).any(|turn| turn.sure as usize > at) {
+        // A floor behind a torn write was never acted on.
+        if !was_durable(header.sequence, bytes, offset) {
             return Ok(floor);
         }
-        let Some(next) = turns(head.sequence, bytes, at + 1).next() else { return Ok(floor) };
-        at = next.offset;
+        let Some(next) = batch_starts(header.sequence, bytes, offset + 1).next() else { return Ok(floor) };
+        offset = next.offset;
     }
 }
--- a/crates/journal/src/segment.rs
+++ b/crates/journal/src/segment.rs
@@ -1,50 +1,64 @@
-//! A file of the log: its name, and what it counts on the disk.
+//! A segment of the log as a file: its name, its length, and what the files count on the disk.
 
-/// Each file counts in whole blocks of so many bytes.
-pub const BLOCK: u64 = 512;
-/// Begins the name of a file that is kept aside for a person to look at.
-pub const ASIDE: &str = "damaged-";
-
-/// Begins the names of files in the folder that stand beside the journal. Who writes them counts them.
+/// Unit in which a file counts towards the limit, in bytes.
+pub const BLOCK_SIZE: u64 = 512;
+/// Prefix of a damaged file that is preserved for inspection.
+pub const DAMAGED_PREFIX: &str = "damaged-";
+/// Prefix of the health snapshot's files, which share the folder. The journal neither reads nor counts them.
 pub const SNAPSHOT_PREFIX: &str = "known-";
 
-/// A file of the log.
+/// Prefix of a segment's file, before its sequence number.
+const SEGMENT_PREFIX: &str = "journal-";
+/// Digits of the sequence number in a file's name.
+const SEQUENCE_DIGITS: usize = 12;
+
+/// A file in the journal's folder.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct StoredFile {
+    pub name: String,
+    /// In bytes.
+    pub length: u64,
+}
+
+/// A segment that is part of the log.
 #[derive(Debug, Default)]
 pub(crate) struct Segment {
     pub sequence: u64,
-    /// Its file.
-    pub name: String,
+    /// The file's name.
+    pub file: String,
+    /// Bytes that count, up to a torn write.
     pub length: u64,
-    /// Frames in it.
+    /// Frames in the segment.
     pub records: u32,
-    /// Messages that began in it or were moved to it; those of them that are over or were moved on are passed over.
-    pub residents: Vec<u32>,
-    /// Entries of the ledger likewise.
-    pub entries: Vec<u64>,
-    /// A stretch of it can't be read.
+    /// Messages accepted in or relocated to this segment. Those that were completed or relocated since are skipped.
+    pub messages: Vec<u32>,
+    /// Numbers of ledger entries written to this segment, likewise.
+    pub ledger_entries: Vec<u64>,
+    /// A range of the segment can't be read.
     pub damaged: bool,
-    /// Nor can its head: it can't be appended to.
-    pub headless: bool,
+    /// The header can't be read, so that nothing may be appended.
+    pub header_unreadable: bool,
 }
 
 impl Segment {
     pub(crate) fn new(sequence: u64, length: u64) -> Self {
-        Self { sequence, name: name(sequence), length, ..Self::default() }
+        Self { sequence, file: file_name(sequence), length, ..Self::default() }
     }
 }
 
-/// A segment's file.
-pub(crate) fn name(sequence: u64) -> String {
-    format!("journal-{sequence:012}")
+/// The name of a segment's file.
+pub(crate) fn file_name(sequence: u64) -> String {
+    format!("{SEGMENT_PREFIX}{sequence:0SEQUENCE_DIGITS$}")
 }
 
-/// The sequence that a file's name tells.
-pub(crate) fn sequence(name: &str) -> Option<u64> {
-    let digits = name.strip_prefix("journal-")?;
-    (digits.len() == 12 && digits.bytes().all(|b| b.is_ascii_digit())).then(|| digits.parse().ok()).flatten()
+/// The sequence number in the name of a segment's file; `None` for any other name.
+pub(crate) fn parse_sequence(name: &str) -> Option<u64> {
+    let digits = name.strip_prefix(SEGMENT_PREFIX)?;
+    let well_formed = digits.len() == SEQUENCE_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit());
+    if well_formed { digits.parse().ok() } else { None }
 }
 
-/// The length as it counts on the disk.
-pub(crate) fn blocks(length: u64) -> u64 {
-    length.next_multiple_of(BLOCK)
+/// The length in bytes as it counts towards the limit: in whole blocks.
+pub(crate) fn size_on_disk(length: u64) -> u64 {
+    length.next_multiple_of(BLOCK_SIZE)
 }
--- a/crates/journal/src/sim.rs
+++ b/crates/journal/src/sim.rs
@@ -1,8 +1,8 @@
-//! A disk in memory that fails as it is told to, the same for the same seed.
+//! A simulated disk in memory with injected faults, deterministic for a given seed.
 //!
-//! It tells two ends apart. When a *process* dies, all that was written before stays, in order, and of the write that
-//! it died in any first part. When the *machine* dies, of what was not synced any sectors stay without the others, and
-//! any changes of names.
+//! It distinguishes two kinds of crash. When the *process* is killed, everything written before is kept, in order, and
+//! any prefix of the write in progress. When the *machine* loses power, any subset of the unsynced sectors and of the
+//! unsynced changes of names is kept.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,38 +10,77 @@
 
 use crate::disk::Disk;
 
-/// What is written at once or not at all.
-const SECTOR: usize = 512;
+/// Unit in bytes that a loss of power keeps or drops as one.
+const SECTOR_SIZE: usize = 512;
 
-/// What goes wrong with one operation.
+/// A fault of one operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// No room: a write leaves so many bytes of its own behind, as far as it has them.
-    NoRoom(usize),
-    /// An error of the device: a write leaves so many bytes of its own behind, anything else does nothing.
+    /// The disk is full: a write keeps this many of its bytes at most, any other operation has no effect.
+    StorageFull(usize),
+    /// The device fails: a write keeps this many of its bytes at most, any other operation has no effect.
     Device(usize),
-    /// The process ends within it: a write leaves so many bytes behind; anything else is done if that is not 0. All
-    /// that comes later fails too, until [`SimDisk::restart`].
+    /// The process is killed: a write keeps this many of its bytes at most, any other operation takes effect unless this
+    /// is 0. All later operations fail too, until [`SimDisk::restart`].
     Kill(usize),
 }
 
+/// The error of an operation with a fault.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+enum SimError {
+    #[error("the process was killed")]
+    Killed,
+    #[error("simulated device error")]
+    Device,
+}
+
+impl From<SimError> for io::Error {
+    fn from(error: SimError) -> Self {
+        Self::other(error)
+    }
+}
+
+/// A change of a file's bytes.
 #[derive(Debug, Clone)]
 enum Change {
-    Write { at: usize, bytes: Vec<u8> },
-    Cut(usize),
+    Write { offset: usize, bytes: Vec<u8> },
+    Truncate(usize),
 }
 
 impl Change {
     fn apply(&self, to: &mut Vec<u8>) {
         match self {
-            Self::Write { at, bytes } => {
-                let end = at + bytes.len();
+            Self::Write { offset, bytes } => {
+                let end = offset + bytes.len();
                 if to.len() < end {
                     to.resize(end, 0);
                 }
-                to[*at..end].copy_from_slice(bytes);
+                to[*offset..end].copy_from_slice(bytes);
+            }
+            Self::Truncate(length) => to.truncate(*length),
+        }
+    }
+
+    /// Applies what a loss of power keeps: any of a write's sectors, and a truncation or not.
+    fn apply_partially(&self, to: &mut Vec<u8>, rng: &mut fastrand::Rng) {
+        match self {
+            Self::Write { offset, bytes } => {
+                let mut from = 0;
+                while from < bytes.len() {
+                    let sector_end = ((offset + from) / SECTOR_SIZE + 1) * SECTOR_SIZE - offset;
+                    let end = sector_end.min(bytes.len());
+                    if rng.bool() {
+                        let sector = Self::Write { offset: offset + from, bytes: bytes[from..end].to_vec() };
+                        sector.apply(to);
+                    }
+                    from = end;
+                }
+            }
+            Self::Truncate(_) => {
+                if rng.bool() {
+                    self.apply(to);
+                }
             }
-            Self::Cut(length) => to.truncate(*length),
         }
     }
 }
@@ -50,11 +89,28 @@
 struct SimFile {
     /// As processes see it.
     bytes: Vec<u8>,
-    /// As it outlasts the machine.
+    /// As of the last sync.
     synced: Vec<u8>,
+    /// Changes since the last sync.
     unsynced: Vec<Change>,
 }
 
+impl SimFile {
+    fn change(&mut self, change: Change) {
+        change.apply(&mut self.bytes);
+        self.unsynced.push(change);
+    }
+
+    fn lose_power(&mut self, rng: &mut fastrand::Rng) {
+        for change in std::mem::take(&mut self.unsynced) {
+            change.apply_partially(&mut self.synced, rng);
+        }
+        self.bytes = self.synced.clone();
+    }
+}
+
+/// A change of the folder's names. Files are given by their index.
+
 #[derive(Debug, Clone)]
 enum NameChange {
     Create(String, usize),
@@ -82,27 +138,25 @@
 
 #[derive(Debug, Default)]
 struct Inner {
+    /// All files that ever were, removed ones included.
     files: Vec<SimFile>,
+    /// Indices of files by name.
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
-    /// Operations that change something, so far.
+    /// The number of operations so far that change something.
     operations: u64,
-    /// Faults by the operation that they come with.
+    /// Faults by the number of their operation.
     faults: BTreeMap<u64, Fault>,
-    /// Bytes that all files may come to.
-    room: Option<usize>,
+    /// Most bytes that all files may have together.
+    capacity: Option<usize>,
     killed: bool,
 }
 
-/// A disk in memory. Copies of it are the same disk.
+/// A simulated disk. Clones share the same files.
 #[derive(Debug, Clone, Default)]
 pub struct SimDisk(Arc<Mutex<Inner>>);
 
-fn killed() -> io::Error {
-    io::Error::other("the process was killed")
-}
-
 impl SimDisk {
     fn inner(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
@@ -113,60 +167,41 @@
         Self::default()
     }
 
-    /// Operations so far that change something, failed ones included.
+    /// The number of operations so far that change something, failed ones included.
     pub fn operations(&self) -> u64 {
         self.inner().operations
     }
 
-    /// The operation of that number, from 0, will fail so.
-    pub fn fail(&self, operation: u64, fault: Fault) {
+    /// Injects a fault into the operation of this number, from 0.
+    pub fn inject(&self, operation: u64, fault: Fault) {
         self.inner().faults.insert(operation, fault);
     }
 
-    /// No operation fails any more.
-    pub fn mend(&self) {
+    /// Removes all injected faults.
+    pub fn clear_faults(&self) {
         self.inner().faults.clear();
     }
 
-    /// So many bytes have room on it from now on, in all files together; without a number any.
-    pub fn set_room(&self, room: Option<usize>) {
-        self.inner().room = room;
+    /// Limits the bytes that all files may have together, or lifts the limit.
+    pub fn set_capacity(&self, capacity: Option<usize>) {
+        self.inner().capacity = capacity;
     }
 
-    /// Whether a process was killed on it that was not followed by another yet.
+    /// Whether a process was killed and none was started since.
     pub fn is_killed(&self) -> bool {
         self.inner().killed
     }
 
-    /// The next process begins.
+    /// Starts the next process.
     pub fn restart(&self) {
         self.inner().killed = false;
     }
 
-    /// The machine loses power, and the next process begins on what is left.
+    /// The machine loses power, and the next process starts on what is kept.
     pub fn lose_power(&self, rng: &mut fastrand::Rng) {
         let inner = &mut *self.inner();
         for file in &mut inner.files {
-            let mut left = file.synced.clone();
-            for change in std::mem::take(&mut file.unsynced) {
-                match change {
-                    Change::Write { at, bytes } => {
-                        let mut from = 0;
-                        while from < bytes.len() {
-                            let to = ((at + from) / SECTOR + 1) * SECTOR - at;
-                            let to = to.min(bytes.len());
-                            if rng.bool() {
-                                Change::Write { at: at + from, bytes: bytes[from..to].to_vec() }
-                                    .apply(&mut left);
-                            }
-                            from = to;
-                        }
-                    }
-                    Change::Cut(_) if rng.bool() => change.apply(&mut left),
-                    Change::Cut(_) => {}
-                }
-            }
-            (file.bytes, file.synced) = (left.clone(), left);
+            file.lose_power(rng);
         }
         for change in std::mem::take(&mut inner.unsynced_names) {
             if rng.bool() {
@@ -177,14 +212,14 @@
         inner.killed = false;
     }
 
-    /// A file's bytes, if it is there.
+    /// A file's bytes, if it exists.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let inner = self.inner();
         inner.names.get(name).map(|file| inner.files[*file].bytes.clone())
     }
 
-    /// Changes a file's bytes behind the back of everybody.
-    pub fn spoil(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
+    /// Changes a file's bytes as damage to the medium would.
+    pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let inner = &mut *self.inner();
         if let Some(file) = inner.names.get(name).copied() {
             change(&mut inner.files[file].bytes);
@@ -192,7 +227,7 @@
         }
     }
 
-    /// Puts a file there, synced.
+    /// Creates a synced file.
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let inner = &mut *self.inner();
         let file = inner.files.len();
@@ -201,38 +236,75 @@
         inner.synced_names.insert(name.to_owned(), file);
     }
 
-    /// Bytes that the files take up, each counted in whole sectors.
+    /// Bytes that the files occupy, each counted in whole sectors.
     pub fn used(&self) -> u64 {
         let inner = self.inner();
-        inner.names.values().map(|file| inner.files[*file].bytes.len().next_multiple_of(SECTOR) as u64).sum()
+        inner
+            .names
+            .values()
+            .map(|file| inner.files[*file].bytes.len().next_multiple_of(SECTOR_SIZE) as u64)
+            .sum()
+    }
+}
+
+/// An operation other than a write. A killed process may not learn of its effect.
+struct Operation {
+    takes_effect: bool,
+    result: io::Result<()>,
+}
+
+impl Operation {
+    fn failed(error: io::Error) -> Self {
+        Self { takes_effect: false, result: Err(error) }
     }
 }
 
 impl Inner {
-    /// Counts an operation, and tells what goes wrong with it.
+    /// Counts an operation and returns its fault.
     fn begin(&mut self) -> io::Result<Option<Fault>> {
         if self.killed {
-            return Err(killed());
+            return Err(SimError::Killed.into());
         }
         let fault = self.faults.get(&self.operations).copied();
         self.operations += 1;
         Ok(fault)
     }
 
-    /// An operation that is no write: whether it is done, and what it says.
-    fn whole(&mut self) -> (bool, io::Result<()>) {
+    /// Counts an operation other than a write.
+    fn begin_atomic(&mut self) -> Operation {
         match self.begin() {
-            Ok(None) => (true, Ok(())),
-            Ok(Some(Fault::NoRoom(_))) => (false, Err(io::ErrorKind::StorageFull.into())),
-            Ok(Some(Fault::Device(_))) => (false, Err(io::Error::other("device"))),
-            Ok(Some(Fault::Kill(done))) => {
+            Ok(None) => Operation { takes_effect: true, result: Ok(()) },
+            Ok(Some(Fault::StorageFull(_))) => Operation::failed(io::ErrorKind::StorageFull.into()),
+            Ok(Some(Fault::Device(_))) => Operation::failed(SimError::Device.into()),
+            Ok(Some(Fault::Kill(effect))) => {
                 self.killed = true;
-                (done > 0, Err(killed()))
+                Operation { takes_effect: effect > 0, result: Err(SimError::Killed.into()) }
             }
-            Err(e) => (false, Err(e)),
+            Err(error) => Operation::failed(error),
         }
     }
 
+    /// Counts a write; returns how many of its bytes are kept at most, and its result.
+    fn begin_write(&mut self, length: usize) -> io::Result<(usize, io::Result<()>)> {
+        let fault = self.begin()?;
+        let used: usize = self.names.values().map(|file| self.files[*file].bytes.len()).sum();
+        let free = self.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(used));
+        Ok(match fault {
+            None if length > free => (free, Err(io::ErrorKind::StorageFull.into())),
+            None => (usize::MAX, Ok(())),
+            Some(Fault::StorageFull(kept)) => (kept, Err(io::ErrorKind::StorageFull.into())),
+            Some(Fault::Device(kept)) => (kept, Err(SimError::Device.into())),
+            Some(Fault::Kill(kept)) => {
+                self.killed = true;
+                (kept, Err(SimError::Killed.into()))
+            }
+        })
+    }
+
+    fn check_alive(&self) -> io::Result<()> {
+        if self.killed { Err(SimError::Killed.into()) } else { Ok(()) }
+    }
+
     fn file(&mut self, name: &str) -> io::Result<&mut SimFile> {
         let file = self.names.get(name).copied().ok_or(io::ErrorKind::NotFound)?;
         Ok(&mut self.files[file])
@@ -247,9 +319,7 @@
 impl Disk for SimDisk {
     fn names(&mut self) -> io::Result<Vec<(String, u64)>> {
         let inner = self.inner();
-        if inner.killed {
-            return Err(killed());
-        }
+        inner.check_alive()?;
         Ok(inner
             .names
             .iter()
@@ -257,14 +327,12 @@
             .collect())
     }
 
-    fn read(&mut self, name: &str, most: u64, into: &mut Vec<u8>) -> io::Result<()> {
+    fn read(&mut self, name: &str, limit: u64, into: &mut Vec<u8>) -> io::Result<()> {
         let inner = &mut *self.inner();
-        if inner.killed {
-            return Err(killed());
-        }
+        inner.check_alive()?;
         into.clear();
         let bytes = &inner.file(name)?.bytes;
-        into.extend_from_slice(&bytes[..bytes.len().min(most as usize)]);
+        into.extend_from_slice(&bytes[..bytes.len().min(limit as usize)]);
         Ok(())
     }
 
@@ -273,90 +341,74 @@
         if inner.names.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        let (done, said) = inner.whole();
-        if done {
+        let operation = inner.begin_atomic();
+        if operation.takes_effect {
             inner.files.push(SimFile::default());
             let file = inner.files.len() - 1;
             inner.rename(NameChange::Create(name.to_owned(), file));
         }
-        said
+        operation.result
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let inner = &mut *self.inner();
         inner.file(name)?;
-        let fault = inner.begin()?;
-        let used: usize = inner.names.values().map(|file| inner.files[*file].bytes.len()).sum();
-        let free = inner.room.map_or(usize::MAX, |room| room.saturating_sub(used));
-        let (most, said) = match fault {
-            None if bytes.len() > free => (free, Err(io::ErrorKind::StorageFull.into())),
-            None => (usize::MAX, Ok(())),
-            Some(Fault::NoRoom(n)) => (n, Err(io::ErrorKind::StorageFull.into())),
-            Some(Fault::Device(n)) => (n, Err(io::Error::other("device"))),
-            Some(Fault::Kill(n)) => {
-                inner.killed = true;
-                (n, Err(killed()))
-            }
-        };
+        let (kept, result) = inner.begin_write(bytes.len())?;
         let file = inner.file(name)?;
-        let change = Change::Write { at: file.bytes.len(), bytes: bytes[..bytes.len().min(most)].to_vec() };
-        change.apply(&mut file.bytes);
-        file.unsynced.push(change);
-        said
+        let offset = file.bytes.len();
+        file.change(Change::Write { offset, bytes: bytes[..bytes.len().min(kept)].to_vec() });
+        result
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let inner = &mut *self.inner();
         inner.file(name)?;
-        let (done, said) = inner.whole();
-        if done {
-            let file = inner.file(name)?;
-            let change = Change::Cut(length as usize);
-            change.apply(&mut file.bytes);
-            file.unsynced.push(change);
+        let operation = inner.begin_atomic();
+        if operation.takes_effect {
+            inner.file(name)?.change(Change::Truncate(length as usize));
         }
-        said
+        operation.result
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let inner = &mut *self.inner();
         inner.file(from)?;
-        let (done, said) = inner.whole();
-        if done {
+        let operation = inner.begin_atomic();
+        if operation.takes_effect {
             inner.rename(NameChange::Rename(from.to_owned(), to.to_owned()));
         }
-        said
+        operation.result
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let inner = &mut *self.inner();
         inner.file(name)?;
-        let (done, said) = inner.whole();
-        if done {
+        let operation = inner.begin_atomic();
+        if operation.takes_effect {
             inner.rename(NameChange::Remove(name.to_owned()));
         }
-        said
+        operation.result
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let inner = &mut *self.inner();
         inner.file(name)?;
-        let (done, said) = inner.whole();
-        if done {
+        let operation = inner.begin_atomic();
+        if operation.takes_effect {
             let file = inner.file(name)?;
             file.synced = file.bytes.clone();
             file.unsynced.clear();
         }
-        said
+        operation.result
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
         let inner = &mut *self.inner();
-        let (done, said) = inner.whole();
-        if done {
+        let operation = inner.begin_atomic();
+        if operation.takes_effect {
             inner.synced_names = inner.names.clone();
             inner.unsynced_names.clear();
         }
-        said
+        operation.result
     }
 }
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -1,211 +1,245 @@
-//! What the journal's records come to: the messages that are owed their end, and the ledger of orders. No I/O.
+//! The state that a journal's records amount to: pending messages and the ledger of final outcomes. No I/O.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasherDefault, Hasher};
 
-use crate::format::{FRAME, moved_size};
+use crate::format::{FRAME_HEADER_SIZE, relocated_size};
 use crate::record::{AcceptedMessage, Attempt, LedgerEntry, Micros, PendingMessage, Record};
 
-/// Spreads message numbers, which come one after the other.
+/// Hashes message numbers, which are mostly consecutive, by multiplication.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Spread(u64);
+pub struct MessageNumberHasher(u64);
 
-impl Hasher for Spread {
+impl Hasher for MessageNumberHasher {
     fn finish(&self) -> u64 {
         self.0
     }
+
     fn write(&mut self, bytes: &[u8]) {
         bytes.iter().for_each(|byte| self.write_u32(u32::from(*byte)));
     }
+
     fn write_u32(&mut self, number: u32) {
-        self.0 = (self.0 ^ u64::from(number)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        /// 2⁶⁴ divided by the golden ratio, made odd.
+        const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+        self.0 = (self.0 ^ u64::from(number)).wrapping_mul(FIBONACCI_MULTIPLIER);
     }
 }
 
-/// A table by message numbers, in no order.
-pub type ByNumber<T> = HashMap<u32, T, BuildHasherDefault<Spread>>;
+/// A table by message number, in no particular order.
+pub type ByNumber<T> = HashMap<u32, T, BuildHasherDefault<MessageNumberHasher>>;
 
-/// What a message's later records take: its attempts, their ends, its own, and the turns that these begin.
-pub const LATER_RECORDS: u64 = 768;
+/// Bytes reserved for a message's records after its acceptance: its attempts, their results, its outcome, and the
+/// batch starts before these.
+pub const LATER_RECORDS_SIZE: u64 = 768;
 
-/// What a message may come to need on the disk.
-pub fn need(taken: &AcceptedMessage) -> u64 {
-    moved_size(taken) + LATER_RECORDS
+/// Bytes that a message may come to need on the disk.
+pub fn reserved_size(message: &AcceptedMessage) -> u64 {
+    relocated_size(message) + LATER_RECORDS_SIZE
 }
 
-/// What an entry of the ledger takes.
-pub fn remembered_size(id: &str) -> u64 {
-    (FRAME + 1 + 1 + 8 + 2 + id.len()) as u64
+/// Size in bytes of the frame that holds a ledger entry.
+pub fn ledger_entry_size(id: &str) -> u64 {
+    const TAG: usize = 1;
+    const DELIVERED: usize = 1;
+    const TIME: usize = 8;
+    const ID_LENGTH: usize = 2;
+    (FRAME_HEADER_SIZE + TAG + DELIVERED + TIME + ID_LENGTH + id.len()) as u64
 }
 
+/// An entry of the ledger, and where it is stored.
 #[derive(Debug, Clone)]
-pub struct Entry {
-    pub remembered: LedgerEntry,
-    /// The segment that it stands in.
-    pub home: u64,
+pub struct StoredEntry {
+    pub entry: LedgerEntry,
+    /// Sequence number of the segment that holds the entry.
+    pub segment: u64,
 }
 
-/// All that is known.
+/// The state that all records amount to.
+///
+/// Sums of sizes are kept along with each change, so that capacity is known without walking the tables.
 #[derive(Debug, Clone, Default)]
 pub struct State {
     live: ByNumber<PendingMessage>,
-    /// What live messages may come to need.
-    needs: u64,
-    /// The ledger in the order in which entries came.
-    ledger: BTreeMap<u64, Entry>,
-    /// The newest entry of each `Req-Id`.
-    by_id: HashMap<String, u64>,
-    next_entry: u64,
+    /// Sum of [`reserved_size`] over all pending messages.
+    reserved_bytes: u64,
+    /// The ledger in the order in which its entries were made. The key is a number that is not stored.
+    ledger: BTreeMap<u64, StoredEntry>,
+    /// The latest entry of each `Req-Id`.
+    ledger_by_id: HashMap<String, u64>,
+    last_entry_number: u64,
     ledger_bytes: u64,
-    /// Classes whose ends come into the ledger, and what the entries of live messages will take in it.
-    retained: Vec<String>,
-    ledger_owed: u64,
-    /// The newest time that was told.
-    pub latest: Micros,
+    /// Names of the classes whose outcomes go to the ledger.
+    retained_classes: Vec<String>,
+    /// Bytes that the entries of pending messages will need.
+    pending_ledger_bytes: u64,
+    /// The latest time that any record states.
+    pub latest_time: Micros,
 }
 
 impl State {
+    /// The pending messages by number.
     pub fn live(&self) -> &ByNumber<PendingMessage> {
         &self.live
     }
 
-    pub fn needs(&self) -> u64 {
-        self.needs
+    /// Bytes that all pending messages may come to need.
+    pub fn reserved_bytes(&self) -> u64 {
+        self.reserved_bytes
     }
 
+    /// Bytes that the ledger occupies.
     pub fn ledger_bytes(&self) -> u64 {
         self.ledger_bytes
     }
 
-    /// What the ledger takes, with the entries of messages that are live.
-    pub fn ledger_needs(&self) -> u64 {
-        self.ledger_bytes + self.ledger_owed
+    /// Bytes that the ledger occupies once the pending messages have their entries.
+    pub fn ledger_reserved_bytes(&self) -> u64 {
+        self.ledger_bytes + self.pending_ledger_bytes
     }
 
-    /// The ends of these classes come into the ledger.
-    pub fn retain(&mut self, classes: Vec<String>) {
-        self.retained = classes;
-        self.ledger_owed = self.live.values().map(|live| self.owed(&live.message)).sum();
+    /// States which classes' outcomes go to the ledger.
+    pub fn retain_classes(&mut self, classes: Vec<String>) {
+        self.retained_classes = classes;
+        self.pending_ledger_bytes =
+            self.live.values().map(|pending| self.ledger_size(&pending.message)).sum();
     }
 
+    /// Whether this class's outcomes go to the ledger.
     pub fn retains(&self, class: &str) -> bool {
-        self.retained.iter().any(|name| name == class)
+        self.retained_classes.iter().any(|name| name == class)
     }
 
-    /// What the message's entry will take.
-    pub fn owed(&self, taken: &AcceptedMessage) -> u64 {
-        if self.retains(&taken.class) { remembered_size(&taken.id) } else { 0 }
+    /// Bytes that a message's ledger entry will need; 0 where it will have none.
+    pub fn ledger_size(&self, message: &AcceptedMessage) -> u64 {
+        if self.retains(&message.class) { ledger_entry_size(&message.id) } else { 0 }
     }
 
-    pub fn ledger(&self) -> impl Iterator<Item = (u64, &Entry)> {
-        self.ledger.iter().map(|(number, entry)| (*number, entry))
+    /// The ledger's entries by number, oldest first.
+    pub fn ledger(&self) -> impl Iterator<Item = (u64, &StoredEntry)> {
+        self.ledger.iter().map(|(number, stored)| (*number, stored))
     }
 
-    pub fn entry(&self, number: u64) -> Option<&Entry> {
+    /// The ledger entry of this number.
+    pub fn stored_entry(&self, number: u64) -> Option<&StoredEntry> {
         self.ledger.get(&number)
     }
 
-    pub fn remembered(&self, id: &str) -> Option<&LedgerEntry> {
-        Some(&self.ledger.get(self.by_id.get(id)?)?.remembered)
+    /// The latest ledger entry of a `Req-Id`.
+    pub fn ledger_entry(&self, id: &str) -> Option<&LedgerEntry> {
+        Some(&self.ledger.get(self.ledger_by_id.get(id)?)?.entry)
     }
 
-    /// Takes in a record that stands in that segment. What it says of a message that is not live changes nothing:
-    /// its beginning stood in a segment that is no more, since the message was over. Tells the number of a ledger's
-    /// entry, if it made one.
-    pub fn apply(&mut self, record: Record, home: u64) -> Option<u64> {
+    /// Applies a record that is stored in `segment`, and returns the number of the ledger entry that it made, if any.
+    ///
+    /// A record of a message that is not pending changes nothing: the message was completed, and the segment that held
+    /// its acceptance is gone.
+    pub fn apply(&mut self, record: Record, segment: u64) -> Option<u64> {
         match record {
-            Record::Accepted(message, taken) => self.set(message, PendingMessage::new(taken, home)),
+            Record::Accepted(message, accepted) => {
+                self.insert(message, PendingMessage::new(accepted, segment));
+            }
             Record::AttemptStarted { message, attempt, endpoint, at } => {
-                self.latest = self.latest.max(at);
-                if let Some(live) = self.live.get_mut(&message) {
-                    live.attempts.push(Attempt { number: attempt, endpoint, at, never_ran: false });
+                self.latest_time = self.latest_time.max(at);
+                if let Some(pending) = self.live.get_mut(&message) {
+                    pending.attempts.push(Attempt { number: attempt, endpoint, at, never_ran: false });
                 }
             }
             Record::AttemptEnded { message, attempt, never_ran } => {
-                let live = self.live.get_mut(&message);
-                let mut attempts = live.into_iter().flat_map(|live| &mut live.attempts);
-                if let Some(attempt) = attempts.find(|a| a.number == attempt) {
-                    attempt.never_ran = never_ran;
-                }
-            }
-            Record::Abandoned(message, how) => {
-                if let Some(live) = self.live.get_mut(&message) {
-                    live.abandoned = Some(how);
-                }
+                self.end_attempt(message, attempt, never_ran);
             }
-            Record::Completed(message) => {
-                if let Some(live) = self.live.remove(&message) {
-                    self.needs -= need(&live.message);
-                    self.ledger_owed -= self.owed(&live.message);
+            Record::Abandoned(message, abandonment) => {
+                if let Some(pending) = self.live.get_mut(&message) {
+                    pending.abandoned = Some(abandonment);
                 }
             }
-            Record::LedgerEntry(remembered) => return Some(self.remember(remembered, home)),
+            Record::Completed(message) => self.remove(message),
+            Record::LedgerEntry(entry) => return Some(self.insert_entry(entry, segment)),
         }
         None
     }
 
-    /// All that is known of a message, in the place of what was.
-    pub fn set(&mut self, message: u32, live: PendingMessage) {
-        self.needs += need(&live.message);
-        self.ledger_owed += self.owed(&live.message);
-        if let Some(before) = self.live.insert(message, live) {
-            self.needs -= need(&before.message);
-            self.ledger_owed -= self.owed(&before.message);
+    /// Inserts a message with all that is known of it, in place of one of the same number.
+    pub fn insert(&mut self, message: u32, pending: PendingMessage) {
+        self.reserved_bytes += reserved_size(&pending.message);
+        self.pending_ledger_bytes += self.ledger_size(&pending.message);
+        if let Some(previous) = self.live.insert(message, pending) {
+            self.release(&previous);
         }
     }
 
-    /// A message's beginning was written anew in that segment.
-    pub fn moved(&mut self, message: u32, home: u64) {
-        if let Some(live) = self.live.get_mut(&message) {
-            live.home = home;
+    /// A message was copied to that segment.
+    pub fn set_segment(&mut self, message: u32, segment: u64) {
+        if let Some(pending) = self.live.get_mut(&message) {
+            pending.segment = segment;
         }
     }
 
-    /// An entry was written anew in that segment.
-    pub fn entry_moved(&mut self, number: u64, home: u64) {
-        if let Some(entry) = self.ledger.get_mut(&number) {
-            entry.home = home;
+    /// A ledger entry was copied to that segment.
+    pub fn set_entry_segment(&mut self, number: u64, segment: u64) {
+        if let Some(stored) = self.ledger.get_mut(&number) {
+            stored.segment = segment;
         }
     }
 
-    fn remember(&mut self, remembered: LedgerEntry, home: u64) -> u64 {
-        self.next_entry += 1;
-        self.ledger_bytes += remembered_size(&remembered.id);
-        if let Some(before) = self.by_id.insert(remembered.id.clone(), self.next_entry) {
-            self.drop_entry(before);
+    /// Drops ledger entries that are older than `span`, `limit` at most. Entries keep their order when they are copied.
+    pub fn expire_ledger(&mut self, now: Micros, span: Micros, limit: usize) {
+        for _ in 0..limit {
+            let Some((number, stored)) = self.ledger.first_key_value() else { return };
+            if stored.entry.at.saturating_add(span) > now {
+                return;
+            }
+            let number = *number;
+            let id = stored.entry.id.clone();
+            self.ledger_by_id.remove(&id);
+            self.remove_entry(number);
         }
-        self.ledger.insert(self.next_entry, Entry { remembered, home });
-        self.next_entry
     }
 
-    fn drop_entry(&mut self, number: u64) {
-        if let Some(entry) = self.ledger.remove(&number) {
-            self.ledger_bytes -= remembered_size(&entry.remembered.id);
+    /// Guards against an effect that a damaged range hides: every pending message gets an attempt of unknown time and
+    /// endpoint that may have run. A later record that holds the message's complete state, or completes it, undoes that.
+    /// Messages that the damage does not concern are affected too: they are not sent any more. Returns how many
+    /// messages there are.
+    pub fn mark_possibly_applied(&mut self) -> usize {
+        for pending in self.live.values_mut() {
+            let number = pending.attempts.last().map_or(0, |last| last.number.wrapping_add(1));
+            pending.attempts.push(Attempt { number, endpoint: "".into(), at: 0, never_ran: false });
         }
+        self.live.len()
     }
 
-    /// Forgets entries that were kept for that span, so many at most. One that was moved keeps its place in the order.
-    pub fn forget(&mut self, now: Micros, span: Micros, most: usize) {
-        for _ in 0..most {
-            let Some((number, entry)) = self.ledger.first_key_value() else { return };
-            if entry.remembered.at.saturating_add(span) > now {
-                return;
-            }
-            let number = *number;
-            let id = entry.remembered.id.clone();
-            self.by_id.remove(&id);
-            self.drop_entry(number);
+    fn end_attempt(&mut self, message: u32, attempt: u16, never_ran: bool) {
+        let Some(pending) = self.live.get_mut(&message) else { return };
+        if let Some(attempt) = pending.attempts.iter_mut().find(|other| other.number == attempt) {
+            attempt.never_ran = never_ran;
         }
     }
 
-    /// Guards against an effect that a damaged stretch hides: each message that is live here may have been sent, it is
-    /// not known when or where, or may be over. What stands behind the damage and tells all of a message, or its end,
-    /// holds again. It does harm to messages that the damage has nothing to say of: they are not sent any more.
-    pub fn suspect(&mut self) -> usize {
-        for live in self.live.values_mut() {
-            let number = live.attempts.last().map_or(0, |last| last.number.wrapping_add(1));
-            live.attempts.push(Attempt { number, endpoint: "".into(), at: 0, never_ran: false });
+    fn remove(&mut self, message: u32) {
+        if let Some(pending) = self.live.remove(&message) {
+            self.release(&pending);
+        }
+    }
+
+    /// Returns what was reserved for a message.
+    fn release(&mut self, pending: &PendingMessage) {
+        self.reserved_bytes -= reserved_size(&pending.message);
+        self.pending_ledger_bytes -= self.ledger_size(&pending.message);
+    }
+
+    fn insert_entry(&mut self, entry: LedgerEntry, segment: u64) -> u64 {
+        self.last_entry_number += 1;
+        self.ledger_bytes += ledger_entry_size(&entry.id);
+        if let Some(previous) = self.ledger_by_id.insert(entry.id.clone(), self.last_entry_number) {
+            self.remove_entry(previous);
+        }
+        self.ledger.insert(self.last_entry_number, StoredEntry { entry, segment });
+        self.last_entry_number
+    }
+
+    fn remove_entry(&mut self, number: u64) {
+        if let Some(stored) = self.ledger.remove(&number) {
+            self.ledger_bytes -= ledger_entry_size(&stored.entry.id);
         }
-        self.live.len()
     }
 }
--- /dev/null
+++ b/crates/journal/src/store/capacity.rs
@@ -0,0 +1,136 @@
+//! Capacity accounting: what the journal occupies, and whether it can keep a further message to its outcome.
+//!
+//! Pending messages and the ledger get half of the limit, so that compaction always has space to work with. A message is
+//! admitted only if every pending message could reach its outcome without any compaction. Outcomes can therefore always
+//! be written, and a compaction that falls behind causes rejections, never a lost outcome.
+
+use super::{Journal, SLICE_BYTES};
+use crate::record::AcceptedMessage;
+use crate::segment::size_on_disk;
+use crate::state::{LATER_RECORDS_SIZE, reserved_size};
+
+/// Bytes reserved for the outcome of each pending message when other records are appended.
+const OUTCOME_RESERVE: u64 = 64;
+
+/// What the journal occupies, and how it is laid out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Figures {
+    /// Bytes of all files, in whole blocks.
+    pub used: u64,
+    /// Bytes that pending messages may come to need, and the ledger's.
+    pub needs: u64,
+    /// The number of segments.
+    pub segments: usize,
+    /// Length in bytes from which on a new segment is started.
+    pub segment: u64,
+    /// Bytes written since the journal was opened, those of compaction included.
+    pub written: u64,
+    /// Bytes written by compaction.
+    pub moved: u64,
+    /// Segments that compaction has emptied.
+    pub compacted: u64,
+}
+
+/// The capacity that a journal had for further messages at some moment. All values are in bytes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Capacity {
+    limit: u64,
+    /// What pending messages may come to need, and the ledger's share.
+    reserved: u64,
+    /// What the files occupy, what pending messages may still write, and what compaction works with.
+    committed: u64,
+    /// What the ledger has free.
+    ledger_free: u64,
+}
+
+impl Capacity {
+    /// Whether a message fits that needs `size` bytes, `ledger_size` of them for its ledger entry, given that `pending`
+    /// bytes are already promised to messages that are not appended yet.
+    pub fn admits(&self, size: u64, ledger_size: u64, pending: u64) -> bool {
+        let reserved = self.reserved + pending + size;
+        let committed = self.committed + pending + size;
+        // Guards against a ledger that drops entries early: each pending message of its classes has its entry's space
+        // reserved. At the limit new messages of these classes are rejected until older entries have expired.
+        let ledger_fits = ledger_size == 0 || ledger_size <= self.ledger_free;
+        reserved <= self.limit / 2 && committed <= self.limit && ledger_fits
+    }
+}
+
+impl Journal {
+    /// What the journal occupies.
+    pub fn figures(&self) -> Figures {
+        Figures {
+            used: self.used_bytes,
+            needs: self.state.reserved_bytes() + self.state.ledger_bytes(),
+            segments: self.segments.len(),
+            segment: self.options.segment_length(),
+            written: self.written_bytes,
+            moved: self.relocated_bytes,
+            compacted: self.compacted_segments,
+        }
+    }
+
+    /// Bytes that a message would reserve; see [`Journal::has_capacity`].
+    pub fn space_needed(&self, message: &AcceptedMessage) -> u64 {
+        reserved_size(message) + self.state.ledger_size(message)
+    }
+
+    /// Whether a further message can be kept to its outcome, given that `pending` bytes are already promised to messages
+    /// that are not appended yet.
+    pub fn has_capacity(&self, message: &AcceptedMessage, pending: u64) -> bool {
+        self.capacity().admits(self.space_needed(message), self.state.ledger_size(message), pending)
+    }
+
+    /// The capacity for further messages.
+    pub fn capacity(&self) -> Capacity {
+        let ledger_limit = self.options.ledger_limit();
+        Capacity {
+            limit: self.options.limit,
+            reserved: self.state.reserved_bytes() + ledger_limit,
+            committed: self.committed_bytes(),
+            ledger_free: ledger_limit.saturating_sub(self.state.ledger_reserved_bytes()),
+        }
+    }
+
+    /// States how many bytes, in whole blocks, the files occupy whose names begin with
+    /// [`SNAPSHOT_PREFIX`](crate::SNAPSHOT_PREFIX). An append that lacks this space fails with
+    /// [`AppendError::LimitReached`](crate::AppendError::LimitReached) and should be retried once these files are
+    /// removed. What [`Journal::has_capacity`] admits does not depend on them.
+    pub fn set_reserved_bytes(&mut self, bytes: u64) {
+        self.snapshot_bytes = bytes;
+    }
+
+    /// Bytes that the snapshot's files may occupy now without the journal needing them back soon.
+    pub fn free_reserved_bytes(&self) -> u64 {
+        let own = self.committed_bytes() + SLICE_BYTES.min(self.options.limit / 8);
+        self.options.limit.saturating_sub(own)
+    }
+
+    /// What the files occupy, what pending messages may still write, and what compaction works with.
+    pub(super) fn committed_bytes(&self) -> u64 {
+        let later_records = self.live().len() as u64 * LATER_RECORDS_SIZE;
+        let compaction_space = 2 * self.options.segment_length();
+        self.used_bytes + later_records + compaction_space
+    }
+
+    /// Bytes that the journal's own files may occupy, given the snapshot's.
+    pub(super) fn available_limit(&self) -> u64 {
+        self.options.limit.saturating_sub(self.snapshot_bytes)
+    }
+
+    /// Bytes that all files will occupy once `more` bytes are appended to the active segment.
+    pub(super) fn used_after(&self, more: u64) -> u64 {
+        let length = self.active().length;
+        self.used_bytes - size_on_disk(length) + size_on_disk(length + more)
+    }
+
+    /// Bytes reserved for the outcomes of all pending messages.
+    pub(super) fn outcome_reserve(&self) -> u64 {
+        self.live().len() as u64 * OUTCOME_RESERVE
+    }
+
+    /// Whether what the writer holds fits within the limit and leaves `reserve` bytes free.
+    pub(super) fn batch_fits(&self, reserve: u64) -> bool {
+        self.used_after(self.writer.length()) + reserve <= self.available_limit()
+    }
+}
--- /dev/null
+++ b/crates/journal/src/store/options.rs
@@ -0,0 +1,63 @@
+//! How a journal is kept.
+
+use crate::record::Micros;
+
+/// The policy for damage in the middle of a file.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub enum Damage {
+    /// Opening fails.
+    Refuse,
+    /// The damaged file is preserved, and every message that may be affected counts as possibly applied.
+    #[default]
+    Suspect,
+}
+
+/// The ledger of final outcomes, by which a repeated submission is recognised.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct LedgerOptions {
+    /// How long an entry is kept.
+    pub span: Micros,
+    /// Most bytes that the entries may occupy.
+    pub bytes: u64,
+    /// Names of the classes whose outcomes are kept.
+    pub classes: Vec<String>,
+}
+
+/// How a journal is kept.
+#[derive(Debug, Clone, Default)]
+pub struct Options {
+    /// Most bytes that the folder's files may occupy, each counted in whole blocks of 512.
+    pub limit: u64,
+    /// Whether each append is synced before it counts, and each step of compaction before the next.
+    pub sync: bool,
+    /// The policy for damage.
+    pub damage: Damage,
+    /// The ledger, if one is kept.
+    pub retain: Option<LedgerOptions>,
+    /// Length in bytes from which on a new segment is started. By default a sixteenth of the limit, between 4 KiB and
+    /// 16 MiB.
+    pub segment: Option<u64>,
+}
+
+impl Options {
+    const MIN_SEGMENT_LENGTH: u64 = 4 << 10;
+    const MAX_SEGMENT_LENGTH: u64 = 16 << 20;
+    const SEGMENTS_PER_LIMIT: u64 = 16;
+
+    /// Length in bytes from which on a new segment is started.
+    pub(crate) fn segment_length(&self) -> u64 {
+        self.segment.unwrap_or_else(|| {
+            (self.limit / Self::SEGMENTS_PER_LIMIT).clamp(Self::MIN_SEGMENT_LENGTH, Self::MAX_SEGMENT_LENGTH)
+        })
+    }
+
+    /// Most bytes that the ledger may occupy.
+    pub(crate) fn ledger_limit(&self) -> u64 {
+        self.retain.as_ref().map_or(0, |ledger| ledger.bytes)
+    }
+
+    /// Names of the classes whose outcomes the ledger keeps.
+    pub(crate) fn ledger_classes(&self) -> Vec<String> {
+        self.retain.as_ref().map(|ledger| ledger.classes.clone()).unwrap_or_default()
+    }
+}
--- a/crates/journal/tests/model.rs
+++ b/crates/journal/tests/model.rs
@@ -44,7 +44,7 @@
 
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        (0usize..900).prop_map(Fault::NoRoom),
+        (0usize..900).prop_map(Fault::StorageFull),
         (0usize..900).prop_map(Fault::Device),
         (0usize..900).prop_map(Fault::Kill),
     ]
@@ -137,9 +137,9 @@
                     let _ = self.journal.as_mut().map(|journal| journal.compact_step(1));
                 }
             }
-            Step::Fault(later, fault) => self.disk.fail(self.disk.operations() + later, fault),
+            Step::Fault(later, fault) => self.disk.inject(self.disk.operations() + later, fault),
             Step::FaultAndPower(later, fault, seed) => {
-                self.disk.fail(self.disk.operations() + later, fault);
+                self.disk.inject(self.disk.operations() + later, fault);
                 self.power = Some(seed);
             }
             Step::Restart => self.reopen()?,
@@ -226,7 +226,7 @@
     for step in steps {
         run.step(step)?;
     }
-    run.disk.mend();
+    run.disk.clear_faults();
     run.reopen()?;
     Ok(run)
 }
--- a/crates/journal/tests/store.rs
+++ b/crates/journal/tests/store.rs
@@ -37,7 +37,7 @@
         append(&mut open(&disk, &options), [Record::Accepted(2, taken("b", 3))]);
         let both = disk.bytes(&file).unwrap();
         for torn in whole.len()..both.len() {
-            disk.spoil(&file, |bytes| *bytes = both[..torn].to_vec());
+            disk.corrupt(&file, |bytes| *bytes = both[..torn].to_vec());
             let mut journal = open(&disk, &options);
             assert_eq!(journal.live().len(), 1, "{torn}");
             append(&mut journal, [Record::Accepted(3, taken("c", 3))]);
@@ -146,7 +146,7 @@
             Err(e) => break (e, records.len()),
         }
     };
-    assert!(matches!(full, (AppendError::Full, 2)), "{full:?}");
+    assert!(matches!(full, (AppendError::LimitReached, 2)), "{full:?}");
     for n in 0..4 {
         append(&mut journal, [Record::Abandoned(n, Abandonment::Undeliverable)]);
     }
@@ -189,17 +189,17 @@
         for kill in 0..operations {
             for left in [0, 1, 40] {
                 let disk = SimDisk::new();
-                disk.fail(kill, Fault::Kill(left));
+                disk.inject(kill, Fault::Kill(left));
                 let (promised, over) = run(&disk);
                 // Within the recovery again, at its first operation, then at its second, and so on.
                 for again in 0..4 {
                     disk.restart();
-                    disk.mend();
-                    disk.fail(disk.operations() + again, Fault::Kill(left));
+                    disk.clear_faults();
+                    disk.inject(disk.operations() + again, Fault::Kill(left));
                     let _ = try_open(&disk, &options);
                 }
                 disk.restart();
-                disk.mend();
+                disk.clear_faults();
                 let mut journal = open(&disk, &options);
                 let live = numbers(&journal);
                 // What was in the air may count or not: the message handed in last, the last end.
@@ -230,7 +230,7 @@
                 append(&mut journal, [Record::Accepted(n, taken(&format!("kept{n}"), 600)), begun(n, 0)]);
             }
             let next = churn(&mut journal, 10, 1);
-            disk.fail(disk.operations() + kill, Fault::Kill(9_999));
+            disk.inject(disk.operations() + kill, Fault::Kill(9_999));
             for n in next..next + 200 {
                 let taken = journal.append(1, &mut vec![Record::Accepted(n, taken("more", 600))]);
                 if taken.and_then(|()| journal.append(1, &mut vec![Record::Completed(n)])).is_err() {
@@ -239,7 +239,7 @@
                 let _ = journal.compact_step(1);
             }
             disk.lose_power(&mut fastrand::Rng::with_seed(seed));
-            disk.mend();
+            disk.clear_faults();
             let again = open(&disk, &options);
             assert!((0..6).all(|n| again.live().contains_key(&n)), "seed {seed}, kill {kill}");
         }
@@ -251,7 +251,7 @@
 #[test]
 fn a_full_disk_at_every_operation_of_a_compaction() {
     let options = options(60_000);
-    for fault in [Fault::NoRoom(0), Fault::NoRoom(30), Fault::Device(0), Fault::Device(50)] {
+    for fault in [Fault::StorageFull(0), Fault::StorageFull(30), Fault::Device(0), Fault::Device(50)] {
         let mut failed = 0;
         for at in 0..200 {
             let disk = SimDisk::new();
@@ -259,7 +259,7 @@
             append(&mut journal, [Record::Accepted(0, taken("kept", 500)), begun(0, 0)]);
             let n = churn(&mut journal, 1, 3);
             for operation in 0..3 {
-                disk.fail(disk.operations() + at + operation, fault);
+                disk.inject(disk.operations() + at + operation, fault);
             }
             let mut live = vec![0];
             for n in n..n + 60 {
@@ -278,7 +278,7 @@
                 assert!(disk.used() <= options.limit);
             }
             assert_eq!(numbers(&journal), live, "{fault:?} at {at}");
-            disk.mend();
+            disk.clear_faults();
             // What could not be cut off is cut before anything else.
             journal.compact_step(1).unwrap();
             assert!(open(&disk, &options).live() == journal.live(), "{fault:?} at {at}");
@@ -295,7 +295,7 @@
     append(&mut journal, [Record::Accepted(1, taken("a", 3))]);
     for operation in 0..3 {
         // The write fails half-way, the cut fails, and so does the cut before the next write.
-        disk.fail(disk.operations() + operation, Fault::Device(20));
+        disk.inject(disk.operations() + operation, Fault::Device(20));
     }
     assert!(journal.append(1, &mut vec![Record::Accepted(2, taken("b", 3))]).is_err());
     assert!(journal.append(1, &mut vec![Record::Accepted(2, taken("b", 3))]).is_err());
@@ -345,7 +345,7 @@
     let from = disk.bytes(&file).unwrap().len();
     append(&mut journal, [begun(1, 0), Record::Completed(2), Record::Accepted(3, taken("lost", 20))]);
     append(&mut journal, [Record::Accepted(4, taken("late", 20))]);
-    disk.spoil(&file, |bytes| bytes[from + 40] ^= 1);
+    disk.corrupt(&file, |bytes| bytes[from + 40] ^= 1);
     (disk, file)
 }
 
@@ -359,7 +359,7 @@
         assert_eq!(report.damaged.len(), 1);
         assert_eq!(report.damaged[0].file, file);
         assert_eq!(
-            report.damaged[0].stretch.unwrap().records,
+            report.damaged[0].range.unwrap().records,
             Some(3),
             "of a turn's four the turn's own was whole"
         );
@@ -394,7 +394,7 @@
         append(&mut journal, [Record::Accepted(n, taken("id", 700))]);
     }
     let file = segments(&disk).remove(0);
-    disk.spoil(&file, |bytes| bytes[900] ^= 1);
+    disk.corrupt(&file, |bytes| bytes[900] ^= 1);
     let (mut journal, report) = try_open(&disk, &options).unwrap();
     assert_eq!(report.damaged.len(), 1);
     for n in 20..40 {
@@ -438,10 +438,10 @@
     type Spoil<'a> = Box<dyn Fn(&SimDisk) + 'a>;
     let cases: [(&str, Spoil); 5] = [
         ("missing", Box::new(|disk| journal::disk::Disk::remove(&mut disk.clone(), &middle).unwrap())),
-        ("empty", Box::new(|disk| disk.spoil(&middle, |bytes| bytes.clear()))),
-        ("cut off", Box::new(|disk| disk.spoil(&middle, |bytes| bytes.truncate(48)))),
-        ("head", Box::new(|disk| disk.spoil(&middle, |bytes| bytes[0] ^= 1))),
-        ("last head", Box::new(|disk| disk.spoil(&last, |bytes| bytes[0] ^= 1))),
+        ("empty", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes.clear()))),
+        ("cut off", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes.truncate(48)))),
+        ("head", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes[0] ^= 1))),
+        ("last head", Box::new(|disk| disk.corrupt(&last, |bytes| bytes[0] ^= 1))),
     ];
     for (what, spoil) in cases {
         let disk = whole();
@@ -456,7 +456,7 @@
         assert!(!again.live()[&99].may_have_run(), "{what}");
     }
     let disk = whole();
-    disk.spoil(&last, |bytes| *bytes.last_mut().unwrap() ^= 1);
+    disk.corrupt(&last, |bytes| *bytes.last_mut().unwrap() ^= 1);
     let (_, report) = try_open(&disk, &options).unwrap();
     assert_eq!(report.damaged.len(), 1, "without syncs all that stands there stands in order");
 }
@@ -466,7 +466,7 @@
     let (disk, options) = (SimDisk::new(), options(LIMIT));
     append(&mut open(&disk, &options), [Record::Accepted(1, taken("a", 3))]);
     let file = segments(&disk).remove(0);
-    disk.spoil(&file, |bytes| {
+    disk.corrupt(&file, |bytes| {
         bytes[8] = 3;
         let crc = crc32fast::hash(&bytes[..44]);
         bytes[44..48].copy_from_slice(&crc.to_le_bytes());
--- a/crates/loadtest/src/known_cost.rs
+++ b/crates/loadtest/src/known_cost.rs
@@ -69,7 +69,7 @@
 /// Times of slices while a whole of so many destinations is written and ten of them change in each turn of 5 ms; and bytes.
 fn slices(count: u16, turns: u64) -> Result<(Times, u64), String> {
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let disk = Box::new(Folder::beside(folder.path()));
+    let disk = Box::new(Folder::companion(folder.path()));
     let options = Keep { size: 64 << 20, sync: false };
     let (mut store, _) = Store::open(disk, "n1", options).map_err(|e| e.to_string())?;
     let world = World { count, now: RefCell::new(START) };
@@ -93,7 +93,7 @@
     let kept = journal::Options { limit: 3_000_000, ..journal::Options::default() };
     let (mut journal, _) = Journal::open(folder.path(), kept, 1).map_err(|e| e.to_string())?;
     let options = Keep { size: 375_000, sync: false };
-    let disk = Box::new(Folder::beside(folder.path()));
+    let disk = Box::new(Folder::companion(folder.path()));
     let mut store = Store::open(disk, "n1", options).map_err(|e| e.to_string())?.0;
     let world = World { count: 60, now: RefCell::new(START) };
     let (mut stream, mut records) = (Stream::new(seed, 200), Vec::new());
--- a/crates/sender/src/known.rs
+++ b/crates/sender/src/known.rs
@@ -78,7 +78,7 @@
     owner: &str,
     keeping: &Keeping,
 ) -> Option<(Memory, health_snapshot::replay::Snapshot)> {
-    let disk = Box::new(Folder::beside(state));
+    let disk = Box::new(Folder::companion(state));
     match Store::open(disk, owner, keeping.options) {
         Ok((store, snapshot)) => Some((Memory { store, clock: keeping.clock, complain_at: 0 }, snapshot)),
         Err(e) => {
--- a/crates/sender/src/look.rs
+++ b/crates/sender/src/look.rs
@@ -58,8 +58,8 @@
         format!("{}: {} bytes, {} records, {} live messages", file.file, file.bytes, file.records, file.live)
     });
     print(files)?;
-    print(seen.damaged.iter().map(|DamagedFile { file, stretch }| match stretch {
-        Some(stretch) => format!("{file}: damaged, {stretch}"),
+    print(seen.damaged.iter().map(|DamagedFile { file, range }| match range {
+        Some(range) => format!("{file}: damaged, {range}"),
         None => format!("{file}: missing, or its head is damaged"),
     }))?;
     if seen.torn > 0 {
