--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the journal's tests share.
+//! Helpers that the journal's tests share.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 pub const LIMIT: u64 = 200_000;
 
-pub fn taken(id: &str, size: usize) -> Arc<AcceptedMessage> {
+pub fn message(id: &str, size: usize) -> Arc<AcceptedMessage> {
     Arc::new(AcceptedMessage {
         id: id.into(),
         key: Some("key".into()),
@@ -22,7 +22,7 @@
     })
 }
 
-pub fn begun(message: u32, attempt: u16) -> Record {
+pub fn started(message: u32, attempt: u16) -> Record {
     Record::AttemptStarted { message, attempt, endpoint: "e1".into(), at: 5 }
 }
 
@@ -30,7 +30,7 @@
     Record::AttemptEnded { message, attempt, never_ran }
 }
 
-pub fn remembered(id: &str, at: Micros) -> Record {
+pub fn ledger_entry_record(id: &str, at: Micros) -> Record {
     Record::LedgerEntry(LedgerEntry { id: id.into(), delivered: true, at })
 }
 
@@ -42,7 +42,7 @@
     Options { sync: true, ..options(limit) }
 }
 
-pub fn retaining(limit: u64, bytes: u64, span: Micros) -> Options {
+pub fn with_ledger(limit: u64, bytes: u64, span: Micros) -> Options {
     Options { retain: Some(LedgerOptions { span, bytes, classes: vec!["order".into()] }), ..options(limit) }
 }
 
@@ -60,8 +60,8 @@
     journal.append(1, &mut records.into_iter().collect()).unwrap();
 }
 
-/// The messages that are owed their end.
-pub fn numbers(journal: &Journal) -> Vec<u32> {
+/// Numbers of the pending messages, in order.
+pub fn pending_numbers(journal: &Journal) -> Vec<u32> {
     let mut numbers: Vec<_> = journal.live().keys().copied().collect();
     numbers.sort_unstable();
     numbers
@@ -76,16 +76,16 @@
     names
 }
 
-/// Appends and takes back messages until compaction has been done with so many segments.
+/// Accepts and completes messages until compaction has emptied this many more segments.
 pub fn churn(journal: &mut Journal, from: u32, compacted: u64) -> u32 {
     let until = journal.figures().compacted + compacted;
     let mut n = from;
     while journal.figures().compacted < until {
-        append(journal, [Record::Accepted(n, taken(&format!("m{n}"), 300)), begun(n, 0)]);
+        append(journal, [Record::Accepted(n, message(&format!("m{n}"), 300)), started(n, 0)]);
         append(journal, [Record::Completed(n)]);
         journal.compact_step(1).unwrap();
         n += 1;
-        assert!(n < from + 100_000, "compaction comes to an end");
+        assert!(n < from + 100_000, "compaction makes progress");
     }
     n
 }
--- a/crates/journal/tests/model.rs
+++ b/crates/journal/tests/model.rs
@@ -1,6 +1,6 @@
-//! The journal against a plain map: any mix of appends, slices of compaction, faults, ends of the process and of the
-//! machine. After each reopening nothing that was promised is missing, and no attempt that may have run counts as not
-//! run. What failed may count or not: it was promised to nobody.
+//! Model test: the journal against a plain map, under any mix of appends, compaction, faults, kills and losses of power.
+//! After each recovery no committed record is missing, and no attempt that may have run counts as never run. A record
+//! whose append failed may count or not: nothing was promised of it.
 
 mod common;
 
@@ -11,33 +11,41 @@
 use journal::{Abandonment, Journal, Options, PendingMessage, Record};
 use proptest::prelude::*;
 
-/// A message as the map has it.
+/// A message as the model has it.
 #[derive(Debug, Clone, Default)]
-struct Known {
+struct ModelMessage {
     id: String,
     size: usize,
-    /// Whether its taking on was promised; otherwise it failed, and may count.
-    promised: bool,
-    /// Whether its end was written; if it failed, it may count.
-    over: Option<bool>,
-    /// Attempts: whether their beginning was promised, and whether they were said never to have run.
-    attempts: Vec<(bool, bool)>,
-    given_up: bool,
+    /// Whether its acceptance was committed; otherwise the append failed, and may count.
+    committed: bool,
+    /// Whether its completion was committed, if one was appended; a failed append may count.
+    completed: Option<bool>,
+    attempts: Vec<ModelAttempt>,
+    abandoned: bool,
+}
+
+/// An attempt as the model has it.
+#[derive(Debug, Clone, Copy)]
+struct ModelAttempt {
+    /// Whether its start was committed.
+    committed: bool,
+    /// Whether it was recorded as never run.
+    never_ran: bool,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Take(usize),
-    Begin(usize),
-    End(usize, bool),
-    GiveUp(usize),
-    Over(usize),
-    Tidy(u8),
-    /// An operation that comes so many later fails so.
+    Accept(usize),
+    StartAttempt(usize),
+    EndAttempt(usize, bool),
+    Abandon(usize),
+    Complete(usize),
+    Compact(u8),
+    /// Injects a fault into the operation this many operations later.
     Fault(u64, Fault),
-    /// The same, and if it kills the process the machine goes with it.
+    /// The same, and if it kills the process the machine loses power.
     FaultAndPower(u64, Fault, u64),
-    /// The process ends where it is, if it has not.
+    /// The process is restarted.
     Restart,
     LosePower(u64),
 }
@@ -52,12 +60,12 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0usize..1_200).prop_map(Step::Take),
-        4 => any::<usize>().prop_map(Step::Begin),
-        3 => (any::<usize>(), any::<bool>()).prop_map(|(n, never)| Step::End(n, never)),
-        1 => any::<usize>().prop_map(Step::GiveUp),
-        5 => any::<usize>().prop_map(Step::Over),
-        5 => (1u8..4).prop_map(Step::Tidy),
+        6 => (0usize..1_200).prop_map(Step::Accept),
+        4 => any::<usize>().prop_map(Step::StartAttempt),
+        3 => (any::<usize>(), any::<bool>()).prop_map(|(n, never)| Step::EndAttempt(n, never)),
+        1 => any::<usize>().prop_map(Step::Abandon),
+        5 => any::<usize>().prop_map(Step::Complete),
+        5 => (1u8..4).prop_map(Step::Compact),
         2 => (0u64..12, fault()).prop_map(|(n, fault)| Step::Fault(n, fault)),
         1 => (0u64..12, fault(), any::<u64>()).prop_map(|(n, fault, seed)| Step::FaultAndPower(n, fault, seed)),
         1 => Just(Step::Restart),
@@ -69,10 +77,10 @@
     disk: SimDisk,
     options: Options,
     journal: Option<Journal>,
-    known: BTreeMap<u32, Known>,
+    model: BTreeMap<u32, ModelMessage>,
     next: u32,
     reopened: usize,
-    /// Power goes with the next kill.
+    /// Seed of the loss of power that comes with the next kill.
     power: Option<u64>,
 }
 
@@ -80,11 +88,11 @@
     fn new(options: Options) -> Self {
         let disk = SimDisk::new();
         let journal = Some(open(&disk, &options));
-        Self { disk, options, journal, known: BTreeMap::new(), next: 0, reopened: 0, power: None }
+        Self { disk, options, journal, model: BTreeMap::new(), next: 0, reopened: 0, power: None }
     }
 
     fn pick(&self, n: usize) -> Option<u32> {
-        let open: Vec<_> = self.known.iter().filter(|(_, m)| m.promised && m.over.is_none()).collect();
+        let open: Vec<_> = self.model.iter().filter(|(_, m)| m.committed && m.completed.is_none()).collect();
         (!open.is_empty()).then(|| *open[n % open.len()].0)
     }
 
@@ -95,44 +103,46 @@
 
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
-            Step::Take(size) => {
+            Step::Accept(size) => {
                 let (n, id) = (self.next, format!("m{}", self.next));
-                let message = taken(&id, size);
+                let message = message(&id, size);
                 if !self.journal.as_ref().is_some_and(|journal| journal.has_capacity(&message, 0)) {
                     return Ok(());
                 }
                 self.next += 1;
-                if let Some(promised) = self.append(Record::Accepted(n, message)) {
-                    self.known.insert(n, Known { id, size, promised, ..Known::default() });
+                if let Some(committed) = self.append(Record::Accepted(n, message)) {
+                    self.model.insert(n, ModelMessage { id, size, committed, ..ModelMessage::default() });
                 }
             }
-            Step::Begin(n) => {
+            Step::StartAttempt(n) => {
                 let Some(n) = self.pick(n) else { return Ok(()) };
-                let number = self.known[&n].attempts.len() as u16;
-                let promised = self.append(begun(n, number));
-                let attempts = promised.map(|promised| (promised, false));
-                self.known.get_mut(&n).unwrap().attempts.extend(attempts);
+                let number = self.model[&n].attempts.len() as u16;
+                let committed = self.append(started(n, number));
+                let attempts = committed.map(|committed| ModelAttempt { committed, never_ran: false });
+                self.model.get_mut(&n).unwrap().attempts.extend(attempts);
             }
-            Step::End(n, never) => {
+            Step::EndAttempt(n, never) => {
                 let Some(n) = self.pick(n) else { return Ok(()) };
-                let Some(number) = self.known[&n].attempts.iter().rposition(|a| a.0) else { return Ok(()) };
-                // A failed record may count too: it is said from then on that it never ran, which is true.
+                let Some(number) = self.model[&n].attempts.iter().rposition(|a| a.committed) else {
+                    return Ok(());
+                };
+                // A failed record may count too: from then on it never ran, which is true.
                 if self.append(ended(n, number as u16, never)).is_some() && never {
-                    self.known.get_mut(&n).unwrap().attempts[number].1 = true;
+                    self.model.get_mut(&n).unwrap().attempts[number].never_ran = true;
                 }
             }
-            Step::GiveUp(n) => {
+            Step::Abandon(n) => {
                 let Some(n) = self.pick(n) else { return Ok(()) };
                 if self.append(Record::Abandoned(n, Abandonment::Undeliverable)) == Some(true) {
-                    self.known.get_mut(&n).unwrap().given_up = true;
+                    self.model.get_mut(&n).unwrap().abandoned = true;
                 }
             }
-            Step::Over(n) => {
+            Step::Complete(n) => {
                 let Some(n) = self.pick(n) else { return Ok(()) };
-                let over = self.append(Record::Completed(n));
-                self.known.get_mut(&n).unwrap().over = over;
+                let completed = self.append(Record::Completed(n));
+                self.model.get_mut(&n).unwrap().completed = completed;
             }
-            Step::Tidy(times) => {
+            Step::Compact(times) => {
                 for _ in 0..times {
                     let _ = self.journal.as_mut().map(|journal| journal.compact_step(1));
                 }
@@ -164,7 +174,7 @@
 
     fn reopen(&mut self) -> Result<(), TestCaseError> {
         self.journal = None;
-        // The faults that are still to come hit the recovery too; it is begun anew until none is left.
+        // Faults that are still to come hit recovery too: it is retried until none is left.
         let mut tries = 0;
         let journal = loop {
             self.disk.restart();
@@ -181,24 +191,25 @@
         };
         self.reopened += 1;
         for (n, live) in journal.live() {
-            let known = self.known.get(n);
-            prop_assert!(known.is_some(), "{} was never taken on", n);
-            check(*n, known.unwrap(), live)?;
+            let expected = self.model.get(n);
+            prop_assert!(expected.is_some(), "{} was never accepted", n);
+            check(*n, expected.unwrap(), live)?;
         }
-        for (n, known) in &self.known {
-            if known.promised && known.over.is_none() {
+        for (n, expected) in &self.model {
+            if expected.committed && expected.completed.is_none() {
                 prop_assert!(journal.live().contains_key(n), "{} is lost", n);
             }
         }
-        // What was in the air is settled now, one way or the other.
-        self.known.retain(|n, _| journal.live().contains_key(n));
-        for (n, known) in &mut self.known {
+        // Records in flight are settled now, one way or the other.
+        self.model.retain(|n, _| journal.live().contains_key(n));
+        for (n, expected) in &mut self.model {
             let live = &journal.live()[n];
-            (known.promised, known.over) = (true, None);
-            known.given_up = live.abandoned.is_some();
-            for (number, attempt) in known.attempts.iter_mut().enumerate() {
-                let stands = live.attempts.iter().find(|a| usize::from(a.number) == number);
-                *attempt = (stands.is_some(), stands.is_some_and(|a| a.never_ran));
+            (expected.committed, expected.completed) = (true, None);
+            expected.abandoned = live.abandoned.is_some();
+            for (number, attempt) in expected.attempts.iter_mut().enumerate() {
+                let found = live.attempts.iter().find(|a| usize::from(a.number) == number);
+                attempt.committed = found.is_some();
+                attempt.never_ran = found.is_some_and(|a| a.never_ran);
             }
         }
         self.journal = Some(journal);
@@ -206,18 +217,18 @@
     }
 }
 
-fn check(n: u32, known: &Known, live: &PendingMessage) -> Result<(), TestCaseError> {
-    prop_assert_ne!(known.over, Some(true), "{} is over and comes back", n);
-    prop_assert_eq!(&live.message, &taken(&known.id, known.size));
-    prop_assert!(!known.given_up || live.abandoned.is_some(), "{} was given up", n);
-    for (number, (promised, never)) in known.attempts.iter().enumerate() {
-        let stands = live.attempts.iter().find(|a| usize::from(a.number) == number);
-        prop_assert!(!promised || stands.is_some(), "attempt {} of {} is forgotten", number, n);
-        if let Some(stands) = stands {
-            prop_assert!(*never || !stands.never_ran, "attempt {} of {} may have run", number, n);
+fn check(n: u32, expected: &ModelMessage, live: &PendingMessage) -> Result<(), TestCaseError> {
+    prop_assert_ne!(expected.completed, Some(true), "{} was completed and reappears", n);
+    prop_assert_eq!(&live.message, &message(&expected.id, expected.size));
+    prop_assert!(!expected.abandoned || live.abandoned.is_some(), "{} was abandoned", n);
+    for (number, attempt) in expected.attempts.iter().enumerate() {
+        let found = live.attempts.iter().find(|a| usize::from(a.number) == number);
+        prop_assert!(!attempt.committed || found.is_some(), "attempt {} of {} is lost", number, n);
+        if let Some(found) = found {
+            prop_assert!(attempt.never_ran || !found.never_ran, "attempt {} of {} may have run", number, n);
         }
     }
-    prop_assert!(live.attempts.iter().all(|a| usize::from(a.number) < known.attempts.len()));
+    prop_assert!(live.attempts.iter().all(|a| usize::from(a.number) < expected.attempts.len()));
     Ok(())
 }
 
@@ -243,19 +254,19 @@
     #![proptest_config(config())]
 
     #[test]
-    fn nothing_that_was_promised_is_missing(steps in prop::collection::vec(step(), 50..400)) {
+    fn committed_records_survive_kills_and_faults(steps in prop::collection::vec(step(), 50..400)) {
         run(options(40_000), &steps)?;
     }
 
     #[test]
-    fn nor_where_the_machine_loses_power(steps in prop::collection::vec(step(), 50..400)) {
+    fn committed_records_survive_power_loss(steps in prop::collection::vec(step(), 50..400)) {
         run(synced(40_000), &steps)?;
     }
 }
 
-/// The runs above are worth something: they compact, restart and fail.
+/// Guards against model runs that cover too little: they compact, restart and fail.
 #[test]
-fn the_runs_reach_what_they_are_for() {
+fn the_model_runs_cover_compaction_and_recovery() {
     let mut rng = proptest::test_runner::TestRunner::deterministic();
     let steps = prop::collection::vec(step(), 3_000..3_001);
     let steps = proptest::strategy::ValueTree::current(&steps.new_tree(&mut rng).unwrap());
@@ -269,10 +280,9 @@
     );
 }
 
-/// Every cut point of a run of a few hundred records: whatever byte the process ended at, the records before it count,
-/// and no other.
+/// At whatever byte of a run the process ended, the records before it count, and no others.
 #[test]
-fn every_cut_point_of_a_run() {
+fn a_run_truncated_at_every_offset() {
     let disk = SimDisk::new();
     let options = options(400_000);
     let mut journal = open(&disk, &options);
@@ -282,8 +292,8 @@
     let mut rng = fastrand::Rng::with_seed(7);
     for n in 0..300u32 {
         let record = match rng.u8(..4) {
-            0 => Record::Accepted(n, taken(&format!("m{n}"), rng.usize(..40))),
-            1 => begun(rng.u32(..=n), 0),
+            0 => Record::Accepted(n, message(&format!("m{n}"), rng.usize(..40))),
+            1 => started(rng.u32(..=n), 0),
             2 => ended(rng.u32(..=n), 0, rng.bool()),
             _ => Record::Completed(rng.u32(..=n)),
         };
@@ -292,13 +302,13 @@
         states.push(journal.live().clone());
     }
     assert_eq!(segments(&disk).len(), 1);
-    let whole = disk.bytes(&file).unwrap();
-    for cut in lengths[0]..whole.len() {
-        let cut_off = SimDisk::new();
-        cut_off.put(&file, &whole[..cut]);
+    let complete = disk.bytes(&file).unwrap();
+    for cut in lengths[0]..complete.len() {
+        let truncated = SimDisk::new();
+        truncated.put(&file, &complete[..cut]);
         let before = lengths.iter().rposition(|length| *length <= cut).unwrap();
-        let live = open(&cut_off, &options);
-        // A turn's own mark may stand there without its record.
+        let live = open(&truncated, &options);
+        // A batch start may be present without its record.
         assert!(*live.live() == states[before], "{cut}");
     }
 }
--- a/crates/journal/tests/store.rs
+++ b/crates/journal/tests/store.rs
@@ -1,4 +1,4 @@
-//! The journal on a simulated disk: each promise, each hard case.
+//! The journal on a simulated disk: one test for each guarantee and each failure.
 
 mod common;
 
@@ -7,107 +7,106 @@
 use journal::{Abandonment, AppendError, Damage, Journal, OpenError, Options, Record, inspect};
 
 #[test]
-fn what_was_appended_is_read_back() {
+fn appended_records_are_restored() {
     let disk = SimDisk::new();
     let mut journal = open(&disk, &options(LIMIT));
     append(
         &mut journal,
-        [Record::Accepted(1, taken("a", 3)), begun(1, 0), Record::Accepted(2, taken("b", 0))],
+        [Record::Accepted(1, message("a", 3)), started(1, 0), Record::Accepted(2, message("b", 0))],
     );
-    append(&mut journal, [ended(1, 0, true), begun(1, 2)]);
-    append(&mut journal, [Record::Completed(2), Record::Accepted(3, taken("c", 1))]);
+    append(&mut journal, [ended(1, 0, true), started(1, 2)]);
+    append(&mut journal, [Record::Completed(2), Record::Accepted(3, message("c", 1))]);
     append(&mut journal, [Record::Abandoned(3, Abandonment::Deferred(9))]);
-    let again = open(&disk, &options(LIMIT));
-    assert_eq!(again.live(), journal.live());
-    let attempts: Vec<_> = again.live()[&1].attempts.iter().map(|a| (a.number, a.never_ran)).collect();
+    let reopened = open(&disk, &options(LIMIT));
+    assert_eq!(reopened.live(), journal.live());
+    let attempts: Vec<_> = reopened.live()[&1].attempts.iter().map(|a| (a.number, a.never_ran)).collect();
     assert_eq!(attempts, [(0, true), (2, false)]);
-    assert_eq!(again.live()[&3].abandoned, Some(Abandonment::Deferred(9)));
-    assert_eq!(numbers(&again), [1, 3]);
+    assert_eq!(reopened.live()[&3].abandoned, Some(Abandonment::Deferred(9)));
+    assert_eq!(pending_numbers(&reopened), [1, 3]);
 }
 
-/// Guards against a process that was killed within a write: what came before holds, and what is appended later can
-/// be read.
+/// Guards against a process that was killed within a write: earlier records are kept, and later appends can be read.
 #[test]
-fn a_torn_tail_is_cut_off_wherever_it_was_torn() {
+fn a_torn_write_is_truncated_at_every_offset() {
     for options in [options(LIMIT), synced(LIMIT)] {
         let disk = SimDisk::new();
-        append(&mut open(&disk, &options), [Record::Accepted(1, taken("a", 3))]);
+        append(&mut open(&disk, &options), [Record::Accepted(1, message("a", 3))]);
         let file = segments(&disk).remove(0);
         let whole = disk.bytes(&file).unwrap();
-        append(&mut open(&disk, &options), [Record::Accepted(2, taken("b", 3))]);
+        append(&mut open(&disk, &options), [Record::Accepted(2, message("b", 3))]);
         let both = disk.bytes(&file).unwrap();
         for torn in whole.len()..both.len() {
             disk.corrupt(&file, |bytes| *bytes = both[..torn].to_vec());
             let mut journal = open(&disk, &options);
             assert_eq!(journal.live().len(), 1, "{torn}");
-            append(&mut journal, [Record::Accepted(3, taken("c", 3))]);
+            append(&mut journal, [Record::Accepted(3, message("c", 3))]);
             assert_eq!(open(&disk, &options).live().len(), 2, "{torn}");
         }
     }
 }
 
-/// Guards the room on the disk, however long it goes on, and what lives through many compactions.
+/// Guards the limit over a long run, and messages that stay pending through many compactions.
 #[test]
-fn the_files_stay_within_their_limit_and_keep_what_lives() {
+fn files_stay_within_the_limit_and_keep_pending_messages() {
     let (disk, options) = (SimDisk::new(), options(100_000));
     let mut journal = open(&disk, &options);
     let mut live = Vec::new();
-    let mut refused = 0;
+    let mut rejected = 0;
     for n in 0..5_000 {
-        let message = taken(&format!("m{n}"), n as usize % 900);
+        let message = message(&format!("m{n}"), n as usize % 900);
         if journal.has_capacity(&message, 0) {
-            append(&mut journal, [Record::Accepted(n, message), begun(n, 0)]);
+            append(&mut journal, [Record::Accepted(n, message), started(n, 0)]);
             live.push(n);
         } else {
-            refused += 1;
+            rejected += 1;
             append(&mut journal, [ended(live[3], 0, true), Record::Completed(live.remove(0))]);
         }
         journal.compact_step(1).unwrap();
-        assert_eq!(journal.figures().used, disk.used(), "what it reckons is what there is");
+        assert_eq!(journal.figures().used, disk.used(), "the accounted size is the actual size");
         assert!(disk.used() <= options.limit, "{} at {n}", disk.used());
     }
-    assert!(live.len() > 20 && refused > 1_000, "{} live, {refused} refused", live.len());
+    assert!(live.len() > 20 && rejected > 1_000, "{} live, {rejected} rejected", live.len());
     assert!(journal.figures().compacted > 20, "{:?}", journal.figures());
-    let again = open(&disk, &options);
-    assert_eq!(again.live(), journal.live());
-    assert_eq!(numbers(&again), live);
+    let reopened = open(&disk, &options);
+    assert_eq!(reopened.live(), journal.live());
+    assert_eq!(pending_numbers(&reopened), live);
 }
 
-/// Guards a turn against more than a bounded piece of compaction.
+/// Guards an event loop iteration against an unbounded amount of compaction.
 #[test]
-fn a_slice_is_bounded() {
+fn a_compaction_step_is_bounded() {
     let (disk, options) = (SimDisk::new(), options(40_000_000));
     let mut journal = open(&disk, &options);
     let mut n = 0;
-    while journal.has_capacity(&taken("id", 60_000), 0) {
-        append(&mut journal, [Record::Accepted(n, taken("id", 60_000))]);
+    while journal.has_capacity(&message("id", 60_000), 0) {
+        append(&mut journal, [Record::Accepted(n, message("id", 60_000))]);
         n += 1;
     }
-    let mut most = 0;
+    let mut longest_write = 0;
     for round in 0..2_000 {
-        append(&mut journal, [Record::Completed(round), Record::Accepted(n + round, taken("id", 60_000))]);
+        append(&mut journal, [Record::Completed(round), Record::Accepted(n + round, message("id", 60_000))]);
         let (before, operations) = (journal.figures(), disk.operations());
         journal.compact_step(1).unwrap();
         let after = journal.figures();
-        most = most.max(after.written - before.written);
+        longest_write = longest_write.max(after.written - before.written);
         assert!(before.used.saturating_sub(after.used) <= journal::SLICE_CUT + 512);
-        // A write, a head of a further segment, the floor, and one cut.
+        // The copies, the header of a new segment, the floor, and one truncation.
         assert!(disk.operations() - operations <= 4);
     }
     assert!(journal.figures().compacted > 10, "{:?}", journal.figures());
-    assert!(most > 0 && most <= journal::SLICE_BYTES + 61_000, "{most}");
+    assert!(longest_write > 0 && longest_write <= journal::SLICE_BYTES + 61_000, "{longest_write}");
 }
 
-/// Guards against a compaction that can't keep up: the limit holds, refusals come in time, and ends have their room.
+/// Guards against a compaction that can't keep up: the limit holds, messages are rejected in time, and outcomes fit.
 #[test]
-fn without_any_compaction_ends_still_have_room() {
+fn outcomes_fit_without_any_compaction() {
     for size in [0, 300, 3_000] {
         let (disk, options) = (SimDisk::new(), options(100_000));
         let mut journal = open(&disk, &options);
         let (mut n, mut oldest) = (0, 0);
-        // Never tidied: messages come and go until no further one is let in, for want of room that nothing lives in.
-        while journal.has_capacity(&taken("id", size), 0) {
-            append(&mut journal, [Record::Accepted(n, taken("id", size)), begun(n, 0)]);
+        // Without compaction messages come and go until dead records leave no capacity for another.
+        while journal.has_capacity(&message("id", size), 0) {
+            append(&mut journal, [Record::Accepted(n, message("id", size)), started(n, 0)]);
             n += 1;
             if n > 5 {
                 append(&mut journal, [Record::Completed(oldest)]);
@@ -117,7 +116,7 @@
         for message in oldest..n {
             for attempt in 1..6 {
                 append(&mut journal, [ended(message, attempt - 1, true)]);
-                append(&mut journal, [begun(message, attempt)]);
+                append(&mut journal, [started(message, attempt)]);
             }
             append(&mut journal, [Record::Abandoned(message, Abandonment::Undeliverable)]);
             append(&mut journal, [Record::Completed(message)]);
@@ -126,27 +125,27 @@
         for _ in 0..1_000 {
             journal.compact_step(1).unwrap();
         }
-        assert!(journal.has_capacity(&taken("id", size), 0), "room comes back");
+        assert!(journal.has_capacity(&message("id", size), 0), "capacity is reclaimed");
     }
 }
 
-/// Guards against a record that has no room: it is said so, nothing is written, and ends go on.
+/// Guards against a record that does not fit: the append fails, nothing is written, and outcomes still fit.
 #[test]
-fn at_the_limit_only_ends_are_written() {
+fn only_outcomes_are_appended_at_the_limit() {
     let (disk, options) = (SimDisk::new(), options(40_000));
     let mut journal = open(&disk, &options);
     for n in 0..4 {
-        append(&mut journal, [Record::Accepted(n, taken("id", 100))]);
+        append(&mut journal, [Record::Accepted(n, message("id", 100))]);
     }
     let mut attempt = 0;
-    let full = loop {
-        let mut records = vec![begun(0, attempt), ended(0, attempt, true)];
+    let failure = loop {
+        let mut records = vec![started(0, attempt), ended(0, attempt, true)];
         match journal.append(1, &mut records) {
             Ok(()) => attempt += 1,
             Err(e) => break (e, records.len()),
         }
     };
-    assert!(matches!(full, (AppendError::LimitReached, 2)), "{full:?}");
+    assert!(matches!(failure, (AppendError::LimitReached, 2)), "{failure:?}");
     for n in 0..4 {
         append(&mut journal, [Record::Abandoned(n, Abandonment::Undeliverable)]);
     }
@@ -154,121 +153,127 @@
     assert!(open(&disk, &options).live() == journal.live());
 }
 
-/// Guards against a message that comes back, or is lost, with a process that ends between any two operations of
-/// appends and compaction, and again within the recovery from that, several times in a row.
+/// Guards against a message that reappears or is lost when the process is killed at any operation of appends and
+/// compaction, and several times again during recovery.
 #[test]
-fn a_kill_at_every_operation_and_again_within_recovery() {
+fn a_kill_at_every_operation_and_during_recovery() {
     for options in [options(60_000), synced(60_000)] {
-        // How many operations the whole run has.
+        // Appends and compacts until the process is killed; returns how many messages were accepted and completed.
         let run = |disk: &SimDisk| -> (u32, u32) {
             let Ok((mut journal, _)) = try_open(disk, &options) else { return (0, 0) };
-            let mut promised = 0;
-            let mut over = 0;
+            let mut accepted = 0;
+            let mut completed = 0;
             for n in 0..60 {
-                let records = [Record::Accepted(n, taken(&format!("m{n}"), 700)), begun(n, 0)];
+                let records = [Record::Accepted(n, message(&format!("m{n}"), 700)), started(n, 0)];
                 if journal.append(1, &mut records.into()).is_err() {
                     break;
                 }
-                promised = n + 1;
+                accepted = n + 1;
                 if n >= 5 {
                     if journal.append(1, &mut vec![Record::Completed(n - 5)]).is_err() {
                         break;
                     }
-                    over = n - 4;
+                    completed = n - 4;
                 }
                 if journal.compact_step(1).is_err() && disk.is_killed() {
                     break;
                 }
             }
-            (promised, over)
+            (accepted, completed)
         };
-        let whole = SimDisk::new();
-        assert_eq!(run(&whole), (60, 55));
-        let operations = whole.operations();
+        let undisturbed = SimDisk::new();
+        assert_eq!(run(&undisturbed), (60, 55));
+        let operations = undisturbed.operations();
         assert!(operations > 100, "{operations}");
         for kill in 0..operations {
-            for left in [0, 1, 40] {
+            for kept in [0, 1, 40] {
                 let disk = SimDisk::new();
-                disk.inject(kill, Fault::Kill(left));
-                let (promised, over) = run(&disk);
-                // Within the recovery again, at its first operation, then at its second, and so on.
-                for again in 0..4 {
+                disk.inject(kill, Fault::Kill(kept));
+                let (accepted, completed) = run(&disk);
+                // Then during recovery: at its first operation, then at its second, and so on.
+                for operation in 0..4 {
                     disk.restart();
                     disk.clear_faults();
-                    disk.inject(disk.operations() + again, Fault::Kill(left));
+                    disk.inject(disk.operations() + operation, Fault::Kill(kept));
                     let _ = try_open(&disk, &options);
                 }
                 disk.restart();
                 disk.clear_faults();
                 let mut journal = open(&disk, &options);
-                let live = numbers(&journal);
-                // What was in the air may count or not: the message handed in last, the last end.
-                let expected: Vec<_> = (over..promised).collect();
-                let in_air: Vec<_> = (over + 1..promised).collect();
-                let strict: Vec<_> = live.iter().copied().filter(|n| *n < promised).collect();
-                assert!(strict == expected || strict == in_air, "{kill}, {left}: {live:?}, not {expected:?}");
-                assert!(live.iter().all(|n| *n <= promised), "{kill}, {left}: {live:?}");
-                let begun_once = |n: &u32| journal.live()[n].attempts.len() == 1;
-                assert!(strict.iter().all(begun_once), "{kill}, {left}");
+                let live = pending_numbers(&journal);
+                // The last acceptance and the last completion were in flight: either may count or not.
+                let expected: Vec<_> = (completed..accepted).collect();
+                let expected_in_flight: Vec<_> = (completed + 1..accepted).collect();
+                let strict: Vec<_> = live.iter().copied().filter(|n| *n < accepted).collect();
+                assert!(
+                    strict == expected || strict == expected_in_flight,
+                    "{kill}, {kept}: {live:?}, not {expected:?}"
+                );
+                assert!(live.iter().all(|n| *n <= accepted), "{kill}, {kept}: {live:?}");
+                let started_once = |n: &u32| journal.live()[n].attempts.len() == 1;
+                assert!(strict.iter().all(started_once), "{kill}, {kept}");
                 churn(&mut journal, 1_000, 20);
-                assert!(open(&disk, &options).live() == journal.live(), "{kill}, {left}: it goes on");
+                assert!(
+                    open(&disk, &options).live() == journal.live(),
+                    "{kill}, {kept}: it can be appended to"
+                );
             }
         }
     }
 }
 
-/// Guards copies against a floor that outlasts the machine without them: power goes with a kill at any operation, and
-/// any sectors of what was not synced stay without the others.
+/// Guards against a floor that survives a loss of power without the copies it depends on: power is lost with a kill at any
+/// operation, and any subset of the unsynced sectors is kept.
 #[test]
-fn power_that_goes_within_a_compaction_takes_no_message_with_it() {
+fn power_loss_during_compaction_loses_no_message() {
     let options = synced(60_000);
     for seed in 0..6 {
         for kill in 0..500 {
             let disk = SimDisk::new();
             let mut journal = open(&disk, &options);
             for n in 0..6 {
-                append(&mut journal, [Record::Accepted(n, taken(&format!("kept{n}"), 600)), begun(n, 0)]);
+                append(&mut journal, [Record::Accepted(n, message(&format!("kept{n}"), 600)), started(n, 0)]);
             }
             let next = churn(&mut journal, 10, 1);
             disk.inject(disk.operations() + kill, Fault::Kill(9_999));
             for n in next..next + 200 {
-                let taken = journal.append(1, &mut vec![Record::Accepted(n, taken("more", 600))]);
-                if taken.and_then(|()| journal.append(1, &mut vec![Record::Completed(n)])).is_err() {
+                let accepted = journal.append(1, &mut vec![Record::Accepted(n, message("more", 600))]);
+                if accepted.and_then(|()| journal.append(1, &mut vec![Record::Completed(n)])).is_err() {
                     break;
                 }
                 let _ = journal.compact_step(1);
             }
             disk.lose_power(&mut fastrand::Rng::with_seed(seed));
             disk.clear_faults();
-            let again = open(&disk, &options);
-            assert!((0..6).all(|n| again.live().contains_key(&n)), "seed {seed}, kill {kill}");
+            let reopened = open(&disk, &options);
+            assert!((0..6).all(|n| reopened.live().contains_key(&n)), "seed {seed}, kill {kill}");
         }
     }
 }
 
-/// Guards against a full disk at any single write of a compaction: nothing that was promised is touched, what goes on
-/// is honest, and it recovers with the room.
+/// Guards against a full disk or a failing device at any operation of a compaction: accepted messages are kept, failures
+/// are reported, and the journal recovers with the disk.
 #[test]
-fn a_full_disk_at_every_operation_of_a_compaction() {
+fn a_fault_at_every_operation_of_a_compaction() {
     let options = options(60_000);
     for fault in [Fault::StorageFull(0), Fault::StorageFull(30), Fault::Device(0), Fault::Device(50)] {
         let mut failed = 0;
         for at in 0..200 {
             let disk = SimDisk::new();
             let mut journal = open(&disk, &options);
-            append(&mut journal, [Record::Accepted(0, taken("kept", 500)), begun(0, 0)]);
+            append(&mut journal, [Record::Accepted(0, message("kept", 500)), started(0, 0)]);
             let n = churn(&mut journal, 1, 3);
             for operation in 0..3 {
                 disk.inject(disk.operations() + at + operation, fault);
             }
             let mut live = vec![0];
             for n in n..n + 60 {
-                let mut records = vec![Record::Accepted(n, taken("more", 700))];
+                let mut records = vec![Record::Accepted(n, message("more", 700))];
                 match journal.append(1, &mut records) {
                     Ok(()) => live.push(n),
                     Err(_) => {
                         failed += 1;
-                        assert_eq!(records.len(), 1, "it is handed back");
+                        assert_eq!(records.len(), 1, "a failed record stays with the caller");
                     }
                 }
                 failed += u32::from(journal.compact_step(1).is_err());
@@ -277,9 +282,9 @@
                 }
                 assert!(disk.used() <= options.limit);
             }
-            assert_eq!(numbers(&journal), live, "{fault:?} at {at}");
+            assert_eq!(pending_numbers(&journal), live, "{fault:?} at {at}");
             disk.clear_faults();
-            // What could not be cut off is cut before anything else.
+            // A torn write that could not be truncated is truncated first.
             journal.compact_step(1).unwrap();
             assert!(open(&disk, &options).live() == journal.live(), "{fault:?} at {at}");
         }
@@ -287,44 +292,44 @@
     }
 }
 
-/// Guards against a torn record that could not be cut off: nothing may follow it.
+/// Guards against a torn write that could not be truncated: nothing may follow it.
 #[test]
-fn nothing_is_written_behind_what_could_not_be_cut_off() {
+fn nothing_is_appended_behind_a_torn_write() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
     let mut journal = open(&disk, &options);
-    append(&mut journal, [Record::Accepted(1, taken("a", 3))]);
+    append(&mut journal, [Record::Accepted(1, message("a", 3))]);
     for operation in 0..3 {
-        // The write fails half-way, the cut fails, and so does the cut before the next write.
+        // The write fails half-way, the truncation fails, and so does the one before the next write.
         disk.inject(disk.operations() + operation, Fault::Device(20));
     }
-    assert!(journal.append(1, &mut vec![Record::Accepted(2, taken("b", 3))]).is_err());
-    assert!(journal.append(1, &mut vec![Record::Accepted(2, taken("b", 3))]).is_err());
-    append(&mut journal, [Record::Accepted(3, taken("c", 3))]);
-    let again = open(&disk, &options);
-    assert_eq!(again.live(), journal.live());
-    assert_eq!(numbers(&again), [1, 3]);
+    assert!(journal.append(1, &mut vec![Record::Accepted(2, message("b", 3))]).is_err());
+    assert!(journal.append(1, &mut vec![Record::Accepted(2, message("b", 3))]).is_err());
+    append(&mut journal, [Record::Accepted(3, message("c", 3))]);
+    let reopened = open(&disk, &options);
+    assert_eq!(reopened.live(), journal.live());
+    assert_eq!(pending_numbers(&reopened), [1, 3]);
 }
 
-/// A message that was moved and then ends, a message's number that is used again, a copy with attempts.
+/// A relocated message that is completed later, a number that is used again, a relocated message with attempts.
 #[test]
-fn what_was_moved_is_known_with_all_that_came_before_and_after() {
+fn relocated_messages_keep_their_history() {
     let (disk, options) = (SimDisk::new(), options(60_000));
     let mut journal = open(&disk, &options);
     append(
         &mut journal,
-        [Record::Accepted(0, taken("first", 10)), begun(0, 0), ended(0, 0, true), begun(0, 1)],
+        [Record::Accepted(0, message("first", 10)), started(0, 0), ended(0, 0, true), started(0, 1)],
     );
     append(
         &mut journal,
-        [Record::Accepted(1, taken("second", 10)), Record::Abandoned(1, Abandonment::Deferred(7))],
+        [Record::Accepted(1, message("second", 10)), Record::Abandoned(1, Abandonment::Deferred(7))],
     );
     let mut n = churn(&mut journal, 10, 6);
     assert!(open(&disk, &options).live() == journal.live());
-    append(&mut journal, [ended(0, 1, true), begun(0, 2)]);
+    append(&mut journal, [ended(0, 1, true), started(0, 2)]);
     assert!(open(&disk, &options).live() == journal.live());
-    // Over while its copy is on its way, then taken anew under the same number: both stand in the files.
+    // Completed after it was relocated, then accepted under the same number: the files hold both.
     append(&mut journal, [Record::Completed(0)]);
-    append(&mut journal, [Record::Accepted(0, taken("anew", 10))]);
+    append(&mut journal, [Record::Accepted(0, message("anew", 10))]);
     for _ in 0..8 {
         assert!(open(&disk, &options).live() == journal.live());
         assert!(journal.live()[&0].attempts.is_empty());
@@ -336,23 +341,26 @@
     assert!(open(&disk, &options).live().is_empty());
 }
 
-/// Spoils one byte in the middle of the only file, behind the first append.
+/// Changes one byte in the middle of the only file, behind the first append.
 fn damaged(options: &Options) -> (SimDisk, String) {
     let disk = SimDisk::new();
     let mut journal = open(&disk, options);
-    append(&mut journal, [Record::Accepted(1, taken("early", 20)), Record::Accepted(2, taken("ended", 20))]);
+    append(
+        &mut journal,
+        [Record::Accepted(1, message("early", 20)), Record::Accepted(2, message("ended", 20))],
+    );
     let file = segments(&disk).remove(0);
     let from = disk.bytes(&file).unwrap().len();
-    append(&mut journal, [begun(1, 0), Record::Completed(2), Record::Accepted(3, taken("lost", 20))]);
-    append(&mut journal, [Record::Accepted(4, taken("late", 20))]);
+    append(&mut journal, [started(1, 0), Record::Completed(2), Record::Accepted(3, message("lost", 20))]);
+    append(&mut journal, [Record::Accepted(4, message("late", 20))]);
     disk.corrupt(&file, |bytes| bytes[from + 40] ^= 1);
     (disk, file)
 }
 
-/// Guards against damage that is passed over: it is told with file, place and number, and what it may hide counts as
-/// possibly applied.
+/// Guards against unnoticed damage: it is reported with file, range and count, and the messages that it may concern count
+/// as possibly applied.
 #[test]
-fn damage_in_the_middle_is_told_and_suspected() {
+fn damage_is_reported_and_marks_messages_possibly_applied() {
     for options in [options(LIMIT), synced(LIMIT)] {
         let (disk, file) = damaged(&options);
         let (mut journal, report) = try_open(&disk, &options).unwrap();
@@ -361,7 +369,7 @@
         assert_eq!(
             report.damaged[0].range.unwrap().records,
             Some(3),
-            "of a turn's four the turn's own was whole"
+            "of the batch's four records its start was intact"
         );
         assert_eq!(report.suspected, 2);
         let text = report.to_string();
@@ -370,40 +378,40 @@
             "{text}"
         );
         let may_have_run: Vec<_> =
-            numbers(&journal).into_iter().map(|n| (n, journal.live()[&n].may_have_run())).collect();
-        assert_eq!(may_have_run, [(1, true), (2, true), (4, false)], "what came later is not affected");
-        assert_eq!(journal.live()[&1].attempts[0].at, 0, "when is not known");
-        // It is kept until its records are written anew, and then aside.
+            pending_numbers(&journal).into_iter().map(|n| (n, journal.live()[&n].may_have_run())).collect();
+        assert_eq!(may_have_run, [(1, true), (2, true), (4, false)], "later messages are not affected");
+        assert_eq!(journal.live()[&1].attempts[0].at, 0, "the time is unknown");
+        // The file is part of the log until its records are copied, and is preserved then.
         append(&mut journal, [Record::Completed(2)]);
         churn(&mut journal, 10, 8);
         assert!(disk.bytes(&format!("damaged-{file}")).is_some());
         assert!(disk.bytes(&file).is_none());
         assert_eq!(journal.figures().used, disk.used());
-        let again = open(&disk, &options);
-        assert_eq!(again.live(), journal.live(), "the damage is past");
-        assert_eq!(numbers(&again), [1, 4]);
+        let reopened = open(&disk, &options);
+        assert_eq!(reopened.live(), journal.live(), "the damage is no longer part of the log");
+        assert_eq!(pending_numbers(&reopened), [1, 4]);
     }
 }
 
-/// Guards against a damaged file that stays where it is on a sender with little to do: it is aside after some turns.
+/// Guards against a damaged file that stays part of the log of a sender with little to do.
 #[test]
-fn a_damaged_file_is_soon_aside() {
+fn a_damaged_file_is_soon_preserved() {
     let (disk, options) = (SimDisk::new(), options(60_000));
     let mut journal = open(&disk, &options);
     for n in 0..12 {
-        append(&mut journal, [Record::Accepted(n, taken("id", 700))]);
+        append(&mut journal, [Record::Accepted(n, message("id", 700))]);
     }
     let file = segments(&disk).remove(0);
     disk.corrupt(&file, |bytes| bytes[900] ^= 1);
     let (mut journal, report) = try_open(&disk, &options).unwrap();
     assert_eq!(report.damaged.len(), 1);
     for n in 20..40 {
-        append(&mut journal, [Record::Accepted(n, taken("id", 0))]);
+        append(&mut journal, [Record::Accepted(n, message("id", 0))]);
         append(&mut journal, [Record::Completed(n)]);
         journal.compact_step(1).unwrap();
     }
     assert!(disk.bytes(&format!("damaged-{file}")).is_some());
-    assert!(open(&disk, &options).live() == journal.live(), "and the damage is past");
+    assert!(open(&disk, &options).live() == journal.live(), "the damage is no longer part of the log");
 }
 
 #[test]
@@ -412,59 +420,59 @@
     let (disk, file) = damaged(&options);
     let before = disk.bytes(&file);
     let refused = try_open(&disk, &options).unwrap_err();
-    let said = refused.to_string();
-    assert!(matches!(refused, OpenError::Damaged { .. }) && said.contains(&file), "{said}");
-    assert!(said.contains("3 records lost"), "{said}");
-    assert_eq!(disk.bytes(&file), before, "nothing is touched");
+    let text = refused.to_string();
+    assert!(matches!(refused, OpenError::Damaged { .. }) && text.contains(&file), "{text}");
+    assert!(text.contains("3 records lost"), "{text}");
+    assert_eq!(disk.bytes(&file), before, "nothing is changed");
 }
 
-/// Guards against damage where no single byte is wrong: a file is missing, cut off between two records, or its head
-/// is spoilt; and against a damaged record that is the last one.
+/// Guards against damage other than changed records: a file is missing, truncated between two records, or its header is
+/// corrupt; and against a damaged record that is the last one.
 #[test]
-fn what_is_missing_is_damage_too() {
+fn missing_data_counts_as_damage() {
     let options = options(60_000);
-    let whole = || {
+    let intact = || {
         let disk = SimDisk::new();
         let mut journal = open(&disk, &options);
-        append(&mut journal, [Record::Accepted(0, taken("kept", 10))]);
+        append(&mut journal, [Record::Accepted(0, message("kept", 10))]);
         for n in 1..=30 {
-            append(&mut journal, [Record::Accepted(n, taken("id", 700))]);
+            append(&mut journal, [Record::Accepted(n, message("id", 700))]);
         }
         assert!(segments(&disk).len() > 3);
         disk
     };
-    let middle = segments(&whole())[1].clone();
-    let last = segments(&whole()).pop().unwrap();
-    type Spoil<'a> = Box<dyn Fn(&SimDisk) + 'a>;
-    let cases: [(&str, Spoil); 5] = [
+    let middle = segments(&intact())[1].clone();
+    let last = segments(&intact()).pop().unwrap();
+    type Corruption<'a> = Box<dyn Fn(&SimDisk) + 'a>;
+    let cases: [(&str, Corruption); 5] = [
         ("missing", Box::new(|disk| journal::disk::Disk::remove(&mut disk.clone(), &middle).unwrap())),
         ("empty", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes.clear()))),
         ("cut off", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes.truncate(48)))),
         ("head", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes[0] ^= 1))),
         ("last head", Box::new(|disk| disk.corrupt(&last, |bytes| bytes[0] ^= 1))),
     ];
-    for (what, spoil) in cases {
-        let disk = whole();
-        spoil(&disk);
+    for (what, corrupt) in cases {
+        let disk = intact();
+        corrupt(&disk);
         let (mut journal, report) = try_open(&disk, &options).unwrap();
         assert!(!report.damaged.is_empty() && report.suspected > 0, "{what}: {report:?}");
         assert!(journal.live()[&0].may_have_run(), "{what}");
-        // It goes on, and opens again.
-        append(&mut journal, [Record::Accepted(99, taken("new", 3))]);
-        let (again, _) = try_open(&disk, &options).unwrap();
-        assert!(again.live().contains_key(&99), "{what}");
-        assert!(!again.live()[&99].may_have_run(), "{what}");
+        // It can be appended to, and opened again.
+        append(&mut journal, [Record::Accepted(99, message("new", 3))]);
+        let (reopened, _) = try_open(&disk, &options).unwrap();
+        assert!(reopened.live().contains_key(&99), "{what}");
+        assert!(!reopened.live()[&99].may_have_run(), "{what}");
     }
-    let disk = whole();
+    let disk = intact();
     disk.corrupt(&last, |bytes| *bytes.last_mut().unwrap() ^= 1);
     let (_, report) = try_open(&disk, &options).unwrap();
-    assert_eq!(report.damaged.len(), 1, "without syncs all that stands there stands in order");
+    assert_eq!(report.damaged.len(), 1, "without syncs all that was written is present in order");
 }
 
 #[test]
-fn what_a_newer_version_wrote_is_left_alone() {
+fn files_of_a_newer_version_are_left_unchanged() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
-    append(&mut open(&disk, &options), [Record::Accepted(1, taken("a", 3))]);
+    append(&mut open(&disk, &options), [Record::Accepted(1, message("a", 3))]);
     let file = segments(&disk).remove(0);
     disk.corrupt(&file, |bytes| {
         bytes[8] = 3;
@@ -472,31 +480,31 @@
         bytes[44..48].copy_from_slice(&crc.to_le_bytes());
     });
     let before = disk.bytes(&file);
-    let said = try_open(&disk, &options).unwrap_err().to_string();
-    assert!(said.contains("format version 3"), "{said}");
+    let text = try_open(&disk, &options).unwrap_err().to_string();
+    assert!(text.contains("format version 3"), "{text}");
     assert_eq!(disk.bytes(&file), before);
 }
 
-/// Guards the ledger's promise: an end is told for its time, over compactions and restarts, and not longer; at its
-/// limit it refuses and forgets nothing early.
+/// Guards the ledger: an outcome is kept for its span, through compactions and restarts, and no longer; at its limit
+/// messages are rejected and no entry is dropped early.
 #[test]
-fn the_ledger_remembers_for_its_time_and_refuses_at_its_limit() {
-    let (disk, options) = (SimDisk::new(), retaining(60_000, 1_000, 1_000));
+fn the_ledger_keeps_entries_for_its_span_and_rejects_at_its_limit() {
+    let (disk, options) = (SimDisk::new(), with_ledger(60_000, 1_000, 1_000));
     let mut journal = open(&disk, &options);
     let mut n = 0;
-    while journal.has_capacity(&taken(&format!("m{n:03}"), 0), 0) {
-        append(&mut journal, [Record::Accepted(n, taken(&format!("m{n:03}"), 0))]);
-        let end = remembered(&format!("m{n:03}"), u64::from(n));
+    while journal.has_capacity(&message(&format!("m{n:03}"), 0), 0) {
+        append(&mut journal, [Record::Accepted(n, message(&format!("m{n:03}"), 0))]);
+        let end = ledger_entry_record(&format!("m{n:03}"), u64::from(n));
         journal.append(u64::from(n), &mut vec![end, Record::Completed(n)]).unwrap();
         n += 1;
         assert!(n < 1_000);
     }
     assert!(n > 20, "{n}");
-    let mut other = taken("other", 0);
+    let mut other = message("other", 0);
     std::sync::Arc::make_mut(&mut other).class = "note".into();
-    assert!(journal.has_capacity(&other, 0), "what the ledger does not keep has room");
+    assert!(journal.has_capacity(&other, 0), "classes without ledger are still admitted");
     for m in 5_000..5_400 {
-        append(&mut journal, [Record::Accepted(m, other.clone()), begun(m, 0)]);
+        append(&mut journal, [Record::Accepted(m, other.clone()), started(m, 0)]);
         append(&mut journal, [Record::Completed(m)]);
         journal.compact_step(999).unwrap();
     }
@@ -505,45 +513,45 @@
     for m in 0..n {
         assert!(journal.ledger_entry(&format!("m{m:03}"), 999).is_some_and(|end| end.delivered), "{m}");
     }
-    assert!(journal.ledger_entry("m000", 1_000).is_none(), "its time is over");
-    assert!(!journal.has_capacity(&taken("next", 0), 0));
+    assert!(journal.ledger_entry("m000", 1_000).is_none(), "the entry has expired");
+    assert!(!journal.has_capacity(&message("next", 0), 0));
     journal.compact_step(1_000).unwrap();
-    assert!(journal.has_capacity(&taken("next", 0), 0), "room comes back with time");
+    assert!(journal.has_capacity(&message("next", 0), 0), "expired entries free capacity");
     assert!(journal.ledger_entry("m001", 1_000).is_some());
     let disk = SimDisk::new();
-    assert!(matches!(try_open(&disk, &retaining(1_000, 251, 1)), Err(OpenError::LedgerTooLarge)));
+    assert!(matches!(try_open(&disk, &with_ledger(1_000, 251, 1)), Err(OpenError::LedgerTooLarge)));
 }
 
-/// Guards against ends of messages that are live being without room in the ledger.
+/// Guards against a pending message whose outcome does not fit in the ledger.
 #[test]
-fn live_orders_have_their_ledger_entries_reserved() {
-    let (disk, options) = (SimDisk::new(), retaining(100_000, 300, 1_000));
+fn pending_messages_reserve_their_ledger_entries() {
+    let (disk, options) = (SimDisk::new(), with_ledger(100_000, 300, 1_000));
     let mut journal = open(&disk, &options);
     let mut n = 0;
-    while journal.has_capacity(&taken(&format!("m{n}"), 0), 0) {
-        append(&mut journal, [Record::Accepted(n, taken(&format!("m{n}"), 0))]);
+    while journal.has_capacity(&message(&format!("m{n}"), 0), 0) {
+        append(&mut journal, [Record::Accepted(n, message(&format!("m{n}"), 0))]);
         n += 1;
     }
     assert!((5..20).contains(&n), "{n}");
 }
 
-/// Guards against ages that are reckoned from a clock that was set back: the newest time is known after a restart.
+/// Guards against ages computed from a clock that was set back: the latest time is known after a restart.
 #[test]
-fn the_newest_time_outlasts_the_process() {
+fn the_latest_time_survives_a_restart() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
     let mut journal = open(&disk, &options);
-    journal.append(77, &mut vec![Record::Accepted(1, taken("a", 3))]).unwrap();
+    journal.append(77, &mut vec![Record::Accepted(1, message("a", 3))]).unwrap();
     journal.append(60, &mut vec![Record::Completed(1)]).unwrap();
     assert_eq!(journal.latest(), 77);
     assert_eq!(open(&disk, &options).latest(), 77);
 }
 
-/// A look from outside sees what the sender sees, and changes nothing.
+/// An inspection sees what the sender sees.
 #[test]
-fn a_look_from_outside_changes_nothing() {
+fn inspection_changes_nothing() {
     let (disk, options) = (SimDisk::new(), options(60_000));
     let mut journal = open(&disk, &options);
-    append(&mut journal, [Record::Accepted(0, taken("kept", 10)), begun(0, 0)]);
+    append(&mut journal, [Record::Accepted(0, message("kept", 10)), started(0, 0)]);
     churn(&mut journal, 1, 3);
     let operations = disk.operations();
     let seen = inspect(&mut disk.clone()).unwrap();
@@ -558,13 +566,13 @@
     assert_eq!(disk.operations(), operations);
 }
 
-/// Two processes on one folder: the second says so. On a real disk the same records come back.
+/// Of two processes on one folder the second fails. On a real disk the same records are restored.
 #[test]
 fn a_real_folder_is_locked_and_read_back() {
     let folder = tempfile::tempdir().unwrap();
     let options = options(1_000_000);
     let (mut journal, _) = Journal::open(folder.path(), options.clone(), 1).unwrap();
-    append(&mut journal, [Record::Accepted(0, taken("kept", 10)), begun(0, 0)]);
+    append(&mut journal, [Record::Accepted(0, message("kept", 10)), started(0, 0)]);
     churn(&mut journal, 1, 20);
     let second = Journal::open(folder.path(), options.clone(), 1);
     assert!(matches!(second, Err(OpenError::Locked)));
@@ -575,6 +583,6 @@
     );
     let live = journal.live().clone();
     drop(journal);
-    let (again, report) = Journal::open(folder.path(), options, 1).unwrap();
-    assert_eq!((again.live(), report), (&live, journal::OpenReport::default()));
+    let (reopened, report) = Journal::open(folder.path(), options, 1).unwrap();
+    assert_eq!((reopened.live(), report), (&live, journal::OpenReport::default()));
 }
