--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -217,22 +217,25 @@
     };
     HandoverState {
         stopped_at: START + 17,
-        names: [texts(&CLASSES), texts(&["plain", "apart", "bundled"]), texts(&["near", "far"])],
+        names: [texts(&CLASSES), texts(&["plain", "apart", "bundled"]), texts(&["near", "far"])].into(),
         policy: policy.into(),
         endpoints: vec![
             listed(1, Listing::Ready, false),
             listed(2, Listing::Draining, false),
             listed(3, Listing::Gone, true),
         ],
-        ids: vec![("endpoint-1".to_owned(), endpoint(1, 1)), ("past".to_owned(), endpoint(9, 1))],
+        ids: vec![
+            ("endpoint-1".to_owned(), endpoint(1, 1)).into(),
+            ("past".to_owned(), endpoint(9, 1)).into(),
+        ],
         ids_assigned: 9,
         index: 41,
-        messages: vec![("request-1".to_owned(), 7, 70), ("request-2".to_owned(), 8, 80)],
-        attempts: vec![(7, 2), (8, 1)],
+        messages: vec![("request-1".to_owned(), 7, 70).into(), ("request-2".to_owned(), 8, 80).into()],
+        attempts: vec![(7, 2).into(), (8, 1).into()],
         next_message: 9,
         requests: 81,
-        attempts_in_flight: vec![(MessageId(7), 1, endpoint(1, 1))],
-        waits: vec![("endpoint-2".to_owned(), START + SECOND)],
+        attempts_in_flight: vec![(MessageId(7), 1, endpoint(1, 1)).into()],
+        waits: vec![("endpoint-2".to_owned(), START + SECOND).into()],
         standby: Some(START + 5),
     }
 }
@@ -242,8 +245,8 @@
     let answers = [Answer::Accepted, Answer::Rejected(1_500), Answer::Failed, Answer::Delivered];
     let mut all = vec![
         ToPredecessor::RequestTakeover,
-        ToPredecessor::TookOver { understood: true },
-        ToPredecessor::TookOver { understood: false },
+        ToPredecessor::TakeoverCompleted { understood: true },
+        ToPredecessor::TakeoverCompleted { understood: false },
     ];
     all.extend(answers.into_iter().zip(1..).map(|(answer, number)| ToPredecessor::Answer(number, answer)));
     all.extend([
--- a/crates/handover/src/frame.rs
+++ b/crates/handover/src/frame.rs
@@ -1,64 +1,51 @@
-//! How a message is written: its length in four bytes, the most significant first, then MessagePack with the fields'
-//! names, so that another version reads what it has in common.
-
-use std::fmt;
+//! The framing of messages between the two processes.
+//!
+//! A frame is the length of its body as a big-endian `u32`, followed by the body: MessagePack with field names, so that
+//! another version reads the fields that both know.
 
 use serde::{Deserialize, Serialize};
 
-/// A frame has at most so many bytes; how many a state takes at large size was not measured.
-pub const LIMIT: usize = 256 << 20;
+/// Longest body of a frame in bytes.
+pub const MAX_BODY_LENGTH: usize = 256 << 20;
 
-/// Why there is no message.
-#[derive(Debug)]
+/// Why a message can't be encoded or decoded.
+#[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It would be longer than [`LIMIT`]: the process goes on without handing over.
+    /// The body is longer than [`MAX_BODY_LENGTH`]. The process goes on without handing over.
+    #[error("a frame of {0} bytes, where {MAX_BODY_LENGTH} are the most")]
     TooLong(usize),
-    /// It can't be written.
-    Write(rmp_serde::encode::Error),
-    /// It can't be read: the other process is another version.
-    Read(rmp_serde::decode::Error),
-}
-
-impl fmt::Display for Error {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Self::TooLong(length) => write!(f, "a frame of {length} bytes, where {LIMIT} are the most"),
-            Self::Write(e) => write!(f, "a message can't be written: {e}"),
-            Self::Read(e) => write!(f, "what the other process says can't be read: {e}"),
-        }
-    }
+    /// The message can't be encoded.
+    #[error("a message can't be written: {0}")]
+    Write(#[source] rmp_serde::encode::Error),
+    /// The body can't be decoded: the other process is of another version.
+    #[error("what the other process says can't be read: {0}")]
+    Read(#[source] rmp_serde::decode::Error),
 }
 
-impl std::error::Error for Error {}
-
-/// The frame of a message.
+/// Encodes a message as a frame.
 ///
 /// # Errors
-/// Fails when it would be too long.
+/// Fails when the body would be too long.
 pub fn write<T: Serialize>(message: &T) -> Result<Vec<u8>, Error> {
     let body = rmp_serde::to_vec_named(message).map_err(Error::Write)?;
-    let length = length(body.len())?;
+    let length = u32::try_from(body.len()).ok().filter(|_| body.len() <= MAX_BODY_LENGTH);
+    let length = length.ok_or(Error::TooLong(body.len()))?;
     Ok([&length.to_be_bytes()[..], &body].concat())
 }
 
-/// The length of the body that follows.
+/// The length of the body that follows the first four bytes of a frame.
 ///
 /// # Errors
-/// Fails when it is beyond the limit: what speaks there is no sender.
-pub fn body_length(head: [u8; 4]) -> Result<usize, Error> {
-    let told = u32::from_be_bytes(head) as usize;
-    length(told).map(|_| told)
-}
-
-fn length(bytes: usize) -> Result<u32, Error> {
-    let fits = u32::try_from(bytes).ok().filter(|_| bytes <= LIMIT);
-    fits.ok_or(Error::TooLong(bytes))
+/// Fails when the body is too long: the other side is not a sender.
+pub fn body_length(prefix: [u8; 4]) -> Result<usize, Error> {
+    let length = u32::from_be_bytes(prefix) as usize;
+    if length <= MAX_BODY_LENGTH { Ok(length) } else { Err(Error::TooLong(length)) }
 }
 
-/// The message of a body.
+/// Decodes the body of a frame.
 ///
 /// # Errors
-/// Fails when it is none that this version knows.
+/// Fails when it is no message that this version knows.
 pub fn read<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Error> {
     rmp_serde::from_slice(body).map_err(Error::Read)
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,137 +1,143 @@
-//! How a running sender hands over to the process that is started beside it, while clients write and calls are out.
+//! The protocol by which a running sender hands over to its successor, while clients submit messages and attempts are in
+//! flight.
 //!
-//! One process decides at any time. The old one stops between two turns, gives up the journal and tells its [`State`];
-//! the new one takes up both and decides from then on. What the old one still holds, clients' connections and calls
-//! that are out, it carries to their ends on the new one's behalf: what clients hand in and how calls end goes over
-//! ([`ToNew`]), answers come back ([`ToOld`]). No call is broken off, and none is out twice.
+//! One process decides at any time. The predecessor stops between two event loop iterations, releases the journal and
+//! sends its [`HandoverState`]; the successor takes both and decides from then on. The predecessor drains its clients'
+//! connections and its attempts in flight on the successor's behalf: it forwards submissions and completed attempts
+//! ([`ToSuccessor`]) and receives answers ([`ToPredecessor`]). No call is broken off, and no message has two attempts in
+//! flight.
 //!
-//! No I/O and no clock here: [`frame`] says how a message is written, [`step`] what each side does next.
+//! The crate has no I/O and no clock. [`frame`] encodes messages, and [`step`] says what each side does next.
+//! `docs/handover.md` explains the design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod frame;
-mod outs;
+mod outstanding;
 mod state;
 pub mod step;
 
-pub use outs::OutstandingAttempts;
-pub use state::{HandoverEndpoint, HandoverState};
+pub use outstanding::OutstandingAttempts;
+pub use state::{
+    AttemptCount, AttemptInFlight, EndpointName, HandoverEndpoint, HandoverState, PendingRequest,
+    RetryAfterDeadline, SettingsNames,
+};
 
 use decision::interface::{EndpointId, MessageId, Micros, Outcome};
 use journal::AcceptedMessage;
 use serde::{Deserialize, Serialize};
 
-/// What the new process says to the old one.
+/// A message from the successor to its predecessor. Variants and fields are encoded by name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToPredecessor {
-    /// It is there, and asks to take over.
+    /// Requests the hand-over.
     #[serde(rename = "Ask")]
     RequestTakeover,
-    /// It has the journal and decides from now on.
+    /// The successor has the journal and decides from now on.
     #[serde(rename = "Took")]
-    TookOver {
-        /// It goes on with the state. If not it begins as after a kill, and the old process calls off all that is out
-        /// before it says [`ToNew::Silent`].
+    TakeoverCompleted {
+        /// Whether the successor continues from the state. If not, it starts as after a kill, and the predecessor cancels
+        /// all outstanding attempts before it sends [`ToSuccessor::Drained`].
         understood: bool,
     },
-    /// The answer to a message that was handed in under that number.
+    /// The answer to the [`ToSuccessor::Submitted`] of this number.
     Answer(u64, Answer),
-    /// What on-call staff are told who asked under that number: status and text.
+    /// The answer to the [`ToSuccessor::AdminRequest`] of this number: status and text.
     #[serde(rename = "Told")]
     AdminResponse(u64, u16, String),
-    /// Call an attempt off.
+    /// Cancels this attempt of a message.
     Cancel(MessageId, u16),
 }
 
-/// What the old process says to the new one.
+/// A message from the predecessor to its successor. Variants and fields are encoded by name.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToSuccessor {
-    /// All that it knows. It decides nothing more unless the new one fails.
+    /// The predecessor's state. It decides nothing more unless the successor fails.
     State(Box<HandoverState>),
-    /// Nothing of its is out any more.
+    /// No attempt of the predecessor is outstanding any more.
     #[serde(rename = "Silent")]
     Drained,
-    /// A client hands a message in.
+    /// A client submits a message.
     #[serde(rename = "HandedIn")]
     Submitted {
-        /// Under which the answer is awaited.
+        /// Identifies the answer.
         number: u64,
         /// The message.
         #[serde(rename = "taken")]
         message: AcceptedMessage,
-        /// The client's request.
+        /// The number of the client's request.
         request: u64,
     },
-    /// A client closed before that request of its was answered.
+    /// A client closed its connection before the request was answered.
     Withdrawn {
         /// The message's `Req-Id`.
         id: String,
-        /// The client's request.
+        /// The number of the client's request.
         request: u64,
-        /// Where it was to go; 0 where another version does not say.
+        /// The message's destination; 0 where the predecessor's version does not state it.
         #[serde(default)]
         destination: u16,
     },
-    /// Attempts ended that travelled as one call.
+    /// All attempts that were sent as one call completed.
     #[serde(rename = "CallOver")]
     CallCompleted(Vec<AttemptCompleted>),
-    /// An endpoint told a wait.
+    /// An endpoint answered with Retry-After.
     #[serde(rename = "Wait")]
     RetryAfter(EndpointId, Micros),
-    /// A connection that was kept carried a further call, or broke under it.
+    /// A cached connection carried a further call, or failed under it.
     #[serde(rename = "Kept")]
     ConnectionReused {
-        /// It broke.
+        /// Whether it failed.
         lost: bool,
     },
-    /// On-call staff ask for something: the request line's method, path and query.
+    /// On-call staff sent a request.
     #[serde(rename = "Ops")]
     AdminRequest {
-        /// Under which the answer is awaited.
+        /// Identifies the answer.
         number: u64,
-        /// What is asked.
+        /// The request.
         call: admin::call::AdminRequest,
     },
 }
 
-/// How one attempt ended.
+/// The result of one attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AttemptCompleted {
     /// The message.
     pub message: MessageId,
     /// The attempt's number.
     pub attempt: u16,
-    /// Where it went.
+    /// Where it was sent.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The result.
     pub outcome: Outcome,
-    /// The endpoint knows the message to be over.
+    /// Whether the endpoint reported the message as completed.
     #[serde(rename = "gone")]
     pub message_completed: bool,
-    /// Since the call began.
+    /// Duration of the call.
     pub took: Micros,
-    /// The load report, if one came.
+    /// The load report; empty where there was none.
     pub report: Vec<f32>,
 }
 
 impl AttemptCompleted {
-    /// The end of an attempt of which nothing was sent.
+    /// The result of an attempt of which no byte was sent.
     pub fn unsent(message: MessageId, attempt: u16, endpoint: EndpointId, outcome: Outcome) -> Self {
         Self { message, attempt, endpoint, outcome, message_completed: false, took: 0, report: vec![] }
     }
 }
 
-/// What a client hears.
+/// The answer to a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// The sender owes the message its end.
+    /// The message was accepted: the sender owes it an outcome.
     #[serde(rename = "Taken")]
     Accepted,
-    /// Handing it in again is harmless, best after so many microseconds.
+    /// The message was not accepted. Submitting it again is safe, best after this many microseconds.
     #[serde(rename = "Refused")]
     Rejected(Micros),
-    /// Failed.
+    /// The message failed when it was submitted before.
     Failed,
-    /// It was delivered when it was handed in before.
+    /// The message was delivered when it was submitted before.
     Delivered,
 }
--- a/crates/handover/src/state.rs
+++ b/crates/handover/src/state.rs
@@ -1,66 +1,170 @@
-//! What the old process knows when it stops deciding.
+//! The state that a predecessor hands to its successor.
+//!
+//! Fields are encoded by name: a renamed one keeps its encoded name, and one that is added needs a default. The structs
+//! of list entries are encoded as tuples.
 
 use bytes::Bytes;
 use decision::interface::{EndpointId, Listing, MessageId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// All that the journal does not hold.
+/// The predecessor's state as of when it stopped deciding, without what the journal holds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// When it stopped, on its clock.
+    /// When the predecessor stopped deciding, on its clock.
     #[serde(rename = "at")]
     pub stopped_at: Micros,
-    /// Names of the settings' classes, kinds and zones: under others the rest means nothing.
-    pub names: [Vec<String>; 3],
-    /// The decision module's state.
+    /// Names that the settings give to positions. With other names the rest can't be understood.
+    pub names: SettingsNames,
+    /// The encoded state of the decision module.
     pub policy: Bytes,
-    /// Endpoints that the list has, and those that are gone and not forgotten.
+    /// Endpoints that are listed, and those that no longer are and may still be referred to.
     pub endpoints: Vec<HandoverEndpoint>,
-    /// The ids of names, those that attempts alone refer to among them, and how many ids were given out.
-    pub ids: Vec<(String, EndpointId)>,
-    /// How many ids were given out.
+    /// The ids of all endpoint names, those that only attempts refer to included.
+    pub ids: Vec<EndpointName>,
+    /// How many endpoint ids were ever assigned.
     #[serde(rename = "given")]
     pub ids_assigned: u64,
-    /// The list's version.
+    /// Version of the endpoint list.
     pub index: u64,
-    /// By their `Req-Id`: messages that are held, and the requests by which they came.
+    /// The pending messages.
     #[serde(rename = "held")]
-    pub messages: Vec<(String, u32, u64)>,
-    /// Attempts begun for each message that is held, those that were not sent among them.
-    pub attempts: Vec<(u32, u16)>,
+    pub messages: Vec<PendingRequest>,
+    /// How many attempts of each pending message were started, unsent ones included.
+    pub attempts: Vec<AttemptCount>,
     /// The number of the next message.
     pub next_message: u32,
-    /// Requests so far. The next process's begin far beyond.
+    /// How many requests clients have made. The successor numbers its own far beyond that.
     pub requests: u64,
-    /// Attempts that are out.
+    /// Attempts that are in flight.
     #[serde(rename = "out")]
-    pub attempts_in_flight: Vec<(MessageId, u16, EndpointId)>,
-    /// Endpoints of destinations that told a wait, by name, and until when: for a process that can't read the rest.
-    pub waits: Vec<(String, Micros)>,
+    pub attempts_in_flight: Vec<AttemptInFlight>,
+    /// Active Retry-After deadlines, for a successor that can't read the rest.
+    pub waits: Vec<RetryAfterDeadline>,
     /// Since when clients are sent away, if they are.
     pub standby: Option<Micros>,
 }
 
-/// An endpoint.
+/// Names of the settings' classes, kinds and zones, in the settings' order. Encoded as an array of three arrays.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "[Vec<String>; 3]", into = "[Vec<String>; 3]")]
+pub struct SettingsNames {
+    /// Names of message classes.
+    pub classes: Vec<String>,
+    /// Names of endpoint kinds.
+    pub kinds: Vec<String>,
+    /// Names of zones.
+    pub zones: Vec<String>,
+}
+
+impl From<[Vec<String>; 3]> for SettingsNames {
+    fn from([classes, kinds, zones]: [Vec<String>; 3]) -> Self {
+        Self { classes, kinds, zones }
+    }
+}
+
+impl From<SettingsNames> for [Vec<String>; 3] {
+    fn from(names: SettingsNames) -> Self {
+        [names.classes, names.kinds, names.zones]
+    }
+}
+
+/// The id that an endpoint's name has. Encoded as a tuple.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, EndpointId)", into = "(String, EndpointId)")]
+pub struct EndpointName {
+    /// The name in the endpoint list.
+    pub name: String,
+    /// The id.
+    pub id: EndpointId,
+}
+
+/// A pending message, and the client's request that submitted it. Encoded as a tuple.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, u32, u64)", into = "(String, u32, u64)")]
+pub struct PendingRequest {
+    /// The message's `Req-Id`.
+    pub id: String,
+    /// The message's number.
+    pub message: u32,
+    /// The number of the client's request.
+    pub request: u64,
+}
+
+/// How many attempts of a pending message were started. Encoded as a tuple.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u32, u16)", into = "(u32, u16)")]
+pub struct AttemptCount {
+    /// The message's number.
+    pub message: u32,
+    /// The number of attempts.
+    pub started: u16,
+}
+
+/// An attempt that is in flight. Encoded as a tuple.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(MessageId, u16, EndpointId)", into = "(MessageId, u16, EndpointId)")]
+pub struct AttemptInFlight {
+    /// The message.
+    pub message: MessageId,
+    /// The attempt's number.
+    pub attempt: u16,
+    /// Where it was sent.
+    pub endpoint: EndpointId,
+}
+
+/// A time before which an endpoint's destination must not be called. Encoded as a tuple.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, Micros)", into = "(String, Micros)")]
+pub struct RetryAfterDeadline {
+    /// The endpoint's name.
+    pub endpoint: String,
+    /// The time, on the predecessor's clock.
+    pub until: Micros,
+}
+
+/// Converts between a struct and the tuple as which it is encoded.
+macro_rules! tuple_encoding {
+    ($type:ident { $($field:ident: $kind:ty),+ }) => {
+        impl From<($($kind),+)> for $type {
+            fn from(($($field),+): ($($kind),+)) -> Self {
+                Self { $($field),+ }
+            }
+        }
+
+        impl From<$type> for ($($kind),+) {
+            fn from(value: $type) -> Self {
+                ($(value.$field),+)
+            }
+        }
+    };
+}
+
+tuple_encoding!(EndpointName { name: String, id: EndpointId });
+tuple_encoding!(PendingRequest { id: String, message: u32, request: u64 });
+tuple_encoding!(AttemptCount { message: u32, started: u16 });
+tuple_encoding!(AttemptInFlight { message: MessageId, attempt: u16, endpoint: EndpointId });
+tuple_encoding!(RetryAfterDeadline { endpoint: String, until: Micros });
+
+/// An endpoint as the predecessor knows it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HandoverEndpoint {
     /// Its id.
     pub id: EndpointId,
-    /// Its name in the list.
+    /// Its name in the endpoint list.
     pub name: String,
-    /// Where it is dialled, as far as that could be read.
+    /// Its address, where the predecessor could read it.
     pub address: Option<String>,
-    /// Its zone's position in the settings.
+    /// The position of its zone in the settings.
     pub zone: u16,
-    /// Its kind's position in the settings.
+    /// The position of its kind in the settings.
     pub kind: Option<u16>,
     /// Its destination.
     pub group: u16,
-    /// What the list says of it.
+    /// Its state in the list.
     pub listing: Listing,
     /// Its weight.
     pub weight: f64,
-    /// No list names it any more.
+    /// Whether the list no longer names it.
     #[serde(rename = "gone")]
     pub unlisted: bool,
 }
--- a/crates/handover/src/step.rs
+++ b/crates/handover/src/step.rs
@@ -1,73 +1,77 @@
-//! What each side does next.
+//! What each of the two processes does next.
+//!
+//! Whichever process holds the journal's lock decides on messages; every step follows from that.
 
 use decision::interface::Micros;
 
-/// A process that starts begins to ask no later than that, and waits so long for the journal of one that says nothing.
-/// Guards against one that is asked for ever and never hands over.
-pub const WAIT: Micros = 5_000_000;
-/// The old process waits so long for the new one to take over.
-pub const TAKE_WITHIN: Micros = 2_000_000;
-/// From SIGTERM until an old process that has handed over breaks off what is still out: it may be killed soon after.
-pub const CARRY: Micros = 3_500_000;
+/// A starting process requests the hand-over within this time, and waits as long for the journal of a process that does
+/// not respond. Guards against a successor that retries for ever.
+pub const STARTUP_TIMEOUT: Micros = 5_000_000;
+/// The predecessor waits this long for its successor to complete the takeover.
+pub const TAKEOVER_TIMEOUT: Micros = 2_000_000;
+/// Time from SIGTERM until a predecessor that has handed over abandons its outstanding attempts: it may be killed soon
+/// after.
+pub const DRAIN_TIMEOUT: Micros = 3_500_000;
 
-/// What a process that starts finds.
+/// The process that holds the journal's lock, as a starting process finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
-    /// Nobody else writes the journal.
-    Free,
-    /// Another process does, and listens for who takes over.
-    Running,
-    /// Another process does, and can't be asked: it ends, or is an older version's.
-    Mute,
+pub enum JournalOwner {
+    /// No other process.
+    None,
+    /// Another process, which listens for a successor.
+    Responsive,
+    /// Another process, which can't be reached: it is about to exit, or is of an older version.
+    Unresponsive,
 }
 
-/// What a process that starts does.
+/// What a starting process does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Start {
-    /// Begin with the journal alone.
-    Alone,
-    /// Ask to take over.
-    Ask,
-    /// Look again.
-    Wait,
-    /// Another sender has the folder: end, and say so.
-    GiveUp,
+pub enum StartupStep {
+    /// Start from the journal alone.
+    Start,
+    /// Request the hand-over.
+    RequestTakeover,
+    /// Check again after a pause.
+    Retry,
+    /// Exit with an error: another sender has the folder.
+    Fail,
 }
 
-/// The step of a process that has been starting for so long. Where the platform starts no second process beside the
-/// first, another one on the same folder is an error at once.
-pub fn start(found: Found, beside: bool, waited: Micros) -> Start {
-    match found {
-        Found::Free => Start::Alone,
-        Found::Running if beside && waited < WAIT => Start::Ask,
-        Found::Mute if beside && waited < WAIT => Start::Wait,
-        Found::Running | Found::Mute => Start::GiveUp,
+/// The step of a process that has been starting for `waited`. `concurrent` says whether the platform starts a successor
+/// while its predecessor runs; where it does not, another process on the same folder is an error at once.
+pub fn startup_step(owner: JournalOwner, concurrent: bool, waited: Micros) -> StartupStep {
+    match owner {
+        JournalOwner::None => StartupStep::Start,
+        JournalOwner::Responsive if concurrent && waited < STARTUP_TIMEOUT => StartupStep::RequestTakeover,
+        JournalOwner::Unresponsive if concurrent && waited < STARTUP_TIMEOUT => StartupStep::Retry,
+        JournalOwner::Responsive | JournalOwner::Unresponsive => StartupStep::Fail,
     }
 }
 
-/// What the old process does once it has told its state.
+/// What the predecessor does once it has sent its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum After {
-    /// Carry what is still its own to the end, on the new one's behalf.
-    Carry,
-    /// Take the journal again and go on.
-    GoOn,
-    /// Another process has the journal and can't be reached: guards against two that decide. End; what is out may
-    /// have run, as the journal has it.
-    End,
+pub enum PredecessorStep {
+    /// Carry its connections and outstanding attempts to their end on behalf of the successor.
+    Drain,
+    /// Take the journal again and go on deciding.
+    Resume,
+    /// Exit: another process has the journal and can't be reached. Guards against two processes that decide. Outstanding
+    /// attempts may have run, as the journal records them.
+    Exit,
 }
 
-/// The step of the old process. `took`: the new one said that it has the journal. Guards against both deciding, or
-/// neither: only who holds the journal's lock decides.
-pub fn after(took: bool, journal_free: bool) -> After {
-    match (took, journal_free) {
-        (true, _) => After::Carry,
-        (false, true) => After::GoOn,
-        (false, false) => After::End,
+/// The predecessor's step after it has sent its state. `taken_over` says whether the successor confirmed that it has the
+/// journal, `journal_free` whether the predecessor could lock it again. Guards against both deciding, or neither.
+pub fn predecessor_step(taken_over: bool, journal_free: bool) -> PredecessorStep {
+    match (taken_over, journal_free) {
+        (true, _) => PredecessorStep::Drain,
+        (false, true) => PredecessorStep::Resume,
+        (false, false) => PredecessorStep::Exit,
     }
 }
 
-/// Whether an old process that has handed over ends: it has nothing left to carry, or no more time.
-pub fn may_end(out: usize, clients: usize, stopping_since: Option<Micros>, now: Micros) -> bool {
-    (out == 0 && clients == 0) || stopping_since.is_some_and(|since| now >= since + CARRY)
+/// Whether a predecessor that has handed over exits: it has nothing left to drain, or no more time.
+pub fn may_exit(outstanding: usize, clients: usize, stopping_since: Option<Micros>, now: Micros) -> bool {
+    let drained = outstanding == 0 && clients == 0;
+    drained || stopping_since.is_some_and(|since| now >= since + DRAIN_TIMEOUT)
 }
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -1,67 +1,76 @@
-//! The package's steps and messages, without processes round them.
+//! The protocol's steps and messages, without processes.
 
 use decision::interface::{EndpointId, MessageId, Outcome};
-use handover::step::{After, CARRY, Found, Start, WAIT, after, may_end, start};
-use handover::{Answer, AttemptCompleted, OutstandingAttempts, ToPredecessor, ToSuccessor, frame};
+use handover::step::{
+    DRAIN_TIMEOUT, JournalOwner, PredecessorStep, STARTUP_TIMEOUT, StartupStep, may_exit, predecessor_step,
+    startup_step,
+};
+use handover::{
+    Answer, AttemptCompleted, AttemptInFlight, OutstandingAttempts, ToPredecessor, ToSuccessor, frame,
+};
 use proptest::prelude::*;
 
-const HERE: EndpointId = EndpointId([0, 0, 0, 0, 0, 1]);
+const ENDPOINT: EndpointId = EndpointId([0, 0, 0, 0, 0, 1]);
 
-fn over(message: u32, attempt: u16) -> AttemptCompleted {
-    AttemptCompleted::unsent(MessageId(message), attempt, HERE, Outcome::Delivered)
+fn delivered(message: u32, attempt: u16) -> AttemptCompleted {
+    AttemptCompleted::unsent(MessageId(message), attempt, ENDPOINT, Outcome::Delivered)
 }
 
 #[test]
-fn a_second_sender_where_none_is_meant_to_be_gives_up_at_once() {
-    for (found, beside, waited, expected) in [
-        (Found::Free, false, 0, Start::Alone),
-        (Found::Free, true, WAIT, Start::Alone),
-        (Found::Running, true, WAIT - 1, Start::Ask),
-        (Found::Running, true, WAIT, Start::GiveUp),
-        (Found::Running, false, 0, Start::GiveUp),
-        (Found::Mute, false, 0, Start::GiveUp),
-        (Found::Mute, true, WAIT - 1, Start::Wait),
-        (Found::Mute, true, WAIT, Start::GiveUp),
+fn a_starting_process_fails_where_no_predecessor_is_expected() {
+    for (owner, concurrent, waited, expected) in [
+        (JournalOwner::None, false, 0, StartupStep::Start),
+        (JournalOwner::None, true, STARTUP_TIMEOUT, StartupStep::Start),
+        (JournalOwner::Responsive, true, STARTUP_TIMEOUT - 1, StartupStep::RequestTakeover),
+        (JournalOwner::Responsive, true, STARTUP_TIMEOUT, StartupStep::Fail),
+        (JournalOwner::Responsive, false, 0, StartupStep::Fail),
+        (JournalOwner::Unresponsive, false, 0, StartupStep::Fail),
+        (JournalOwner::Unresponsive, true, STARTUP_TIMEOUT - 1, StartupStep::Retry),
+        (JournalOwner::Unresponsive, true, STARTUP_TIMEOUT, StartupStep::Fail),
     ] {
-        assert_eq!(start(found, beside, waited), expected, "{found:?} {beside} {waited}");
+        assert_eq!(startup_step(owner, concurrent, waited), expected, "{owner:?} {concurrent} {waited}");
     }
 }
 
-/// Guards against two that decide, and against none.
+/// Guards against two processes that decide, and against none.
 #[test]
-fn who_holds_the_journal_decides() {
-    assert_eq!(after(true, false), After::Carry);
-    assert_eq!(after(true, true), After::Carry);
-    assert_eq!(after(false, true), After::GoOn);
-    assert_eq!(after(false, false), After::End);
+fn the_process_with_the_journal_decides() {
+    assert_eq!(predecessor_step(true, false), PredecessorStep::Drain);
+    assert_eq!(predecessor_step(true, true), PredecessorStep::Drain);
+    assert_eq!(predecessor_step(false, true), PredecessorStep::Resume);
+    assert_eq!(predecessor_step(false, false), PredecessorStep::Exit);
 }
 
 #[test]
-fn an_old_process_ends_when_it_has_nothing_left_or_no_more_time() {
-    assert!(may_end(0, 0, None, 0));
-    assert!(!may_end(1, 0, None, u64::MAX) && !may_end(0, 1, None, u64::MAX));
-    assert!(!may_end(1, 1, Some(7), 7 + CARRY - 1) && may_end(1, 1, Some(7), 7 + CARRY));
+fn a_predecessor_exits_once_drained_or_out_of_time() {
+    assert!(may_exit(0, 0, None, 0));
+    assert!(!may_exit(1, 0, None, u64::MAX) && !may_exit(0, 1, None, u64::MAX));
+    assert!(!may_exit(1, 1, Some(7), 7 + DRAIN_TIMEOUT - 1) && may_exit(1, 1, Some(7), 7 + DRAIN_TIMEOUT));
 }
 
 #[test]
-fn each_attempt_that_was_out_ends_once() {
-    let mut outs =
-        OutstandingAttempts::new([(MessageId(1), 0, HERE), (MessageId(2), 3, HERE), (MessageId(3), 0, HERE)]);
-    assert!(outs.contains(MessageId(2), 3) && !outs.contains(MessageId(2), 2));
-    assert_eq!(outs.ended(vec![over(1, 0), over(9, 0), over(1, 0)]), [over(1, 0)]);
-    assert_eq!(outs.ended(vec![over(1, 0)]), []);
-    let lost = outs.lost(5);
-    let seen: Vec<_> = lost.iter().map(|o| (o.message.0, o.attempt, o.outcome, o.took)).collect();
+fn each_outstanding_attempt_completes_once() {
+    let in_flight =
+        |message, attempt| AttemptInFlight { message: MessageId(message), attempt, endpoint: ENDPOINT };
+    let mut outstanding = OutstandingAttempts::new([in_flight(1, 0), in_flight(2, 3), in_flight(3, 0)]);
+    assert!(outstanding.contains(MessageId(2), 3) && !outstanding.contains(MessageId(2), 2));
+    assert_eq!(
+        outstanding.complete(vec![delivered(1, 0), delivered(9, 0), delivered(1, 0)]),
+        [delivered(1, 0)]
+    );
+    assert_eq!(outstanding.complete(vec![delivered(1, 0)]), []);
+    let reset = outstanding.reset_all(5);
+    let seen: Vec<_> = reset.iter().map(|a| (a.message.0, a.attempt, a.outcome, a.took)).collect();
     assert_eq!(seen, [(2, 3, Outcome::Reset, 5), (3, 0, Outcome::Reset, 5)]);
-    assert!(outs.is_empty() && outs.lost(6).is_empty());
+    assert!(outstanding.is_empty() && outstanding.reset_all(6).is_empty());
 }
 
 #[test]
-fn what_is_said_is_read_back() {
+fn messages_round_trip() {
     for message in [
         ToSuccessor::Drained,
-        ToSuccessor::CallCompleted(vec![over(1, 2)]),
-        ToSuccessor::RetryAfter(HERE, 5),
+        ToSuccessor::CallCompleted(vec![delivered(1, 2)]),
+        ToSuccessor::RetryAfter(ENDPOINT, 5),
         ToSuccessor::ConnectionReused { lost: true },
         ToSuccessor::AdminRequest { number: 1, call: admin::call::AdminRequest::Eject("e".into()) },
     ] {
@@ -72,13 +81,13 @@
     }
     let answer = ToPredecessor::Answer(7, Answer::Rejected(1_000));
     assert_eq!(frame::read::<ToPredecessor>(&frame::write(&answer).unwrap()[4..]).unwrap(), answer);
-    assert!(frame::body_length([0xff; 4]).is_err(), "no sender says so much");
+    assert!(frame::body_length([0xff; 4]).is_err(), "no sender writes a frame of this length");
 }
 
 proptest! {
-    /// Whatever comes, it is a message or it is told.
+    /// Any bytes are a message or an error.
     #[test]
-    fn anything_can_come(body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_body_can_be_read(body in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(message) = frame::read::<ToSuccessor>(&body) {
             prop_assert!(frame::write(&message).is_ok());
         }
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -366,7 +366,10 @@
                     let left = match (driver.member, driver.journal) {
                         (Some(member), Store::Part(mut part)) => {
                             part.close();
-                            let elsewhere = Rc::new(member.elsewhere(&state.attempts_in_flight, &state.ids));
+                            let out: Vec<_> =
+                                state.attempts_in_flight.iter().copied().map(Into::into).collect();
+                            let ids: Vec<_> = state.ids.iter().cloned().map(Into::into).collect();
+                            let elsewhere = Rc::new(member.elsewhere(&out, &ids));
                             Some(Box::new(Left { member, part, elsewhere }))
                         }
                         _ => None,
--- a/crates/sender/src/driver/begin.rs
+++ b/crates/sender/src/driver/begin.rs
@@ -4,7 +4,7 @@
 
 use admin::door::AdmissionGate;
 use decision::interface::*;
-use handover::HandoverState;
+use handover::{AttemptInFlight, HandoverState, RetryAfterDeadline};
 use health_snapshot::belief::{LIST_GOOD_FOR, RestoredState};
 use journal::{Abandonment, PendingMessage, Record};
 
@@ -28,21 +28,20 @@
             attempts_in_flight: out,
             ..
         } = state;
-        self.directory.restore(endpoints, ids, given);
+        self.directory.restore(endpoints, ids.into_iter().map(Into::into).collect(), given);
         (self.index, self.next_message) = (index, next_message);
         if let Store::Part(part) = &mut self.journal {
             part.number_from(next_message);
         }
-        for (message, attempt, endpoint) in out {
+        for AttemptInFlight { message, attempt, endpoint } in out {
             if let (Some(member), Some(destination)) =
                 (&mut self.member, self.directory.destination(endpoint))
             {
                 member.began_before((message.0, attempt), destination, endpoint);
             }
         }
-        self.attempts = attempts.into_iter().collect();
-        let requests: HashMap<u32, u64> =
-            held.iter().map(|(_, number, request)| (*number, *request)).collect();
+        self.attempts = attempts.into_iter().map(Into::into).collect();
+        let requests: HashMap<u32, u64> = held.iter().map(|held| (held.message, held.request)).collect();
         let mut kept = BTreeSet::new();
         for (number, live) in self.journal.live().iter() {
             let request = requests.get(number).copied().unwrap_or(0);
@@ -76,7 +75,7 @@
     /// All that the journal does not hold.
     pub(super) fn state(&self, requests: u64) -> Result<HandoverState, String> {
         let (endpoints, ids, given) = self.directory.save();
-        let held = self.held.iter().map(|(id, (number, request))| (id.clone(), *number, *request));
+        let held = self.held.iter().map(|(id, (number, request))| (id.clone(), *number, *request).into());
         let waits = self.policy.waits().into_iter();
         let (next_message, out) = match &self.journal {
             Store::Whole(_) => {
@@ -97,18 +96,23 @@
         };
         Ok(HandoverState {
             stopped_at: self.clock.now(),
-            names: self.directory.names(),
+            names: self.directory.names().into(),
             policy: self.policy.state().map_err(|e| e.to_string())?.into(),
             endpoints,
-            ids,
+            ids: ids.into_iter().map(Into::into).collect(),
             ids_assigned: given,
             index: self.index,
             messages: held.collect(),
-            attempts: self.attempts.iter().map(|(number, count)| (*number, *count)).collect(),
+            attempts: self.attempts.iter().map(|(number, count)| (*number, *count).into()).collect(),
             next_message,
             requests,
-            attempts_in_flight: out,
-            waits: waits.map(|(id, until)| (self.directory.name(id).to_string(), until)).collect(),
+            attempts_in_flight: out.into_iter().map(Into::into).collect(),
+            waits: waits
+                .map(|(id, until)| RetryAfterDeadline {
+                    endpoint: self.directory.name(id).to_string(),
+                    until,
+                })
+                .collect(),
             standby,
         })
     }
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -90,7 +90,7 @@
 /// # Errors
 /// Fails when the other process breaks off.
 pub async fn took(link: &mut Link, understood: bool) -> Result<(), String> {
-    link.send(&ToPredecessor::TookOver { understood }).await?;
+    link.send(&ToPredecessor::TakeoverCompleted { understood }).await?;
     if understood {
         return Ok(());
     }
@@ -106,8 +106,8 @@
 /// Fails when it did not take over, as far as is known.
 pub async fn offer(mut link: Link, state: &HandoverState) -> Result<(Link, bool), String> {
     link.send(&ToSuccessor::State(Box::new(state.clone()))).await?;
-    match timeout(Duration::from_micros(step::TAKE_WITHIN), link.receive()).await {
-        Ok(Ok(ToPredecessor::TookOver { understood })) => Ok((link, understood)),
+    match timeout(Duration::from_micros(step::TAKEOVER_TIMEOUT), link.receive()).await {
+        Ok(Ok(ToPredecessor::TakeoverCompleted { understood })) => Ok((link, understood)),
         Ok(Ok(other)) => Err(format!("it says {other:?}")),
         Ok(Err(e)) => Err(e),
         Err(_) => Err("it says nothing".to_owned()),
@@ -230,11 +230,11 @@
                     }
                 }
                 Some(ToPredecessor::Cancel(message, attempt)) => carried.cancel(message, attempt),
-                Some(ToPredecessor::RequestTakeover | ToPredecessor::TookOver { .. }) => {}
+                Some(ToPredecessor::RequestTakeover | ToPredecessor::TakeoverCompleted { .. }) => {}
                 None => return Err("the process that took over is gone".to_owned()),
             },
             _ = look.tick() => {
-                if events.is_empty() && step::may_end(carried.out(), carried.clients(), stopping, clock.now()) {
+                if events.is_empty() && step::may_exit(carried.out(), carried.clients(), stopping, clock.now()) {
                     drop(say);
                     let _ = writing.await;
                     return Ok(());
@@ -269,7 +269,7 @@
     ) -> Rc<Self> {
         let (say, mut heard, _) = link.split::<ToPredecessor, ToSuccessor>();
         let before = Rc::new(Self {
-            outs: RefCell::new(OutstandingAttempts::new(out)),
+            outs: RefCell::new(OutstandingAttempts::new(out.into_iter().map(Into::into))),
             say: say.clone(),
             there: Cell::new(true),
         });
@@ -279,7 +279,7 @@
                 followed.heard(message, &class, &inbound);
             }
             followed.there.set(false);
-            let lost = followed.outs.borrow_mut().lost(clock.now().saturating_sub(began));
+            let lost = followed.outs.borrow_mut().reset_all(clock.now().saturating_sub(began));
             for over in lost {
                 let _ = inbound.send(Inbound::CallCompleted(vec![over]));
             }
@@ -320,7 +320,7 @@
             ToSuccessor::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
             }
-            ToSuccessor::CallCompleted(over) => match self.outs.borrow_mut().ended(over) {
+            ToSuccessor::CallCompleted(over) => match self.outs.borrow_mut().complete(over) {
                 over if over.is_empty() => return,
                 over => Inbound::CallCompleted(over),
             },
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -11,7 +11,7 @@
 use decision::interface::{EndpointId, Idempotency, MessageId, Micros, Settings};
 use decision::policy::Policy;
 use handover::HandoverState;
-use handover::step::{self, After, Found, Start};
+use handover::step::{self, JournalOwner, PredecessorStep, StartupStep};
 use health_snapshot::belief::RestoredState;
 use journal::{Journal, JournalPart, OpenError};
 use operator_config::Operators;
@@ -100,9 +100,9 @@
             return Ok((journal, None));
         }
         let other = if beside { link::connect(&config.state).await } else { None };
-        let found = if other.is_some() { Found::Running } else { Found::Mute };
-        match (step::start(found, beside, began.now() - start), other) {
-            (Start::Ask, Some(other)) => match link::ask(other).await {
+        let found = if other.is_some() { JournalOwner::Responsive } else { JournalOwner::Unresponsive };
+        match (step::startup_step(found, beside, began.now() - start), other) {
+            (StartupStep::RequestTakeover, Some(other)) => match link::ask(other).await {
                 // It gave the journal up before it said so.
                 Ok(told) => {
                     let journal = open_journal(config, operators)?.ok_or_else(locked)?;
@@ -110,7 +110,7 @@
                 }
                 Err(e) => eprintln!("the process before does not hand over: {e}"),
             },
-            (Start::GiveUp, _) => return Err(locked()),
+            (StartupStep::Fail, _) => return Err(locked()),
             _ => {}
         }
         tokio::time::sleep(AGAIN).await;
@@ -138,7 +138,7 @@
 /// What another process knew, if this one can read it.
 fn understood(config: &Config, state: &HandoverState, now: Micros) -> Option<Policy> {
     let names = &config.names;
-    if state.names != [names.classes.clone(), names.kinds.clone(), names.zones.clone()] {
+    if state.names != [names.classes.clone(), names.kinds.clone(), names.zones.clone()].into() {
         eprintln!("the settings name other classes, kinds or zones than the process before knows");
         return None;
     }
@@ -342,11 +342,15 @@
         if let Some(since) = state.standby {
             sides.door.send_replace(AdmissionGate::Standby(since));
         }
-        let out = if policy.is_some() { state.attempts_in_flight.clone() } else { Vec::new() };
+        let out = if policy.is_some() {
+            state.attempts_in_flight.iter().copied().map(Into::into).collect()
+        } else {
+            Vec::new()
+        };
         before = Some(share_with(&sides, &config, other, out, &inbound, post.clone()));
         match policy {
             Some(policy) => taken_over = Some((state, policy)),
-            None => waits = state.waits,
+            None => waits = state.waits.into_iter().map(Into::into).collect(),
         }
     }
     let (mut begun, mut ends): (bool, Option<OutcomeCounts>) = (false, None);
@@ -434,8 +438,8 @@
         listening.inspect(|listening| listening.abort());
         let offered = link::offer(successor, &state).await;
         let again = if offered.is_ok() { None } else { open_journal(&config, operators)? };
-        match (step::after(offered.is_ok(), again.is_some()), offered, again) {
-            (After::Carry, Ok((link, understood)), _) => {
+        match (step::predecessor_step(offered.is_ok(), again.is_some()), offered, again) {
+            (PredecessorStep::Drain, Ok((link, understood)), _) => {
                 eprintln!("{} has handed over", config.name);
                 sides.calls.close_all_idle();
                 sides.intake.set_most(sides.most / PART);
@@ -449,7 +453,7 @@
                 let carried = Carried { clock, fronts, carriers, door: sides.door, ends: so_far };
                 return link::carry(link, understood, carried, &mut events).await;
             }
-            (After::GoOn, Err(e), Some(again)) => {
+            (PredecessorStep::Resume, Err(e), Some(again)) => {
                 eprintln!("the next process did not take over, this one goes on: {e}");
                 journal = match left {
                     Some(left) => {
--- a/crates/sender/tests/node/upgrade.rs
+++ b/crates/sender/tests/node/upgrade.rs
@@ -164,11 +164,11 @@
         let (mut new, mut old) = (between.accept().unwrap().0, UnixStream::connect(real).unwrap());
         say(&mut old, &hear::<ToPredecessor>(&mut new));
         let ToSuccessor::State(state) = hear(&mut old) else { panic!("a state") };
-        let waits = vec![("e1".to_owned(), state.stopped_at + 1_500_000)];
+        let waits = vec![("e1".to_owned(), state.stopped_at + 1_500_000).into()];
         let spoilt = HandoverState { policy: Bytes::from_static(b"\xc1"), waits, ..*state };
         say(&mut new, &ToSuccessor::State(Box::new(spoilt)));
         let took = hear::<ToPredecessor>(&mut new);
-        assert_eq!(took, ToPredecessor::TookOver { understood: false });
+        assert_eq!(took, ToPredecessor::TakeoverCompleted { understood: false });
         let at = Instant::now();
         say(&mut old, &took);
         say(&mut new, &hear::<ToSuccessor>(&mut old));
