--- a/crates/sender/src/known.rs
+++ b/crates/sender/src/known.rs
@@ -10,7 +10,7 @@
 use health_snapshot::store::{Options, Source, Store};
 use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, keep};
 use journal::disk::Folder;
-use operator_config::{KnownClock, KnownTable};
+use operator_config::{HealthSnapshotTable, SnapshotClock};
 
 use crate::directory::Directory;
 use crate::list::{ListBody, Listing};
@@ -27,14 +27,14 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Keeping {
     options: Options,
-    clock: KnownClock,
+    clock: SnapshotClock,
     /// What is believed of it at a start.
     pub law: Config,
 }
 
 impl Keeping {
     /// What the table says, with what it leaves out.
-    pub fn of(table: &KnownTable, disk: u64, sync: bool, aim: Micros) -> Option<Self> {
+    pub fn of(table: &HealthSnapshotTable, disk: u64, sync: bool, aim: Micros) -> Option<Self> {
         if !table.on {
             return None;
         }
@@ -49,8 +49,8 @@
 }
 
 /// The machine's time since its start, where that is looked at and the system tells it.
-fn boot(clock: KnownClock) -> Option<Boot> {
-    if clock == KnownClock::Wall {
+fn boot(clock: SnapshotClock) -> Option<Boot> {
+    if clock == SnapshotClock::Wall {
         return None;
     }
     let id = fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
@@ -61,14 +61,14 @@
 }
 
 /// The moment by the system's clocks.
-pub fn stamp(clock: KnownClock) -> Timestamp {
+pub fn stamp(clock: SnapshotClock) -> Timestamp {
     Timestamp { wall: Clock::new().now(), boot: boot(clock) }
 }
 
 /// The files of what is known, while this process has the journal.
 pub struct Memory {
     store: Store,
-    clock: KnownClock,
+    clock: SnapshotClock,
     complain_at: Micros,
 }
 
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -319,7 +319,7 @@
     let meanings = Arc::new(meanings(&config, &journal));
     let aim = config.settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0);
     let sync = operators.journal.sync == operator_config::Sync::Group;
-    let keeping = Keeping::of(&operators.known, config.disk, sync, aim);
+    let keeping = Keeping::of(&operators.health_snapshot, config.disk, sync, aim);
     let mut memory = keeping.and_then(|keeping| known::open(&config.state, &config.name, &keeping));
     let written = memory.as_ref().map_or(0, |(_, snapshot)| snapshot.stamp.wall);
     let latest = told.as_ref().map_or(0, |told| told.1.stopped_at).max(journal.latest()).max(written);
--- a/crates/sender/src/program.rs
+++ b/crates/sender/src/program.rs
@@ -8,7 +8,7 @@
 
 use clap::{Parser, Subcommand};
 use decision::interface::{GossipConfig, IdlePolicy, Micros, RouteId};
-use operator_config::{BYTES_EACH, DormantTable, Operators, SharedTable};
+use operator_config::{BYTES_EACH, GossipTable, IdleDestinationsTable, Operators};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
@@ -128,7 +128,9 @@
 
 fn operators(file: &Path) -> Result<Operators, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Operators::parse(&text).map_err(|e| format!("{}:{e}", file.display()))
+    let operators = Operators::parse(&text).map_err(|e| format!("{}:{e}", file.display()))?;
+    operators.warnings.iter().for_each(|warning| eprintln!("myrtleyard: {}:{warning}", file.display()));
+    Ok(operators)
 }
 
 /// The listening socket that the platform holds for all processes of this sender, if it does: its descriptor's number
@@ -149,8 +151,8 @@
 fn run(operators: Operators) -> Result<(), String> {
     let inherited = inherited()?;
     let mut config = config::read()?;
-    config.settings.idle = dormant(&operators.dormant);
-    config.settings.gossip = shared(&operators.shared, &config)?;
+    config.settings.idle = dormant(&operators.idle_destinations);
+    config.settings.gossip = shared(&operators.gossip, &config)?;
     let runtime = pulse::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
@@ -183,7 +185,7 @@
 
 /// What the table says, with what it leaves out.
 /// What senders tell one another, where the operators' file and the platform have it.
-fn shared(table: &SharedTable, config: &Config) -> Result<Option<GossipConfig>, String> {
+fn shared(table: &GossipTable, config: &Config) -> Result<Option<GossipConfig>, String> {
     if !table.on {
         return Ok(None);
     }
@@ -200,7 +202,7 @@
     // Higher than that of a process before, unless the clock was set back: then others raise it.
     let run = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as u32);
     let bytes = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64));
-    let (broadcast, lends) = (config.peers_all.is_some(), table.lends);
+    let (broadcast, lends) = (config.peers_all.is_some(), table.transfers);
     Ok(Some(GossipConfig {
         member: me,
         incarnation: run,
@@ -211,16 +213,16 @@
     }))
 }
 
-fn dormant(table: &DormantTable) -> Option<IdlePolicy> {
+fn dormant(table: &IdleDestinationsTable) -> Option<IdlePolicy> {
     let after = table.after?.micros;
     let memory = table.memory.map_or(MEMORY, |size| size.bytes);
     let most = usize::try_from(memory / idle_destinations::bytes_per_entry::<RouteId>() as u64)
         .unwrap_or(usize::MAX);
     Some(IdlePolicy {
         idle_after: after,
-        retain_for: table.remember.map_or(REMEMBER, |span| span.micros).max(after),
+        retain_for: table.retain.map_or(REMEMBER, |span| span.micros).max(after),
         max_retained: most.max(1),
-        max_active: table.awake.map_or(usize::MAX, |awake| awake as usize),
-        activations_per_second: f64::from(table.wakes.unwrap_or(WAKES)),
+        max_active: table.active.map_or(usize::MAX, |active| active as usize),
+        activations_per_second: f64::from(table.activations.unwrap_or(WAKES)),
     })
 }
--- a/crates/sender/src/show_known.rs
+++ b/crates/sender/src/show_known.rs
@@ -8,7 +8,7 @@
 use health_snapshot::replay::Snapshot;
 use health_snapshot::{EndpointStatus, Micros};
 use journal::disk::Folder;
-use operator_config::KnownClock;
+use operator_config::SnapshotClock;
 
 use crate::known::stamp;
 use crate::look::{printed, seconds};
@@ -28,7 +28,7 @@
     let told = |e: std::io::Error| format!("{}: {e}", folder.display());
     let owner = health_snapshot::store::owner(&mut disk).map_err(told)?.unwrap_or_default();
     let snapshot = health_snapshot::store::load(&mut disk, &owner).map_err(told)?;
-    let clock = if snapshot.stamp.boot.is_some() { KnownClock::Boot } else { KnownClock::Wall };
+    let clock = if snapshot.stamp.boot.is_some() { SnapshotClock::Boot } else { SnapshotClock::Wall };
     let start = RestoreTime { now: Clock::after(snapshot.stamp.wall).0.now(), stamp: stamp(clock) };
     let belief = restore(&snapshot, &start, 0, &Config { span: SPAN, latency_objective: AIM });
     Ok((snapshot, belief))
