--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -1,31 +1,36 @@
-//! The calls, as a request line names them.
+//! Requests of on-call staff, parsed from the method, path and query of a request line.
 
 use serde::{Deserialize, Serialize};
 
-/// An id of more bytes is not looked for.
+/// Paths that only read, by `GET`.
+const QUERIES: [&str; 3] = ["/status", "/status/metrics", "/shared"];
+/// Paths that change something, by `POST`.
+const COMMANDS: [&str; 5] = ["/maintenance/enter", "/maintenance/exit", "/standby", "/active", "/cores/move"];
+
+/// Longest endpoint name in a request, in bytes.
 pub const ID_LIMIT: usize = 256;
 
-/// What is asked of the sender.
+/// A request to the sender. Variants are encoded by name between two processes of a sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminRequest {
-    /// Does this process take clients?
+    /// Whether this process admits clients.
     Status,
-    /// The figures.
+    /// The metrics.
     Metrics,
-    /// What senders share.
+    /// What senders publish to one another.
     #[serde(rename = "Shared")]
     Gossip,
-    /// Leave the endpoint of that name out.
+    /// Eject the endpoint of this name.
     #[serde(rename = "HoldOut")]
     Eject(String),
-    /// The endpoint of that name may serve again.
+    /// Reinstate the endpoint of this name.
     #[serde(rename = "PutBack")]
     Reinstate(String),
     /// Send clients away.
     Standby,
-    /// Take clients again.
+    /// Admit clients again.
     Active,
-    /// A destination is to go to another core.
+    /// Move a destination to another core.
     Move {
         /// The destination.
         destination: u16,
@@ -34,21 +39,21 @@
     },
 }
 
-/// Why a request is no call.
+/// Why a request is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// There is nothing of that path: see the list of calls.
+    /// The path does not exist.
     Path,
-    /// The path is there, for `GET` or `POST` alone: use the other.
+    /// The path exists for the other one of `GET` and `POST`.
     Method,
-    /// The call needs a destination and a core.
+    /// The request needs a destination and a core.
     Cores,
-    /// The call needs one `target=ID` in its query, with an id of [`ID_LIMIT`] bytes at most.
+    /// The request needs one `target=ID` in its query, with an id of [`ID_LIMIT`] bytes at most.
     Target,
 }
 
 impl InvalidRequest {
-    /// The answer's status.
+    /// The status of the answer.
     pub fn status(self) -> u16 {
         match self {
             Self::Path => 404,
@@ -57,7 +62,7 @@
         }
     }
 
-    /// What a person is told.
+    /// The text of the answer.
     pub fn text(self) -> &'static str {
         match self {
             Self::Path => "no such call\n",
@@ -68,18 +73,20 @@
     }
 }
 
-/// Reads a request line's method, path and query.
+/// Parses the method, path and query of a request line.
 ///
 /// # Errors
-/// Fails, with what to tell the caller, when it is none of the calls.
+/// Fails when they are no valid request, with the answer to give.
 pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<AdminRequest, InvalidRequest> {
-    let asks = ["/status", "/status/metrics", "/shared"].contains(&path);
-    let does =
-        ["/maintenance/enter", "/maintenance/exit", "/standby", "/active", "/cores/move"].contains(&path);
-    match (asks, does, method) {
-        (false, false, _) => return Err(InvalidRequest::Path),
-        (true, _, "GET") | (_, true, "POST") => {}
-        _ => return Err(InvalidRequest::Method),
+    let expected_method = if QUERIES.contains(&path) {
+        "GET"
+    } else if COMMANDS.contains(&path) {
+        "POST"
+    } else {
+        return Err(InvalidRequest::Path);
+    };
+    if method != expected_method {
+        return Err(InvalidRequest::Method);
     }
     Ok(match path {
         "/status" => AdminRequest::Status,
@@ -96,7 +103,7 @@
     })
 }
 
-/// The one value of a name, as a number.
+/// The value of a name that the query gives once, as a number.
 fn number<T: std::str::FromStr>(query: Option<&str>, name: &str) -> Option<T> {
     let pairs = form_urlencoded::parse(query.unwrap_or_default().as_bytes());
     let mut values = pairs.filter(|(key, _)| key == name).map(|(_, value)| value);
@@ -104,6 +111,7 @@
     if values.next().is_some() { None } else { value.parse().ok() }
 }
 
+/// The value of the `target` that the query gives once.
 fn target(query: Option<&str>) -> Result<String, InvalidRequest> {
     let mut targets =
         form_urlencoded::parse(query.unwrap_or_default().as_bytes()).filter(|(name, _)| name == "target");
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,13 +1,14 @@
-//! What on-call staff ask of a running sender, and what it says of itself: calls and their answers ([`call`]), the
-//! figures ([`figures`]), the endpoints that are held out by hand ([`held_out`]), and when clients are sent away
-//! ([`door`]). No I/O and no clock: the sender's listener, its driver and its front carry out what stands here.
+//! What on-call staff can ask of a running sender: requests and their errors ([`call`]), the metrics ([`figures`]), the
+//! endpoints that operators ejected ([`ejections`]), and whether clients are admitted ([`gate`]).
+//!
+//! The crate has no I/O and no clock: the sender's listener, its driver and its front act on what is decided here.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod call;
-pub mod door;
+pub mod ejections;
 pub mod figures;
-pub mod held_out;
+pub mod gate;
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/admin/tests/ops.rs
+++ b/crates/admin/tests/admin.rs
@@ -1,13 +1,13 @@
-//! The package's decisions, without a sender round them.
+//! Requests, metrics, ejections and the admission gate, without a sender.
 
 use admin::call::{AdminRequest, ID_LIMIT, InvalidRequest, read};
-use admin::door::{AdmissionGate, LINGER};
+use admin::ejections::{EjectError, Ejections, RetiredNames};
 use admin::figures::{FinalOutcome, Gauges, OutcomeCounts};
-use admin::held_out::{EjectError, Ejections, RetiredNames};
+use admin::gate::{AdmissionGate, LINGER};
 use proptest::prelude::*;
 
 #[test]
-fn calls_are_told_from_what_is_none() {
+fn requests_are_parsed_and_validated() {
     let enter = |id: &str| Ok(AdminRequest::Eject(id.to_owned()));
     let long = "x".repeat(ID_LIMIT + 1);
     let too_long = format!("target={long}");
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn the_door_is_closed_for_good_by_the_end_of_the_process_alone() {
-    let away = AdmissionGate::Open.standby(5);
-    assert_eq!(away.standby(9), away, "said once more it changes nothing");
-    assert_eq!((away.ready(), away.last_answer()), (false, true));
-    assert_eq!(away.close_idle_at(), Some(5 + LINGER));
-    assert_eq!(away.active(), AdmissionGate::Open);
+fn standby_is_reversible_and_closing_is_not() {
+    let standby = AdmissionGate::Open.standby(5);
+    assert_eq!(standby.standby(9), standby, "a second time has no effect");
+    assert_eq!((standby.ready(), standby.last_answer()), (false, true));
+    assert_eq!(standby.close_idle_at(), Some(5 + LINGER));
+    assert_eq!(standby.active(), AdmissionGate::Open);
     assert_eq!(AdmissionGate::Open.close_idle_at(), None);
     assert_eq!(
         (AdmissionGate::Closing.standby(1), AdmissionGate::Closing.active()),
@@ -47,13 +47,13 @@
 }
 
 #[test]
-fn figures_name_each_class_and_what_it_counts() {
-    let mut ends = OutcomeCounts::new(["a".to_owned(), "quo\"te".to_owned()]);
-    ends.count("a", FinalOutcome::Fulfilled);
-    ends.count("a", FinalOutcome::Fulfilled);
-    ends.count("quo\"te", FinalOutcome::Faulted);
-    ends.count("none", FinalOutcome::Throttled);
-    let text = ends.text(Gauges { relayed: 3, open: 4, listed: 5, out_of_rotation: 6 });
+fn metrics_name_each_class_and_its_counts() {
+    let mut counts = OutcomeCounts::new(["a".to_owned(), "quo\"te".to_owned()]);
+    counts.count("a", FinalOutcome::Fulfilled);
+    counts.count("a", FinalOutcome::Fulfilled);
+    counts.count("quo\"te", FinalOutcome::Faulted);
+    counts.count("none", FinalOutcome::Throttled);
+    let text = counts.text(Gauges { relayed: 3, open: 4, listed: 5, out_of_rotation: 6 });
     assert_eq!(
         text.lines().collect::<Vec<_>>(),
         [
@@ -72,40 +72,40 @@
 }
 
 #[test]
-fn what_has_no_room_is_refused_and_changes_nothing() {
-    let mut held_out = Ejections::new(8);
-    assert_eq!(held_out.enter("abc"), Ok(true));
-    assert_eq!(held_out.enter("abc"), Ok(false));
-    assert_eq!(held_out.enter("defg"), Err(EjectError::Full));
-    assert_eq!(held_out.enter("def"), Ok(true));
-    assert!(held_out.exit("abc") && !held_out.exit("abc"));
-    assert_eq!(held_out.text(), "def\n");
+fn an_ejection_beyond_the_limit_fails_without_effect() {
+    let mut ejections = Ejections::new(8);
+    assert_eq!(ejections.enter("abc"), Ok(true));
+    assert_eq!(ejections.enter("abc"), Ok(false));
+    assert_eq!(ejections.enter("defg"), Err(EjectError::LimitReached));
+    assert_eq!(ejections.enter("def"), Ok(true));
+    assert!(ejections.exit("abc") && !ejections.exit("abc"));
+    assert_eq!(ejections.text(), "def\n");
 }
 
 #[test]
-fn names_that_left_are_forgotten_oldest_first() {
-    let mut past = RetiredNames::default();
-    (0..5_000).for_each(|n| past.left(&n.to_string()));
-    (0..10).for_each(|_| past.left("4999"));
-    assert!(past.contains("4999") && past.contains("1000") && !past.contains("0"));
+fn retired_names_are_forgotten_oldest_first() {
+    let mut retired = RetiredNames::default();
+    (0..5_000).for_each(|n| retired.insert(&n.to_string()));
+    (0..10).for_each(|_| retired.insert("4999"));
+    assert!(retired.contains("4999") && retired.contains("1000") && !retired.contains("0"));
 }
 
 proptest! {
-    /// Whatever a name holds, it is the same one after a restart.
+    /// Names survive a restart whatever characters they hold.
     #[test]
-    fn what_is_held_out_is_read_back(names in prop::collection::btree_set("(?s).{1,12}", 0..12)) {
-        let mut held_out = Ejections::new(10_000);
+    fn ejections_round_trip(names in prop::collection::btree_set("(?s).{1,12}", 0..12)) {
+        let mut ejections = Ejections::new(10_000);
         for name in &names {
-            prop_assert_eq!(held_out.enter(name), Ok(true));
+            prop_assert_eq!(ejections.enter(name), Ok(true));
         }
-        let text = held_out.text();
+        let text = ejections.text();
         prop_assert_eq!(text.lines().count(), names.len());
-        prop_assert_eq!(Ejections::read(&text, 10_000), held_out);
+        prop_assert_eq!(Ejections::read(&text, 10_000), ejections);
     }
 
-    /// A file of anything is read as some names.
+    /// Any text is parsed as some names.
     #[test]
-    fn any_text_is_read(text in "(?s).{0,200}") {
+    fn any_text_can_be_parsed(text in "(?s).{0,200}") {
         let read = Ejections::read(&text, 10_000);
         prop_assert_eq!(Ejections::read(&read.text(), 10_000), read);
     }
--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::{fs, io};
 
-use admin::held_out::Ejections;
+use admin::ejections::Ejections;
 use decision::interface::{Condition, Idempotency, IdempotencyScope, RouteSnapshot};
 use health_snapshot::stamp::{Boot, Timestamp};
 use health_snapshot::store::{Source, Store, load};
--- a/crates/sender/src/cores/post.rs
+++ b/crates/sender/src/cores/post.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-use admin::held_out::Ejections;
+use admin::ejections::Ejections;
 use crossbeam_queue::ArrayQueue;
 use decision::interface::{EndpointId, MessageId, Micros};
 use decision::policy::moving::Parcel;
--- a/crates/sender/src/directory.rs
+++ b/crates/sender/src/directory.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admin::held_out::{EjectError, Ejections, RetiredNames};
+use admin::ejections::{EjectError, Ejections, RetiredNames};
 use decision::interface::*;
 
 use crate::config::Names;
@@ -413,7 +413,7 @@
         let known = self.endpoints.get_mut(&endpoint).filter(|known| known.named != self.lists)?;
         known.gone = true;
         known.carrier.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
-        self.past.left(&known.name);
+        self.past.insert(&known.name);
         self.gone.insert(endpoint);
         self.changed.insert(known.group);
         let destination = DestinationId(known.group);
@@ -467,7 +467,7 @@
         let gone = state == Listing::Gone;
         let place = crc32fast::hash(listing.address.as_bytes());
         if gone {
-            self.past.left(&listing.name);
+            self.past.insert(&listing.name);
             self.gone.insert(endpoint)
         } else {
             self.gone.remove(&endpoint)
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use admin::door::AdmissionGate;
+use admin::ejections::Ejections;
 use admin::figures::{FinalOutcome, OutcomeCounts};
-use admin::held_out::Ejections;
+use admin::gate::AdmissionGate;
 use decision::interface::*;
 use decision::policy::Policy;
 use handover::HandoverState;
--- a/crates/sender/src/driver/begin.rs
+++ b/crates/sender/src/driver/begin.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use admin::door::AdmissionGate;
+use admin::gate::AdmissionGate;
 use decision::interface::*;
 use handover::{AttemptInFlight, HandoverState, RetryAfterDeadline};
 use health_snapshot::belief::{LIST_GOOD_FOR, RestoredState};
--- a/crates/sender/src/driver/duty.rs
+++ b/crates/sender/src/driver/duty.rs
@@ -1,8 +1,8 @@
 //! What on-call staff ask of the driver.
 
 use admin::call::AdminRequest;
-use admin::door::AdmissionGate;
 use admin::figures::Gauges;
+use admin::gate::AdmissionGate;
 use decision::interface::Event;
 use gossip::judgement::Evidence;
 use gossip::{Gossip, Micros};
--- a/crates/sender/src/driver/team.rs
+++ b/crates/sender/src/driver/team.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use admin::call::AdminRequest;
+use admin::ejections::Ejections;
 use admin::figures::{Gauges, OutcomeCounts};
-use admin::held_out::Ejections;
 use decision::interface::*;
 use sharding::{AttemptRouter, DestinationLoad, OwnershipMap, Plan, Planner, ShardId};
 use tokio::sync::oneshot;
--- a/crates/sender/src/handover.rs
+++ b/crates/sender/src/handover.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use admin::call::AdminRequest;
-use admin::door::AdmissionGate;
+use admin::gate::AdmissionGate;
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
 use handover::{Answer, HandoverState, OutstandingAttempts, ToPredecessor, ToSuccessor, step};
 use tokio::net::{UnixListener, UnixStream};
@@ -154,7 +154,7 @@
 ) -> Result<(), String> {
     let clock = carried.clock;
     let ready = carried.door.borrow().ready();
-    carried.door.send_replace(AdmissionGate::HandedOver { since: clock.now(), ready });
+    carried.door.send_replace(AdmissionGate::Relinquished { since: clock.now(), ready });
     let (say, mut heard, writing) = link.split::<ToSuccessor, ToPredecessor>();
     if !understood {
         let out = carried.carriers.iter().flat_map(|carrier| carrier.outstanding_attempts());
--- a/crates/sender/src/http/intake.rs
+++ b/crates/sender/src/http/intake.rs
@@ -25,7 +25,7 @@
 use tokio::sync::{Notify, mpsc::UnboundedSender, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
-use admin::door::AdmissionGate;
+use admin::gate::AdmissionGate;
 use journal::AcceptedMessage;
 
 use crate::cores::{Post, Say};
@@ -412,12 +412,12 @@
                     let asked = place.asking.get() || place.answered.get() > 0 && !half_read;
                     // A connection that comes late has its moment too: while clients are sent away a new one gets one
                     // answer, for they need the time to go elsewhere.
-                    idle_until = now.close_idle_at().map(|at| at.max(came + admin::door::LINGER));
+                    idle_until = now.close_idle_at().map(|at| at.max(came + admin::gate::LINGER));
                     match now {
                         AdmissionGate::Closing if asked => connection.as_mut().graceful_shutdown(),
                         // Guards the first request on a new connection, which may be on its way or lie unread, and one of
                         // which a part was read: the library would close those without a look. Its answer is the last.
-                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + admin::door::LINGER),
+                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + admin::gate::LINGER),
                         _ => {}
                     }
                 }
--- a/crates/sender/src/kept.rs
+++ b/crates/sender/src/kept.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::Path;
 
-use admin::held_out::Ejections;
+use admin::ejections::Ejections;
 
 const FILE: &str = "held-out";
 const NEW: &str = "held-out.new";
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use admin::door::AdmissionGate;
+use admin::ejections::Ejections;
 use admin::figures::OutcomeCounts;
-use admin::held_out::Ejections;
+use admin::gate::AdmissionGate;
 use decision::interface::{EndpointId, Idempotency, MessageId, Micros, Settings};
 use decision::policy::Policy;
 use handover::HandoverState;
