--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admin::held_out::{EjectError, Ejections, RetiredNames};
+use admin::ejections::{EjectError, Ejections, RetiredNames};
 use decision::interface::{
     DestinationId, DestinationKind, EndpointEntry, EndpointId, Event, Listing, RouteId,
 };
@@ -429,7 +429,7 @@
         let known = self.endpoints.get_mut(&endpoint).filter(|known| known.last_listed != self.lists)?;
         known.unlisted = true;
         known.transport.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
-        self.retired_names.left(&known.name);
+        self.retired_names.insert(&known.name);
         self.unlisted.insert(endpoint);
         self.changed.insert(known.destination);
         let destination = DestinationId(known.destination);
@@ -483,7 +483,7 @@
         let gone = state == Listing::Gone;
         let place = crc32fast::hash(listing.address.as_bytes());
         if gone {
-            self.retired_names.left(&listing.name);
+            self.retired_names.insert(&listing.name);
             self.unlisted.insert(endpoint)
         } else {
             self.unlisted.remove(&endpoint)
--- a/crates/sender/src/event_loop/inbound.rs
+++ b/crates/sender/src/event_loop/inbound.rs
@@ -1,6 +1,6 @@
 //! What arrives from other tasks, turned into events for the decision module.
 
-use admin::door::AdmissionGate;
+use admin::gate::AdmissionGate;
 use decision::interface::{Event, MessageId};
 
 use super::{EventLoop, SHUTDOWN_TIMEOUT, endpoints_of_attempts};
--- a/crates/sender/src/event_loop/mod.rs
+++ b/crates/sender/src/event_loop/mod.rs
@@ -23,8 +23,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admin::door::AdmissionGate;
 use admin::figures::OutcomeCounts;
+use admin::gate::AdmissionGate;
 use decision::interface::Micros;
 use decision::policy::Policy;
 use journal::{Abandonment, AcceptedMessage, Record};
--- a/crates/sender/src/event_loop/parts.rs
+++ b/crates/sender/src/event_loop/parts.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admin::door::AdmissionGate;
+use admin::ejections::Ejections;
 use admin::figures::OutcomeCounts;
-use admin::held_out::Ejections;
+use admin::gate::AdmissionGate;
 use decision::interface::Micros;
 use decision::policy::Policy;
 use handover::HandoverState;
--- a/crates/sender/src/event_loop/run.rs
+++ b/crates/sender/src/event_loop/run.rs
@@ -164,7 +164,9 @@
         let shard = match (self.shard, self.journal) {
             (Some(shard), JournalStore::Sharded(mut journal_part)) => {
                 journal_part.close();
-                let remote_shards = Rc::new(shard.remote_shards(&state.attempts_in_flight, &state.ids));
+                let in_flight: Vec<_> = state.attempts_in_flight.iter().copied().map(Into::into).collect();
+                let ids: Vec<_> = state.ids.iter().cloned().map(Into::into).collect();
+                let remote_shards = Rc::new(shard.remote_shards(&in_flight, &ids));
                 Some(Box::new(HandedOverShard { shard, journal_part, remote_shards }))
             }
             _ => None,
--- a/crates/sender/src/event_loop/shard/admin_broadcast.rs
+++ b/crates/sender/src/event_loop/shard/admin_broadcast.rs
@@ -1,7 +1,7 @@
 //! Administrative requests that bind all shards.
 
 use admin::call::AdminRequest;
-use admin::held_out::Ejections;
+use admin::ejections::Ejections;
 use decision::interface::Event;
 use sharding::ShardId;
 use tokio::sync::oneshot;
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use admin::call::AdminRequest;
-use admin::door::AdmissionGate;
+use admin::gate::AdmissionGate;
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
 use handover::{Answer, HandoverState, OutstandingAttempts, ToPredecessor, ToSuccessor, step};
 use tokio::net::{UnixListener, UnixStream};
@@ -92,7 +92,7 @@
 /// # Errors
 /// Fails when the predecessor breaks off.
 pub async fn confirm_takeover(link: &mut HandoverLink, understood: bool) -> Result<(), String> {
-    link.send(&ToPredecessor::TookOver { understood }).await?;
+    link.send(&ToPredecessor::TakeoverCompleted { understood }).await?;
     if understood {
         return Ok(());
     }
@@ -111,8 +111,8 @@
     state: &HandoverState,
 ) -> Result<(HandoverLink, bool), String> {
     link.send(&ToSuccessor::State(Box::new(state.clone()))).await?;
-    match timeout(Duration::from_micros(step::TAKE_WITHIN), link.receive()).await {
-        Ok(Ok(ToPredecessor::TookOver { understood })) => Ok((link, understood)),
+    match timeout(Duration::from_micros(step::TAKEOVER_TIMEOUT), link.receive()).await {
+        Ok(Ok(ToPredecessor::TakeoverCompleted { understood })) => Ok((link, understood)),
         Ok(Ok(other)) => Err(format!("it says {other:?}")),
         Ok(Err(e)) => Err(e),
         Err(_) => Err("it says nothing".to_owned()),
@@ -159,7 +159,7 @@
 ) -> Result<(), String> {
     let clock = carried.clock;
     let ready = carried.door.borrow().ready();
-    carried.door.send_replace(AdmissionGate::HandedOver { since: clock.now(), ready });
+    carried.door.send_replace(AdmissionGate::Relinquished { since: clock.now(), ready });
     let (say, mut heard, writing) = link.split::<ToSuccessor, ToPredecessor>();
     if !understood {
         let out = carried.carriers.iter().flat_map(|carrier| carrier.outstanding_attempts());
@@ -235,11 +235,11 @@
                     }
                 }
                 Some(ToPredecessor::Cancel(message, attempt)) => carried.cancel(message, attempt),
-                Some(ToPredecessor::RequestTakeover | ToPredecessor::TookOver { .. }) => {}
+                Some(ToPredecessor::RequestTakeover | ToPredecessor::TakeoverCompleted { .. }) => {}
                 None => return Err("the process that took over is gone".to_owned()),
             },
             _ = look.tick() => {
-                if events.is_empty() && step::may_end(carried.out(), carried.clients(), stopping, clock.now()) {
+                if events.is_empty() && step::may_exit(carried.out(), carried.clients(), stopping, clock.now()) {
                     drop(say);
                     let _ = writing.await;
                     return Ok(());
@@ -274,7 +274,7 @@
     ) -> Rc<Self> {
         let (say, mut heard, _) = link.split::<ToPredecessor, ToSuccessor>();
         let before = Rc::new(Self {
-            outs: RefCell::new(OutstandingAttempts::new(out)),
+            outs: RefCell::new(OutstandingAttempts::new(out.into_iter().map(Into::into))),
             say: say.clone(),
             there: Cell::new(true),
         });
@@ -284,7 +284,7 @@
                 followed.heard(message, &class, &inbound);
             }
             followed.there.set(false);
-            let lost = followed.outs.borrow_mut().lost(clock.now().saturating_sub(began));
+            let lost = followed.outs.borrow_mut().reset_all(clock.now().saturating_sub(began));
             for over in lost {
                 let _ = inbound.send(Inbound::CallCompleted(vec![over]));
             }
@@ -325,7 +325,7 @@
             ToSuccessor::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
             }
-            ToSuccessor::CallCompleted(over) => match self.outs.borrow_mut().ended(over) {
+            ToSuccessor::CallCompleted(over) => match self.outs.borrow_mut().complete(over) {
                 over if over.is_empty() => return,
                 over => Inbound::CallCompleted(over),
             },
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -11,7 +11,7 @@
 use health_snapshot::store::{Options, Source, Store};
 use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, keep};
 use journal::disk::Folder;
-use operator_config::{KnownClock, KnownTable};
+use operator_config::{HealthSnapshotTable, SnapshotClock};
 
 use crate::discovery::directory::Directory;
 use crate::discovery::endpoint_list::{EndpointList, EndpointListing};
@@ -28,14 +28,14 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SnapshotOptions {
     options: Options,
-    clock: KnownClock,
+    clock: SnapshotClock,
     /// How it is restored.
     pub law: Config,
 }
 
 impl SnapshotOptions {
     /// The options of the operators' table, with its defaults.
-    pub fn of(table: &KnownTable, disk: u64, sync: bool, aim: Micros) -> Option<Self> {
+    pub fn of(table: &HealthSnapshotTable, disk: u64, sync: bool, aim: Micros) -> Option<Self> {
         if !table.on {
             return None;
         }
@@ -50,8 +50,8 @@
 }
 
 /// The machine's time since its start, where that is used and the system has it.
-fn boot(clock: KnownClock) -> Option<Boot> {
-    if clock == KnownClock::Wall {
+fn boot(clock: SnapshotClock) -> Option<Boot> {
+    if clock == SnapshotClock::Wall {
         return None;
     }
     let id = fs::read_to_string("/proc/sys/kernel/random/boot_id").ok()?;
@@ -62,14 +62,14 @@
 }
 
 /// The current moment by the system's clocks.
-pub fn stamp(clock: KnownClock) -> Timestamp {
+pub fn stamp(clock: SnapshotClock) -> Timestamp {
     Timestamp { wall: Clock::new().now(), boot: boot(clock) }
 }
 
 /// The snapshot's files, while this process has the journal.
 pub struct SnapshotStore {
     store: Store,
-    clock: KnownClock,
+    clock: SnapshotClock,
     complain_at: Micros,
 }
 
@@ -79,7 +79,7 @@
     owner: &str,
     keeping: &SnapshotOptions,
 ) -> Option<(SnapshotStore, health_snapshot::replay::Snapshot)> {
-    let disk = Box::new(Folder::beside(state));
+    let disk = Box::new(Folder::companion(state));
     match Store::open(disk, owner, keeping.options) {
         Ok((store, snapshot)) => {
             Some((SnapshotStore { store, clock: keeping.clock, complain_at: 0 }, snapshot))
--- a/crates/sender/src/process/journal.rs
+++ b/crates/sender/src/process/journal.rs
@@ -5,7 +5,7 @@
 use decision::interface::{Idempotency, Micros};
 use decision::policy::Policy;
 use handover::HandoverState;
-use handover::step::{self, Found, Start};
+use handover::step::{self, JournalOwner, StartupStep};
 use journal::{Journal, OpenError};
 use operator_config::Operators;
 
@@ -80,9 +80,9 @@
             return Ok((journal, None));
         }
         let other = if accepts_successor { hand_over::connect(&config.state).await } else { None };
-        let found = if other.is_some() { Found::Running } else { Found::Mute };
-        match (step::start(found, accepts_successor, began.now() - start), other) {
-            (Start::Ask, Some(other)) => match hand_over::request_takeover(other).await {
+        let found = if other.is_some() { JournalOwner::Responsive } else { JournalOwner::Unresponsive };
+        match (step::startup_step(found, accepts_successor, began.now() - start), other) {
+            (StartupStep::RequestTakeover, Some(other)) => match hand_over::request_takeover(other).await {
                 // It gave the journal up before it said so.
                 Ok(predecessor) => {
                     let journal = open_journal(config, operators)?.ok_or_else(locked)?;
@@ -90,7 +90,7 @@
                 }
                 Err(e) => eprintln!("the process before does not hand over: {e}"),
             },
-            (Start::GiveUp, _) => return Err(locked()),
+            (StartupStep::Fail, _) => return Err(locked()),
             _ => {}
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
@@ -119,7 +119,7 @@
 /// The decision module that another process handed over, if this version and these settings can read it.
 pub(super) fn restore_policy(config: &Config, state: &HandoverState, now: Micros) -> Option<Policy> {
     let names = &config.names;
-    if state.names != [names.classes.clone(), names.kinds.clone(), names.zones.clone()] {
+    if state.names != [names.classes.clone(), names.kinds.clone(), names.zones.clone()].into() {
         eprintln!("the settings name other classes, kinds or zones than the process before knows");
         return None;
     }
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -12,12 +12,12 @@
 use std::sync::Arc;
 
 use ::journal::Journal;
-use admin::door::AdmissionGate;
 use admin::figures::OutcomeCounts;
+use admin::gate::AdmissionGate;
 use decision::interface::Micros;
 use decision::policy::Policy;
 use handover::HandoverState;
-use handover::step::{self, After};
+use handover::step::{self, PredecessorStep};
 use health_snapshot::belief::RestoredState;
 use health_snapshot::replay::Snapshot;
 use operator_config::Operators;
@@ -171,12 +171,15 @@
         if let Some(since) = state.standby {
             self.sockets.gate.send_replace(AdmissionGate::Standby(since));
         }
-        let in_flight = if policy.is_some() { state.attempts_in_flight.clone() } else { Vec::new() };
+        let in_flight = match &policy {
+            Some(_) => state.attempts_in_flight.iter().copied().map(Into::into).collect(),
+            None => Vec::new(),
+        };
         let shard = self.shard.clone();
         let process = follow_predecessor(&self.sockets, &self.config, link, in_flight, &self.inbound, shard);
         let (state, waits) = match policy {
             Some(policy) => (Some((state, policy)), Vec::new()),
-            None => (None, state.waits),
+            None => (None, state.waits.into_iter().map(Into::into).collect()),
         };
         Ok(TakenOver { state, process: Some(process), waits })
     }
@@ -213,7 +216,7 @@
         Ok(JournalStore::Sharded(first))
     }
 
-    fn ejections(&self) -> Result<admin::held_out::Ejections, String> {
+    fn ejections(&self) -> Result<admin::ejections::Ejections, String> {
         let state = &self.config.state;
         ejections::read(state).map_err(|error| format!("{}: {error}", state.display()))
     }
@@ -298,13 +301,13 @@
         let HandingOver { successor, state, outcome_counts, shard } = handing_over;
         let offered = hand_over::offer_state(successor, &state).await;
         let journal = if offered.is_ok() { None } else { open_journal(&self.config, self.operators)? };
-        match (step::after(offered.is_ok(), journal.is_some()), offered, journal) {
-            (After::Carry, Ok((link, understood)), _) => {
+        match (step::predecessor_step(offered.is_ok(), journal.is_some()), offered, journal) {
+            (PredecessorStep::Drain, Ok((link, understood)), _) => {
                 eprintln!("{} has handed over", self.config.name);
                 let carried = self.carried_connections(outcome_counts, shard);
                 hand_over::carry(link, understood, carried, events).await.map(|()| None)
             }
-            (After::GoOn, Err(error), Some(journal)) => {
+            (PredecessorStep::Resume, Err(error), Some(journal)) => {
                 eprintln!("the next process did not take over, this one goes on: {error}");
                 self.resume(journal, state, outcome_counts, shard).map(Some)
             }
@@ -374,7 +377,7 @@
 fn snapshot_options(config: &Config, operators: &Operators) -> Option<SnapshotOptions> {
     let objectives = config.settings.classes.iter().map(|class| class.latency_objective);
     let sync = operators.journal.sync == operator_config::Sync::Group;
-    SnapshotOptions::of(&operators.known, config.disk, sync, objectives.min().unwrap_or(0))
+    SnapshotOptions::of(&operators.health_snapshot, config.disk, sync, objectives.min().unwrap_or(0))
 }
 
 /// A clock that shows no time before the latest that an earlier process wrote down; and whether the system's clock was set
--- a/crates/sender/src/process/shards.rs
+++ b/crates/sender/src/process/shards.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admin::door::AdmissionGate;
-use admin::held_out::Ejections;
+use admin::ejections::Ejections;
+use admin::gate::AdmissionGate;
 use decision::interface::{Micros, Settings};
 use health_snapshot::belief::RestoredState;
 use journal::JournalPart;
--- a/crates/sender/src/process/sockets.rs
+++ b/crates/sender/src/process/sockets.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-use admin::door::AdmissionGate;
+use admin::gate::AdmissionGate;
 use decision::interface::{EndpointId, MessageId};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
