--- a/crates/idle-destinations/src/lib.rs
+++ b/crates/idle-destinations/src/lib.rs
@@ -2,14 +2,14 @@
 //! meanwhile ([`Memory`]) and how fast they may wake ([`Waking`]). No I/O, and no clock but the times that are told.
 //!
 //! ```
-//! use dormant::{Facts, Memory};
+//! use idle_destinations::{IdleTable, RetainedHealth};
 //!
 //! let day = 86_400_000_000;
-//! let mut memory = Memory::new(1_000, 30 * day, 0);
-//! memory.keep("a charity", Facts { wait_until: day, limit: 5.0, ..Facts::default() }, 0)?;
-//! let remembered = memory.take("a charity", day / 2);
-//! assert_eq!(remembered.map(|facts| facts.wait_until), Some(day));
-//! # Ok::<(), dormant::MemoryFull>(())
+//! let mut table = IdleTable::new(1_000, 30 * day, 0);
+//! table.insert("a charity", RetainedHealth { wait_until: day, limit: 5.0, ..RetainedHealth::default() }, 0)?;
+//! let retained = table.take("a charity", day / 2);
+//! assert_eq!(retained.map(|health| health.wait_until), Some(day));
+//! # Ok::<(), idle_destinations::IdleTableFull>(())
 //! ```
 
 mod awake;
