--- a/crates/decision/src/policy/hearsay.rs
+++ b/crates/decision/src/policy/hearsay.rs
@@ -70,7 +70,7 @@
             && self.now >= self.complain_at
         {
             self.complain_at = self.now + COMPLAIN_EVERY;
-            let (_, rejected) = shared.traffic();
+            let rejected = shared.traffic().rejected_messages;
             let line = format!("a note from sender {from} is used for nothing ({rejected} so far): {why}");
             actions.push(Action::Log(line));
         }
@@ -109,8 +109,9 @@
                 shared.count_retry(held.message.destination.0, now);
             }
         }
-        actions
-            .extend(shared.publish(now).into_iter().map(|(to, content)| Action::SendGossip { to, content }));
+        actions.extend(
+            shared.publish(now).into_iter().map(|m| Action::SendGossip { to: m.to, content: m.content }),
+        );
     }
 
     /// What is shared, for operators.
--- a/crates/decision/src/policy/route.rs
+++ b/crates/decision/src/policy/route.rs
@@ -371,7 +371,7 @@
         }
         self.heard_ill = ill;
         self.wait_until = self.wait_until.max(belief.wait_until);
-        if let Some((limit, at)) = belief.limit
+        if let Some(gossip::evidence::BelievedLimit { rate: limit, at }) = belief.limit
             && at > self.left_told.1
             && self.believes(limit.into())
             && self.limit_is(limit.into(), now)
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -207,13 +207,13 @@
 /// What a sender of that rank is told.
 fn settings_of(me: usize, senders: usize, notes: Option<Notes>) -> Settings {
     let (me, all) = (me as u16, senders as u16);
-    let bytes = (25.0, 100.0);
+    let byte_budget = (25.0, 100.0).into();
     let law = |notes: Notes| GossipConfig {
         member: me,
         incarnation: 1,
         senders: all,
         broadcast: true,
-        byte_budget: bytes,
+        byte_budget,
         quota_transfer: notes.lends,
     };
     Settings { gossip: notes.map(law), ..settings(senders) }
--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -364,7 +364,7 @@
             incarnation: 3,
             senders: 5,
             broadcast: true,
-            byte_budget: (25.0, 100.0),
+            byte_budget: (25.0, 100.0).into(),
             quota_transfer: true,
         }),
         rules: Rules {
--- a/crates/golden/src/wire/gossip.rs
+++ b/crates/golden/src/wire/gossip.rs
@@ -4,9 +4,9 @@
 
 use gossip::FailureKind;
 use gossip::counts::Count;
-use gossip::judgement::{Evidence, Failure, Limit};
-use gossip::note::{Message, Part, Rejected, Writer};
-use gossip::view::State;
+use gossip::evidence::{Evidence, Failure, Limit};
+use gossip::membership::{MemberUpdate, State};
+use gossip::message::{Message, Part, Rejected, Writer};
 
 use super::scripted::hex;
 
@@ -14,29 +14,33 @@
 const INCARNATION: u32 = 0x0102_0304;
 
 fn parts() -> Vec<(&'static str, Part)> {
-    let bad = |kind| {
-        Part::Known(7, Evidence::Failure(3, Failure { number: 1 << 40, at: NOW - 250_000, kind, calls: 5 }))
+    let failure = |kind| {
+        Part::Evidence(
+            7,
+            Evidence::Failure(3, Failure { number: 1 << 40, at: NOW - 250_000, kind, calls: 5 }),
+        )
     };
+    let member = |state| Part::Member(MemberUpdate { member: 6, incarnation: 42, state });
     let limit = Limit { origin: 2, number: 9, at: NOW - 40_000, rate: 12.5 };
-    let count = Count { calls: 1_000, refused: 200, failed: 30, repeats: 4, held: 5 };
+    let count = Count { calls: 1_000, rejected: 200, failed: 30, retries: 4, outstanding: 5 };
     vec![
-        ("evidence, unreachable", bad(FailureKind::Unreachable)),
-        ("evidence, failing", bad(FailureKind::Failing)),
-        ("evidence, silent", bad(FailureKind::Silent)),
-        ("evidence, shut", bad(FailureKind::Shut)),
-        ("clearance", Part::Known(300, Evidence::Cleared(4, 77, NOW - 1_000_000))),
-        ("limit", Part::Known(7, Evidence::Limit(limit))),
-        ("wait", Part::Known(7, Evidence::Wait(NOW + 1_230_000))),
-        ("ping", Part::Ask(11, 0xdead_beef)),
-        ("acknowledgement", Part::Answer(11, 0xdead_beef)),
-        ("indirect ping", Part::AskFor(5, 12)),
-        ("member, alive", Part::Member(6, 42, State::Alive)),
-        ("member, suspected", Part::Member(6, 42, State::Suspected)),
-        ("member, gone", Part::Member(6, 42, State::Gone)),
-        ("quota request", Part::Borrow(7, 13, 2_000)),
-        ("quota transfer", Part::Lend(13, 1_500)),
+        ("evidence, unreachable", failure(FailureKind::Unreachable)),
+        ("evidence, failing", failure(FailureKind::Failing)),
+        ("evidence, silent", failure(FailureKind::Silent)),
+        ("evidence, shut", failure(FailureKind::Shut)),
+        ("clearance", Part::Evidence(300, Evidence::Cleared(4, 77, NOW - 1_000_000))),
+        ("limit", Part::Evidence(7, Evidence::Limit(limit))),
+        ("wait", Part::Evidence(7, Evidence::Wait(NOW + 1_230_000))),
+        ("ping", Part::Ping { number: 11, digest: 0xdead_beef }),
+        ("acknowledgement", Part::Ack { number: 11, digest: 0xdead_beef }),
+        ("indirect ping", Part::PingRequest { target: 5, number: 12 }),
+        ("member, alive", member(State::Alive)),
+        ("member, suspected", member(State::Suspected)),
+        ("member, gone", member(State::Gone)),
+        ("quota request", Part::QuotaRequest { destination: 7, request: 13, units: 2_000 }),
+        ("quota transfer", Part::QuotaGrant { request: 13, units: 1_500 }),
         ("counts", Part::Counts(7, count)),
-        ("request for all", Part::Everything),
+        ("request for all", Part::SyncRequest),
     ]
 }
 
@@ -48,7 +52,7 @@
         let mut writer = Writer::new(INCARNATION, NOW);
         assert!(writer.add(&part), "{name} fits");
         let bytes = writer.finish();
-        let read = Message::read(&bytes).and_then(|note| note.parts(NOW, 0)).expect("it is read");
+        let read = Message::read(&bytes).and_then(|message| message.parts(NOW, 0)).expect("it is read");
         let same = if read == [part] { "read as written" } else { "read otherwise" };
         let _ = writeln!(text, "{name}: {} {same}", hex(&bytes));
         all.add(&part);
--- a/crates/gossip/src/counts.rs
+++ b/crates/gossip/src/counts.rs
@@ -1,6 +1,6 @@
-//! Counts of the whole fleet, from samples: each sender tells its own counts of the last span along with what it says anyway,
-//! and what the fleet comes to is reckoned from those of the latest senders that were heard. A count that comes twice counts
-//! once, since each sender has one place; it says how old it is and for how many senders it stands.
+//! Estimates of the fleet's traffic from samples: each sender publishes its own counts of the last span along with pings and
+//! acknowledgements, and the total is extrapolated from those of the senders heard of most recently. A duplicate counts once,
+//! since each sender has one entry; an estimate says how old it is and on how many senders it is based.
 
 use std::collections::BTreeMap;
 
@@ -8,74 +8,95 @@
 
 use crate::{MemberIndex, Micros};
 
-/// Counts are of so long a span.
+#[cfg(test)]
+mod tests;
+
+/// The span that counts cover.
 pub const SPAN: Micros = 2_000_000;
-/// Slots that a span is counted in.
+/// Slots that a span is divided into.
 const SLOTS: usize = 4;
-/// Others' counts are kept of so many senders, and for so long.
-pub const SAMPLE: usize = 64;
-/// Others' counts are forgotten after this time.
-pub const KEPT_FOR: Micros = 5 * SPAN;
-/// Destinations that are counted at most; the busiest.
-pub const DESTINATIONS: usize = 4_096;
-
-/// What happened at one destination in a span, or is held for it now.
+/// Counts of so many other senders are retained for a destination.
+pub const MAX_SAMPLES: usize = 64;
+/// Counts of other senders are dropped after this time.
+pub const SAMPLE_EXPIRY: Micros = 5 * SPAN;
+/// Destinations that are counted at most.
+pub const MAX_DESTINATIONS: usize = 4_096;
+
+/// Traffic at one destination. Encoded by position in messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// Calls that ended.
+    /// Calls that completed.
     pub calls: u32,
-    /// Of them, turned away.
-    pub refused: u32,
+    /// Of them, rejected.
+    pub rejected: u32,
     /// Of them, failed.
     pub failed: u32,
-    /// Messages tried for a second time or more.
-    pub repeats: u32,
-    /// Messages that are held now.
-    pub held: u32,
+    /// Attempts beyond each message's first.
+    pub retries: u32,
+    /// Messages that are in flight or queued now.
+    pub outstanding: u32,
 }
 
 impl Count {
     fn add(&mut self, other: Self) {
-        let add = |a: u32, b: u32| a.saturating_add(b);
-        self.calls = add(self.calls, other.calls);
-        self.refused = add(self.refused, other.refused);
-        self.failed = add(self.failed, other.failed);
-        self.repeats = add(self.repeats, other.repeats);
-        self.held = add(self.held, other.held);
+        self.calls = self.calls.saturating_add(other.calls);
+        self.rejected = self.rejected.saturating_add(other.rejected);
+        self.failed = self.failed.saturating_add(other.failed);
+        self.retries = self.retries.saturating_add(other.retries);
+        self.outstanding = self.outstanding.saturating_add(other.outstanding);
+    }
+
+    fn scaled(self, factor: f64) -> Self {
+        let scaled = |n: u32| (f64::from(n) * factor).min(f64::from(u32::MAX)) as u32;
+        Self {
+            calls: scaled(self.calls),
+            rejected: scaled(self.rejected),
+            failed: scaled(self.failed),
+            retries: scaled(self.retries),
+            outstanding: scaled(self.outstanding),
+        }
     }
 }
 
-/// What the fleet comes to at one destination.
+/// The traffic of the whole fleet at one destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// Scaled up to all senders.
+    /// Extrapolated to all senders.
     pub count: Count,
-    /// Of how many senders it was reckoned, this one counted.
-    pub heard: usize,
-    /// How old the oldest of it is.
+    /// Senders that it is based on, this one counted.
+    pub samples: usize,
+    /// Age of the oldest sample.
     pub age: Micros,
 }
 
-/// Own counts, in slots, and the latest of others.
+/// The counts of one other sender.
+#[derive(Clone, Copy, Debug)]
+struct Sample {
+    at: Micros,
+    count: Count,
+}
+
+/// This sender's counts, in a ring of slots, and the latest of others.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     own: BTreeMap<u16, [Count; SLOTS]>,
-    /// The slot that counts now, and since when.
+    /// The slot that is counted in, and since when.
     slot: usize,
-    slot_at: Micros,
-    others: BTreeMap<u16, BTreeMap<MemberIndex, (Micros, Count)>>,
+    slot_started_at: Micros,
+    samples: BTreeMap<u16, BTreeMap<MemberIndex, Sample>>,
 }
 
 impl Counts {
-    fn turn(&mut self, now: Micros) {
-        let each = SPAN / SLOTS as Micros;
-        if now >= self.slot_at + SPAN {
+    /// Moves on to the slot of this time, and clears those that are reused.
+    fn advance(&mut self, now: Micros) {
+        let slot_span = SPAN / SLOTS as Micros;
+        if now >= self.slot_started_at + SPAN {
             self.own.clear();
-            self.slot_at = now;
+            self.slot_started_at = now;
             return;
         }
-        while now >= self.slot_at + each {
-            self.slot_at += each;
+        while now >= self.slot_started_at + slot_span {
+            self.slot_started_at += slot_span;
             self.slot = (self.slot + 1) % SLOTS;
             let slot = self.slot;
             self.own.retain(|_, slots| {
@@ -85,112 +106,61 @@
         }
     }
 
-    /// Something happened here.
-    pub fn note(&mut self, destination: u16, count: Count, now: Micros) {
-        self.turn(now);
+    /// Counts traffic of this sender.
+    pub fn record(&mut self, destination: u16, count: Count, now: Micros) {
+        self.advance(now);
         let slot = self.slot;
-        if self.own.len() < DESTINATIONS || self.own.contains_key(&destination) {
+        if self.own.len() < MAX_DESTINATIONS || self.own.contains_key(&destination) {
             self.own.entry(destination).or_default()[slot].add(count);
         }
     }
 
-    /// This sender's own counts of the last span, the busiest first.
+    /// This sender's counts of the last span, the busiest destination first.
     pub fn own(&mut self, now: Micros) -> Vec<(u16, Count)> {
-        self.turn(now);
+        self.advance(now);
         let mut own: Vec<_> =
             self.own.iter().map(|(destination, slots)| (*destination, sum(slots))).collect();
         own.sort_by_key(|(destination, count)| (u32::MAX - count.calls, *destination));
         own
     }
 
-    /// Another told its counts, of so long ago.
-    pub fn heard(&mut self, from: MemberIndex, destination: u16, count: Count, age: Micros, now: Micros) {
-        if self.others.len() >= DESTINATIONS && !self.others.contains_key(&destination) {
+    /// Another sender published its counts, `age` ago. A duplicate, or one that is older than the last, is ignored.
+    pub fn received(&mut self, from: MemberIndex, destination: u16, count: Count, age: Micros, now: Micros) {
+        if self.samples.len() >= MAX_DESTINATIONS && !self.samples.contains_key(&destination) {
             return;
         }
-        let others = self.others.entry(destination).or_default();
+        let samples = self.samples.entry(destination).or_default();
         let at = now.saturating_sub(age);
-        // One that comes twice, or late, counts for nothing.
-        if others.get(&from).is_none_or(|before| before.0 < at) {
-            others.insert(from, (at, count));
+        if samples.get(&from).is_none_or(|before| before.at < at) {
+            samples.insert(from, Sample { at, count });
         }
-        while others.len() > SAMPLE {
-            let oldest = others.iter().min_by_key(|(rank, told)| (told.0, **rank)).map(|(rank, _)| *rank);
-            oldest.map(|rank| others.remove(&rank));
+        while samples.len() > MAX_SAMPLES {
+            let oldest = samples.iter().min_by_key(|(sender, sample)| (sample.at, **sender));
+            let oldest = oldest.map(|(sender, _)| *sender);
+            oldest.map(|sender| samples.remove(&sender));
         }
     }
 
-    /// What all senders together come to at a destination, of so many.
+    /// The traffic of a fleet of so many senders at a destination.
     pub fn estimate(&mut self, destination: u16, senders: usize, now: Micros) -> Estimate {
-        self.turn(now);
-        let mut all = self.own.get(&destination).map(sum).unwrap_or_default();
-        let (mut heard, mut age) = (1, 0);
-        if let Some(others) = self.others.get_mut(&destination) {
-            others.retain(|_, told| now.saturating_sub(told.0) < KEPT_FOR);
-            for (at, count) in others.values() {
-                all.add(*count);
-                heard += 1;
-                age = age.max(now.saturating_sub(*at));
+        self.advance(now);
+        let mut total = self.own.get(&destination).map(sum).unwrap_or_default();
+        let (mut sampled, mut age) = (1, 0);
+        if let Some(samples) = self.samples.get_mut(&destination) {
+            samples.retain(|_, sample| now.saturating_sub(sample.at) < SAMPLE_EXPIRY);
+            for sample in samples.values() {
+                total.add(sample.count);
+                sampled += 1;
+                age = age.max(now.saturating_sub(sample.at));
             }
         }
-        let scale = senders.max(heard) as f64 / heard as f64;
-        let scaled = |n: u32| (f64::from(n) * scale).min(f64::from(u32::MAX)) as u32;
-        let count = Count {
-            calls: scaled(all.calls),
-            refused: scaled(all.refused),
-            failed: scaled(all.failed),
-            repeats: scaled(all.repeats),
-            held: scaled(all.held),
-        };
-        Estimate { count, heard, age }
+        let factor = senders.max(sampled) as f64 / sampled as f64;
+        Estimate { count: total.scaled(factor), samples: sampled, age }
     }
 }
 
 fn sum(slots: &[Count; SLOTS]) -> Count {
-    let mut all = Count::default();
-    slots.iter().for_each(|count| all.add(*count));
-    all
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn calls(calls: u32) -> Count {
-        Count { calls, ..Count::default() }
-    }
-
-    #[test]
-    fn own_counts_are_of_the_last_span() {
-        let mut counts = Counts::default();
-        for second in 0..10 {
-            counts.note(7, calls(5), second * 500_000);
-        }
-        assert_eq!(counts.own(9 * 500_000), [(7, calls(20))]);
-        assert_eq!(counts.own(9 * 500_000 + SPAN), []);
-    }
-
-    #[test]
-    fn what_comes_twice_counts_once_and_what_is_old_not_at_all() {
-        let mut counts = Counts::default();
-        for _ in 0..3 {
-            counts.heard(1, 7, calls(10), 0, SPAN);
-        }
-        counts.heard(1, 7, calls(900), SPAN / 2, SPAN);
-        counts.heard(2, 7, calls(20), 0, SPAN);
-        let estimate = counts.estimate(7, 30, SPAN);
-        assert_eq!((estimate.count.calls, estimate.heard), (300, 3));
-        assert_eq!(counts.estimate(7, 30, SPAN + KEPT_FOR).heard, 1);
-    }
-
-    #[test]
-    fn what_others_make_grow_is_bounded() {
-        let mut counts = Counts::default();
-        for n in 0..u16::MAX {
-            counts.heard(n, 7, calls(1), 0, u64::from(n) + SPAN);
-            counts.heard(1, n, calls(1), 0, SPAN);
-        }
-        assert_eq!(counts.others[&7].len(), SAMPLE);
-        assert!(counts.others.len() <= DESTINATIONS);
-    }
+    let mut total = Count::default();
+    slots.iter().for_each(|count| total.add(*count));
+    total
 }
--- /dev/null
+++ b/crates/gossip/src/gossip/quota.rs
@@ -0,0 +1,80 @@
+//! Transfer of quota from senders with spare units to those that are short.
+
+use super::{Addressed, Gossip};
+use crate::escrow::{EVEN_SHARE, QuotaRequest, RETAINED_UNITS, RequestId};
+use crate::message::Part;
+use crate::{MemberIndex, Micros};
+
+/// Peers that are asked for units at a time.
+const LENDERS: usize = 4;
+/// Between two requests for units of one destination's quota.
+const REQUEST_INTERVAL: Micros = 500_000;
+/// What this sender reported to need is trusted for this time.
+const SPARE_EXPIRY: Micros = 2 * REQUEST_INTERVAL;
+/// Units that are requested of one peer at least.
+const MIN_REQUEST: u32 = EVEN_SHARE / 16;
+/// Even shares that a demand counts for at most.
+const MAX_DEMAND: f64 = 64.0;
+/// Of the units it needs, a multiple that a sender reserves before it lends.
+const RESERVE_FACTOR: u32 = 2;
+
+impl Gossip {
+    /// Reports what this sender needs of a destination's limit, as a multiple of its even share. It requests units where both it
+    /// and the limit are short, and lends those that it does not need.
+    pub fn report_demand(&mut self, destination: u16, share: f64, is_short: bool, now: Micros) {
+        if !self.config.quota_transfer || !self.has_capacity_for(destination) {
+            return;
+        }
+        let usable = self.escrow.usable_units(destination, now);
+        let needed = (share.clamp(0.0, MAX_DEMAND) * f64::from(EVEN_SHARE)) as u32;
+        let local = self.local.entry(destination).or_default();
+        local.spare_units = usable.saturating_sub(needed.saturating_mul(RESERVE_FACTOR));
+        local.spare_at = now;
+        let is_due = local.quota_requested_at.is_none_or(|at| now >= at + REQUEST_INTERVAL);
+        if is_short && needed > usable && is_due && !self.membership.is_isolated(now) {
+            local.quota_requested_at = Some(now);
+            self.request_quota(destination, needed - usable, now);
+        }
+    }
+
+    fn request_quota(&mut self, destination: u16, missing: u32, now: Micros) {
+        let units = missing.div_ceil(LENDERS as u32).clamp(MIN_REQUEST, EVEN_SHARE - RETAINED_UNITS);
+        for to in self.pick_peers(LENDERS) {
+            if let Some(request) = self.escrow.request(destination, units, now) {
+                let part = Part::QuotaRequest { destination, request, units };
+                self.ready.push(Addressed { to, parts: vec![part] });
+            }
+        }
+    }
+
+    pub(super) fn quota_request_received(
+        &mut self,
+        from: MemberIndex,
+        destination: u16,
+        request: RequestId,
+        units: u32,
+        now: Micros,
+    ) {
+        if !self.config.quota_transfer || self.membership.is_isolated(now) {
+            return;
+        }
+        // Without a recent demand of its own this sender has its whole share to spare.
+        let spare = match self.local.get(&destination) {
+            Some(local) if now < local.spare_at + SPARE_EXPIRY => local.spare_units,
+            _ => EVEN_SHARE,
+        };
+        let wanted = QuotaRequest { from, request, destination, units };
+        if let Some(units) = self.escrow.grant(wanted, spare, now) {
+            let grant = Part::QuotaGrant { request, units };
+            self.ready.push(Addressed { to: from, parts: vec![grant] });
+        }
+    }
+
+    /// What may be used of a destination's limit, as a multiple of the even share.
+    pub fn quota_share(&self, destination: u16, now: Micros) -> f64 {
+        if !self.config.quota_transfer {
+            return 1.0;
+        }
+        f64::from(self.escrow.usable_units(destination, now)) / f64::from(EVEN_SHARE)
+    }
+}
--- /dev/null
+++ b/crates/gossip/src/message/error.rs
@@ -0,0 +1,42 @@
+//! Why messages are rejected.
+
+use std::fmt;
+
+use super::VERSION;
+
+/// Why a message is rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Rejected {
+    /// It is not a gossip message.
+    Foreign,
+    /// It is of another version.
+    Version(u8),
+    /// Its checksum does not match.
+    Damaged,
+    /// Its content is invalid.
+    Contradicts,
+    /// It was delayed for too long.
+    Stale,
+    /// Its sender is not a member.
+    Unknown,
+}
+
+impl fmt::Display for Rejected {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Foreign => {
+                f.write_str("it is no note of a sender: is peer_listen another service's address?")
+            }
+            Self::Version(version) => write!(
+                f,
+                "it is of version {version}, this sender reads {VERSION}: harmless during a release"
+            ),
+            Self::Damaged => f.write_str("it was damaged on its way"),
+            Self::Contradicts => f.write_str("it says what can't be"),
+            Self::Stale => f.write_str("it was held up for more than a second"),
+            Self::Unknown => f.write_str("it comes from a rank that peers does not have"),
+        }
+    }
+}
+
+impl std::error::Error for Rejected {}
--- a/crates/gossip/tests/escrow.rs
+++ b/crates/gossip/tests/escrow.rs
@@ -1,97 +1,110 @@
-//! Parts of a limit that are lent, checked over all orders in which notes come, come twice, late or never, and processes end:
-//! at no moment do all parts in use come to more than the whole, and none is used beyond its span.
+//! Quota transfers, checked over all orders in which messages are received, duplicated, delayed or lost, and processes end: at
+//! no moment do the shares in use exceed the limit, and none is used beyond its span.
 
 use std::collections::BTreeSet;
 
-use gossip::rights::{EVEN, QuotaEscrow, SPAN};
+use gossip::escrow::{EVEN_SHARE, QuotaEscrow, QuotaRequest, SPAN};
 use stateright::{Checker, Model, Property};
 
 const SENDERS: usize = 3;
 const DEST: u16 = 7;
-/// A step of time: so many make a span.
+/// Time advances by this much: a quarter of a span.
 const STEP: u64 = SPAN / 4;
 const BEGIN: u64 = 2 * SPAN;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Note {
-    Borrow { from: usize, to: usize, ask: u32, units: u32 },
-    Lend { from: usize, to: usize, ask: u32, units: u32 },
+enum Message {
+    Request { from: usize, to: usize, request: u32, units: u32 },
+    Grant { from: usize, to: usize, request: u32, units: u32 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
-    rights: Vec<QuotaEscrow>,
-    /// Notes that were sent: each may come any number of times, at any time, or never.
-    network: BTreeSet<Note>,
-    asks: usize,
-    killed: bool,
-    notes: usize,
+    escrows: Vec<QuotaEscrow>,
+    /// Messages that were sent: each may be delivered any number of times, at any time, or never.
+    network: BTreeSet<Message>,
+    requests: usize,
+    is_killed: bool,
+    deliveries: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Time,
-    Ask(usize),
-    Comes(Note),
-    Killed(usize),
+    Advance,
+    Request(usize),
+    Deliver(Message),
+    Kill(usize),
 }
 
-struct Bounds {
+struct EscrowModel {
     steps: u64,
-    asks: usize,
-    notes: usize,
+    requests: usize,
+    deliveries: usize,
 }
 
-impl Model for Bounds {
+impl Model for EscrowModel {
     type State = World;
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let rights = (0..SENDERS).map(|n| QuotaEscrow::new(0, 1_000 * n as u32)).collect();
-        vec![World { now: BEGIN, rights, network: BTreeSet::new(), asks: 0, killed: false, notes: 0 }]
+        let escrows = (0..SENDERS).map(|n| QuotaEscrow::new(0, 1_000 * n as u32)).collect();
+        vec![World {
+            now: BEGIN,
+            escrows,
+            network: BTreeSet::new(),
+            requests: 0,
+            is_killed: false,
+            deliveries: 0,
+        }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         if world.now < BEGIN + self.steps * STEP {
-            actions.push(Step::Time);
+            actions.push(Step::Advance);
         }
-        if world.asks < self.asks {
-            actions.extend((0..2).map(Step::Ask));
+        if world.requests < self.requests {
+            actions.extend((0..2).map(Step::Request));
         }
-        if world.notes < self.notes {
-            actions.extend(world.network.iter().cloned().map(Step::Comes));
+        if world.deliveries < self.deliveries {
+            actions.extend(world.network.iter().cloned().map(Step::Deliver));
         }
-        if !world.killed {
-            actions.extend((0..SENDERS).map(Step::Killed));
+        if !world.is_killed {
+            actions.extend((0..SENDERS).map(Step::Kill));
         }
     }
 
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut world = world.clone();
         match step {
-            Step::Time => world.now += STEP,
-            Step::Ask(from) => {
-                world.asks += 1;
-                let ask = world.rights[from].ask(DEST, EVEN / 2, world.now)?;
+            Step::Advance => world.now += STEP,
+            Step::Request(from) => {
+                world.requests += 1;
+                let request = world.escrows[from].request(DEST, EVEN_SHARE / 2, world.now)?;
                 let others = (0..SENDERS).filter(|to| *to != from);
-                world.network.extend(others.map(|to| Note::Borrow { from, to, ask, units: EVEN / 2 }));
+                world.network.extend(others.map(|to| Message::Request {
+                    from,
+                    to,
+                    request,
+                    units: EVEN_SHARE / 2,
+                }));
             }
-            Step::Comes(note) => {
-                world.notes += 1;
-                match note {
-                    Note::Borrow { from, to, ask, units } => {
-                        let lent = world.rights[to].lend(from as u16, DEST, ask, units, EVEN, world.now)?;
-                        world.network.insert(Note::Lend { from: to, to: from, ask, units: lent });
+            Step::Deliver(message) => {
+                world.deliveries += 1;
+                match message {
+                    Message::Request { from, to, request, units } => {
+                        let wanted = QuotaRequest { from: from as u16, request, destination: DEST, units };
+                        let granted = world.escrows[to].grant(wanted, EVEN_SHARE, world.now)?;
+                        world.network.insert(Message::Grant { from: to, to: from, request, units: granted });
                     }
-                    Note::Lend { from, to, ask, units } => {
-                        world.rights[to].granted(from as u16, ask, units, world.now);
+                    Message::Grant { from, to, request, units } => {
+                        world.escrows[to].grant_received(from as u16, request, units, world.now);
                     }
                 }
             }
-            Step::Killed(sender) => {
-                world.killed = true;
-                world.rights[sender] = QuotaEscrow::new(world.now, 100_000);
+            Step::Kill(sender) => {
+                world.is_killed = true;
+                world.escrows[sender] = QuotaEscrow::new(world.now, 100_000);
             }
         }
         Some(world)
@@ -99,24 +112,25 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("all parts in use are no more than the whole", |_, world: &World| {
-                let all: u32 = world.rights.iter().map(|rights| rights.may_use(DEST, world.now)).sum();
-                all <= SENDERS as u32 * EVEN
+            Property::always("the shares in use do not exceed the limit", |_, world: &World| {
+                let all: u32 = world.escrows.iter().map(|escrow| escrow.usable_units(DEST, world.now)).sum();
+                all <= SENDERS as u32 * EVEN_SHARE
             }),
-            Property::always("nothing is used beyond its span", |_, world: &World| {
+            Property::always("no transfer is used beyond its span", |_, world: &World| {
                 let later = world.now + SPAN;
-                world.rights.iter().all(|rights| rights.may_use(DEST, later) <= EVEN)
+                world.escrows.iter().all(|escrow| escrow.usable_units(DEST, later) <= EVEN_SHARE)
             }),
-            Property::sometimes("something is lent and used", |_, world: &World| {
-                world.rights.iter().any(|rights| rights.may_use(DEST, world.now) > EVEN)
+            Property::sometimes("a transfer is used", |_, world: &World| {
+                world.escrows.iter().any(|escrow| escrow.usable_units(DEST, world.now) > EVEN_SHARE)
             }),
         ]
     }
 }
 
 #[test]
-fn no_order_of_notes_and_ends_lends_more_than_the_whole() {
-    let checker = Bounds { steps: 5, asks: 2, notes: 4 }.checker().threads(2).spawn_bfs().join();
+fn no_order_of_messages_and_ends_exceeds_the_limit() {
+    let checker =
+        EscrowModel { steps: 5, requests: 2, deliveries: 4 }.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
--- a/crates/sender/src/driver/duty.rs
+++ b/crates/sender/src/driver/duty.rs
@@ -4,7 +4,7 @@
 use admin::door::AdmissionGate;
 use admin::figures::Gauges;
 use decision::interface::Event;
-use gossip::judgement::Evidence;
+use gossip::evidence::Evidence;
 use gossip::{Gossip, Micros};
 
 use std::fmt::Write as _;
@@ -76,26 +76,26 @@
 /// Who is there, what is believed of each destination and why, and what is lent.
 fn show_shared(shared: &Gossip, now: Micros) -> String {
     let age = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
-    let (said, rejected) = shared.traffic();
+    let gossip::Traffic { sent_bytes, rejected_messages } = shared.traffic();
     let alone = if shared.is_isolated(now) { ", hears nobody" } else { "" };
     let mut text = format!(
-        "senders {}{alone}, {said} bytes said, {rejected} notes used for nothing\n",
+        "senders {}{alone}, {sent_bytes} bytes said, {rejected_messages} notes used for nothing\n",
         shared.membership().present()
     );
-    for (rank, state, since) in shared.membership().missing() {
-        let _ = writeln!(text, "sender {rank}: {state:?} for {:.1} s", age(since));
+    for absent in shared.membership().unavailable() {
+        let _ = writeln!(text, "sender {}: {:?} for {:.1} s", absent.member, absent.state, age(absent.since));
     }
     for shown in shared.inspect(now) {
-        let part = f64::from(shown.may_use) / f64::from(gossip::rights::EVEN);
-        let ill = shown.belief.unhealthy.map_or("well, as far as others say".to_owned(), |(at, kind)| {
-            format!("ill ({kind:?}, {:.1} s ago)", age(at))
+        let part = f64::from(shown.usable_units) / f64::from(gossip::escrow::EVEN_SHARE);
+        let ill = shown.belief.unhealthy.map_or("well, as far as others say".to_owned(), |outage| {
+            format!("ill ({:?}, {:.1} s ago)", outage.kind, age(outage.at))
         });
         let _ = writeln!(
             text,
             "destination {}: {ill}; {part:.2} even parts of its limit, {} units borrowed, {} lent",
-            shown.destination, shown.borrowed, shown.lent
+            shown.destination, shown.received_units, shown.granted_units
         );
-        for item in shown.items {
+        for item in shown.evidence {
             let _ = match item {
                 Evidence::Failure(from, bad) => writeln!(
                     text,
--- a/crates/sender/src/program.rs
+++ b/crates/sender/src/program.rs
@@ -199,14 +199,14 @@
         u16::try_from(config.settings.senders).map_err(|_| "[shared] on = true: too many senders")?;
     // Higher than that of a process before, unless the clock was set back: then others raise it.
     let run = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as u32);
-    let bytes = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64));
+    let byte_budget = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64)).into();
     let (broadcast, lends) = (config.peers_all.is_some(), table.lends);
     Ok(Some(GossipConfig {
         member: me,
         incarnation: run,
         senders,
         broadcast,
-        byte_budget: bytes,
+        byte_budget,
         quota_transfer: lends,
     }))
 }
