--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -6,10 +6,10 @@
 use decision::interface::*;
 use decision::policy::Policy;
 
-use health_snapshot::DestinationRecord;
-use health_snapshot::belief::{Config, RestoreTime, restore};
 use health_snapshot::replay::Snapshot;
-use health_snapshot::stamp::Timestamp;
+use health_snapshot::restore::{Config, RestoreTime, restore};
+use health_snapshot::timestamp::Timestamp;
+use health_snapshot::{DestinationRecord, RouteKey, RouteRecord};
 
 use crate::partner::{Count, Partner};
 
@@ -448,14 +448,18 @@
 
     fn keep(&mut self, sender: usize) {
         let node = &mut self.nodes[sender];
-        let stamp = Timestamp { wall: WALL + self.now, boot: None };
-        let mut snapshot = Snapshot { stamp, found: true, ..Snapshot::default() };
+        let timestamp = Timestamp { wall: WALL + self.now, boot: None };
+        let mut snapshot = Snapshot { timestamp, found: true, ..Snapshot::default() };
         for destination in node.policy.known_destinations() {
-            let routes =
-                node.policy.learnt(destination).into_iter().map(|(_, learnt)| (None, on_the_wall(learnt)));
-            let kept = DestinationRecord { at: stamp.wall, listed: vec![], routes: routes.collect() };
-            for (_, learnt) in kept.routes.iter().filter(|route| route.1.wait_until > stamp.wall) {
-                snapshot.waits.insert((destination.0, None), learnt.wait_until);
+            let routes = node
+                .policy
+                .learnt(destination)
+                .into_iter()
+                .map(|(_, learnt)| RouteRecord { endpoint: None, snapshot: on_the_wall(learnt) });
+            let kept = DestinationRecord { at: timestamp.wall, listed: vec![], routes: routes.collect() };
+            for route in kept.routes.iter().filter(|route| route.snapshot.wait_until > timestamp.wall) {
+                let key = RouteKey { destination: destination.0, endpoint: None };
+                snapshot.waits.insert(key, route.snapshot.wait_until);
             }
             snapshot.destinations.insert(destination.0, kept);
         }
@@ -465,10 +469,10 @@
     /// What a sender believes that comes back now.
     fn believed(&self, sender: usize) -> Vec<Event> {
         let Some(snapshot) = &self.nodes[sender].snapshot else { return vec![] };
-        let stamp = Timestamp { wall: WALL + self.now, boot: None };
+        let timestamp = Timestamp { wall: WALL + self.now, boot: None };
         let law = Config { span: 3_600 * SECOND, latency_objective: 4 * SECOND };
-        let belief = restore(snapshot, &RestoreTime { now: self.now, stamp }, 0, &law);
-        let told = |believed: health_snapshot::belief::RestoredRoute| Event::SnapshotRestored {
+        let belief = restore(snapshot, &RestoreTime { now: self.now, timestamp }, 0, &law);
+        let told = |believed: health_snapshot::restore::RestoredRoute| Event::SnapshotRestored {
             route: (DestinationId(believed.destination), None),
             snapshot: believed.snapshot,
         };
--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -11,9 +11,11 @@
 
 use admin::held_out::Ejections;
 use decision::interface::{Condition, Idempotency, IdempotencyScope, RouteSnapshot};
-use health_snapshot::stamp::{Boot, Timestamp};
 use health_snapshot::store::{Source, Store, load};
-use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint};
+use health_snapshot::timestamp::{Boot, Timestamp};
+use health_snapshot::{
+    DestinationRecord, EndpointStatus, ListVersion, ListedEndpoint, RouteKey, RouteRecord,
+};
 use journal::disk::{Folder, LOCK};
 use journal::{
     Abandonment, AcceptedMessage, Journal, LedgerEntry, LedgerOptions, Micros, Options, Record, inspect,
@@ -156,11 +158,12 @@
     let mut disk = Folder::reader(folder);
     let owner = health_snapshot::store::owner(&mut disk)?.unwrap_or_default();
     let seen = load(&mut disk, &owner)?;
-    let Timestamp { wall, boot } = seen.stamp;
+    let Timestamp { wall, boot } = seen.timestamp;
     let boot = boot.map(|Boot { id, at }| (id, at));
     say(text, format_args!("known of {owner}, at {wall}, since the machine's start {boot:?}"));
-    say(text, format_args!("list {:?}, found {}, left out {}", seen.list, seen.found, seen.left_out));
-    say(text, format_args!("{} troubles, lost {}", seen.troubles.len(), seen.lost()));
+    let list = seen.list.map(|list| (list.index, list.confirmed_at));
+    say(text, format_args!("list {list:?}, found {}, left out {}", seen.found, seen.omitted));
+    say(text, format_args!("{} troubles, lost {}", seen.faults.len(), seen.is_incomplete()));
     for (destination, DestinationRecord { at, listed, routes }) in &seen.destinations {
         say(text, format_args!("destination {destination} at {at}"));
         for ListedEndpoint { name, address, zone, kind, status, weight } in listed {
@@ -171,11 +174,11 @@
             };
             say(text, format_args!("  endpoint {name} {address} {zone} {kind} {status} {weight}"));
         }
-        for (endpoint, learnt) in routes {
+        for RouteRecord { endpoint, snapshot: learnt } in routes {
             say(text, format_args!("  route {endpoint:?}: {}", observed(learnt)));
         }
     }
-    for ((destination, endpoint), until) in &seen.waits {
+    for (RouteKey { destination, endpoint }, until) in &seen.waits {
         say(text, format_args!("wait of {destination} {endpoint:?} until {until}"));
     }
     Ok(())
@@ -373,12 +376,12 @@
         self.all.keys().copied().collect()
     }
 
-    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
+    fn record(&self, destination: u16) -> Option<DestinationRecord> {
         Some(DestinationRecord { at: self.now, ..self.all.get(&destination)?.clone() })
     }
 
-    fn list(&self) -> (u64, Micros) {
-        (17, self.now)
+    fn list(&self) -> ListVersion {
+        ListVersion { index: 17, confirmed_at: self.now }
     }
 }
 
@@ -416,7 +419,7 @@
             listed(2, EndpointStatus::Draining),
             listed(3, EndpointStatus::Removed),
         ],
-        routes: vec![(endpoint, learnt)],
+        routes: vec![RouteRecord { endpoint, snapshot: learnt }],
     }
 }
 
@@ -428,18 +431,18 @@
     let mut world = World { now: START, all: (1..=6).map(|n| (n, kept(n))).collect() };
     let slice = |store: &mut Store, world: &World| {
         let boot = Some(Boot { id: 0x0123_4567_89ab_cdef, at: world.now - START + 77 });
-        store.slice(&Timestamp { wall: world.now, boot }, 64 << 10, world)
+        store.write_slice(&Timestamp { wall: world.now, boot }, 64 << 10, world)
     };
     for _ in 0..4 {
         slice(&mut store, &world)?;
         world.now += SECOND;
     }
     if let Some(kept) = world.all.get_mut(&3) {
-        kept.routes[0].1.wait_until = START + 90 * SECOND;
+        kept.routes[0].snapshot.wait_until = START + 90 * SECOND;
         kept.listed[0].status = EndpointStatus::Draining;
     }
-    store.pressing(3, true, world.now);
-    store.touched(4, world.now);
+    store.mark_urgent(3, true, world.now);
+    store.mark_changed(4, world.now);
     for _ in 0..40 {
         slice(&mut store, &world)?;
         world.now += SECOND;
@@ -454,9 +457,9 @@
     let (mut store, _) = Store::open(Box::new(Folder::beside(folder)), OWNER, options)?;
     // More than one slice holds, so that the further generation is not at its end.
     let mut all: BTreeMap<u16, DestinationRecord> = (1..=120).map(|n| (n, kept(n))).collect();
-    all.values_mut().for_each(|kept| kept.routes[0].1.wait_until = 0);
+    all.values_mut().for_each(|kept| kept.routes[0].snapshot.wait_until = 0);
     let world = World { now: START + 100 * SECOND, all };
-    store.slice(&Timestamp { wall: world.now, boot: None }, 64 << 10, &world)?;
+    store.write_slice(&Timestamp { wall: world.now, boot: None }, 64 << 10, &world)?;
     fs::write(folder.join(health_snapshot::store::RELEASED_MARKER), "")
 }
 
--- a/crates/health-snapshot/src/replay.rs
+++ b/crates/health-snapshot/src/replay.rs
@@ -1,228 +1,192 @@
 //! Reads generations back. No I/O.
 //!
-//! What stands later counts, in a generation and from one to the next. Generations before the newest whole one count for
-//! nothing. Whatever the bytes are, reading ends, and takes no more memory than a small multiple of theirs.
+//! Later frames replace earlier ones, within a generation and across generations. Generations before the newest complete one
+//! are obsolete. Whatever the bytes are, reading terminates, and allocates no more than a small multiple of their size.
+
+mod fault;
 
 use std::collections::BTreeMap;
-use std::fmt;
 
-use crate::format::{Entry, Head, VERSION, cut_short, frame_at, next_stamp};
-use crate::stamp::Timestamp;
-use crate::{DestinationRecord, Micros};
+use crate::format::{Entry, Head, VERSION, frame_at, is_truncated, next_timestamp};
+use crate::timestamp::Timestamp;
+use crate::{DestinationRecord, ListVersion, Micros, RouteKey};
 
-/// What was found that should not be so.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ReplayFault {
-    /// So many bytes of a last write that was not finished: nothing is wrong with that.
-    Torn {
-        /// The file.
-        file: String,
-        /// Its last bytes.
-        bytes: usize,
-    },
-    /// A stretch can't be read, and something may be lost.
-    Damaged {
-        /// The file.
-        file: String,
-        /// Where it begins.
-        at: usize,
-    },
-    /// Another version wrote it: only waits are understood.
-    OtherVersion {
-        /// The file.
-        file: String,
-        /// The format's version.
-        version: u16,
-    },
-    /// It is another sender's, and is used for nothing.
-    Foreign {
-        /// The file.
-        file: String,
-        /// Whose it is.
-        owner: String,
-    },
-    /// Its room was given back to the journal, and it could not be written anew since.
-    GivenBack,
-}
+pub use fault::ReplayFault;
 
-impl ReplayFault {
-    /// Whether something that was known may be lost by it.
-    pub fn loses(&self) -> bool {
-        matches!(self, Self::Damaged { .. } | Self::OtherVersion { .. } | Self::GivenBack)
-    }
-}
+/// A shorter file than this, and the owner's name, holds no complete head.
+const MIN_HEAD_BYTES: usize = 32;
 
-impl fmt::Display for ReplayFault {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Self::Torn { file, bytes } => {
-                write!(f, "{file}: {bytes} bytes of a write that was not finished are passed over")
-            }
-            Self::Damaged { file, at } => {
-                write!(f, "{file} is damaged from byte {at} on: every partner begins with one call")
-            }
-            Self::OtherVersion { file, version } => write!(
-                f,
-                "{file} has format version {version}, where {VERSION} is known: its waits count, and every partner begins \
-                 with one call"
-            ),
-            Self::Foreign { file, owner } => {
-                write!(f, "{file} is another sender's, {owner:?}, and is used for nothing")
-            }
-            Self::GivenBack => f.write_str(
-                "the room for what is known was given back to the journal: every partner begins with one call",
-            ),
-        }
-    }
+/// A file of a generation, in memory.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct GenerationFile {
+    /// Its name.
+    pub name: String,
+    /// Its content.
+    pub bytes: Vec<u8>,
 }
 
 /// All that could be read.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Snapshot {
-    /// When something was last written.
-    pub stamp: Timestamp,
-    /// The list's version that is all here, and when discovery last said that there is nothing newer.
-    pub list: Option<(u64, Micros)>,
+    /// When something was written last.
+    pub timestamp: Timestamp,
+    /// The list's version of which all endpoints are included.
+    pub list: Option<ListVersion>,
     /// By destination.
     pub destinations: BTreeMap<u16, DestinationRecord>,
-    /// Until when nothing may go, by destination and endpoint.
-    pub waits: BTreeMap<(u16, Option<String>), Micros>,
-    /// Destinations that had no room.
-    pub left_out: u32,
-    /// A whole generation was found, or the first one has not come to its end.
+    /// The ends of Retry-After.
+    pub waits: BTreeMap<RouteKey, Micros>,
+    /// Destinations that there was no space for.
+    pub omitted: u32,
+    /// A generation was found, complete or not.
     pub found: bool,
-    /// What should not be so.
-    pub troubles: Vec<ReplayFault>,
+    /// What went wrong.
+    pub faults: Vec<ReplayFault>,
 }
 
 impl Snapshot {
-    /// Whether something that was known may be lost.
-    pub fn lost(&self) -> bool {
-        self.troubles.iter().any(ReplayFault::loses)
+    /// Whether something that was recorded may be lost.
+    pub fn is_incomplete(&self) -> bool {
+        self.faults.iter().any(ReplayFault::loses_records)
     }
 
+    /// Moves all times to another clock.
     fn shift(&mut self, by: i64) {
         if by == 0 {
             return;
         }
-        let moved = |at: &mut Micros| {
+        let shift = |at: &mut Micros| {
             if *at > 0 {
                 *at = at.saturating_add_signed(by).max(1);
             }
         };
-        moved(&mut self.stamp.wall);
-        self.list.iter_mut().for_each(|list| moved(&mut list.1));
-        self.waits.values_mut().for_each(moved);
-        for kept in self.destinations.values_mut() {
-            moved(&mut kept.at);
-            for (_, learnt) in &mut kept.routes {
-                let times = [&mut learnt.shortage_at, &mut learnt.unhealthy_since, &mut learnt.cold_since];
-                times.into_iter().flatten().for_each(moved);
-                learnt.trial.iter_mut().for_each(|trial| moved(&mut trial.0));
-                [&mut learnt.last_success_at, &mut learnt.recent_calls.1].into_iter().for_each(moved);
+        shift(&mut self.timestamp.wall);
+        self.list.iter_mut().for_each(|list| shift(&mut list.confirmed_at));
+        self.waits.values_mut().for_each(shift);
+        for record in self.destinations.values_mut() {
+            shift(&mut record.at);
+            for route in &mut record.routes {
+                let snapshot = &mut route.snapshot;
+                let optional =
+                    [&mut snapshot.shortage_at, &mut snapshot.unhealthy_since, &mut snapshot.cold_since];
+                optional.into_iter().flatten().for_each(shift);
+                snapshot.trial.iter_mut().for_each(|trial| shift(&mut trial.0));
+                shift(&mut snapshot.last_success_at);
+                shift(&mut snapshot.recent_calls.1);
             }
         }
     }
 
-    fn take(&mut self, entry: Entry) {
+    /// Extends the end of a Retry-After.
+    fn add_wait(&mut self, route: RouteKey, until: Micros) {
+        let wait = self.waits.entry(route).or_default();
+        *wait = until.max(*wait);
+    }
+
+    fn apply(&mut self, entry: Entry) {
         match entry {
-            Entry::Stamp(stamp) => self.stamp = stamp,
-            Entry::Wait { destination, endpoint, until } => {
-                let wait = self.waits.entry((destination, endpoint)).or_default();
-                *wait = until.max(*wait);
-            }
+            Entry::Timestamp(timestamp) => self.timestamp = timestamp,
+            Entry::Wait { route, until } => self.add_wait(route, until),
             Entry::Routes { destination, first, routes } => {
-                let kept = self.destinations.entry(destination).or_default();
-                kept.at = self.stamp.wall;
+                let record = self.destinations.entry(destination).or_default();
+                record.at = self.timestamp.wall;
                 if first {
-                    kept.routes.clear();
+                    record.routes.clear();
                 }
-                kept.routes.extend(routes);
+                record.routes.extend(routes);
             }
-            Entry::Listed { destination, first, listed } => {
-                let kept = self.destinations.entry(destination).or_default();
+            Entry::Endpoints { destination, first, listed } => {
+                let record = self.destinations.entry(destination).or_default();
                 if first {
-                    kept.listed.clear();
+                    record.listed.clear();
                 }
-                kept.listed.extend(listed);
+                record.listed.extend(listed);
             }
-            Entry::List { index, seen } => self.list = Some((index, seen)),
-            Entry::Whole { left_out } => self.left_out = left_out,
-            // A wait that was told binds all the same.
-            Entry::Gone(destination) => drop(self.destinations.remove(&destination)),
+            Entry::List(list) => self.list = Some(list),
+            Entry::BaselineComplete { omitted } => self.omitted = omitted,
+            // Its Retry-After stays active.
+            Entry::Removed(destination) => drop(self.destinations.remove(&destination)),
             Entry::Unknown => {}
         }
     }
+
+    /// Adds what a newer, incomplete generation has.
+    fn merge(&mut self, newer: Self) {
+        for (route, until) in newer.waits {
+            self.add_wait(route, until);
+        }
+        self.destinations.extend(newer.destinations);
+        self.faults.extend(newer.faults);
+        self.list = newer.list.or(self.list);
+        if newer.timestamp != Timestamp::default() {
+            self.timestamp = newer.timestamp;
+        }
+        self.found = true;
+    }
 }
 
-/// Reads files that were written one behind the other: names and bytes, in the order of their sequence.
-pub fn read(owner: &str, files: &[(String, Vec<u8>)]) -> Snapshot {
-    let mut all = Snapshot::default();
-    for (file, bytes) in files {
-        let Some((head, begin)) = Head::read(bytes) else {
-            // Its process ended while it was made.
-            all.troubles.push(match bytes.len() < 32 + owner.len() {
-                true => ReplayFault::Torn { file: file.clone(), bytes: bytes.len() },
-                false => ReplayFault::Damaged { file: file.clone(), at: 0 },
-            });
+/// Reads the files of an owner, in the order of their sequence.
+pub fn read(owner: &str, files: &[GenerationFile]) -> Snapshot {
+    let mut snapshot = Snapshot::default();
+    for file in files {
+        let Some((head, start)) = Head::read(&file.bytes) else {
+            snapshot.faults.push(missing_head(owner, file));
             continue;
         };
         if head.owner != owner {
-            all.troubles.push(ReplayFault::Foreign { file: file.clone(), owner: head.owner });
+            snapshot.faults.push(ReplayFault::Foreign { file: file.name.clone(), owner: head.owner });
             continue;
         }
-        all.shift(head.shift);
-        // What an earlier generation said of the list holds only where this one is not whole.
-        let before = std::mem::take(&mut all);
-        all = generation(file, bytes, &head, begin, before);
+        snapshot.shift(head.shift);
+        snapshot = read_generation(file, &head, start, snapshot);
     }
-    all
+    snapshot
 }
 
-/// One generation, behind what was known before. Once it is whole nothing before it counts, what it was troubled by included.
-fn generation(file: &str, bytes: &[u8], head: &Head, begin: usize, before: Snapshot) -> Snapshot {
+/// A file without a valid head: its process may have ended while it was created.
+fn missing_head(owner: &str, file: &GenerationFile) -> ReplayFault {
+    let (name, bytes) = (file.name.clone(), file.bytes.len());
+    if bytes < MIN_HEAD_BYTES + owner.len() {
+        ReplayFault::Torn { file: name, bytes }
+    } else {
+        ReplayFault::Damaged { file: name, at: 0 }
+    }
+}
+
+/// Reads a generation on top of the earlier ones. Once it is complete they are obsolete, with their faults.
+fn read_generation(file: &GenerationFile, head: &Head, start: usize, earlier: Snapshot) -> Snapshot {
+    let GenerationFile { name, bytes } = file;
     let mut own = Snapshot { found: true, ..Snapshot::default() };
-    let mut behind = before;
-    let mut whole = false;
-    let file = || file.to_owned();
+    let mut earlier = earlier;
+    let mut is_complete = false;
     if head.version != VERSION {
-        own.troubles.push(ReplayFault::OtherVersion { file: file(), version: head.version });
+        own.faults.push(ReplayFault::OtherVersion { file: name.clone(), version: head.version });
     }
-    let mut at = begin;
+    let mut at = start;
     while at < bytes.len() {
         if let Some(frame) = frame_at(head.sequence, bytes, at) {
-            let entry = frame.read(head.version, own.stamp.wall);
-            whole |= matches!(entry, Entry::Whole { .. });
-            if let (Entry::Gone(destination), false) = (&entry, whole) {
-                behind.destinations.remove(destination);
+            let entry = frame.read(head.version, own.timestamp.wall);
+            is_complete |= matches!(entry, Entry::BaselineComplete { .. });
+            if let (Entry::Removed(destination), false) = (&entry, is_complete) {
+                earlier.destinations.remove(destination);
             }
-            own.take(entry);
+            own.apply(entry);
             at = frame.end;
             continue;
         }
-        let next = next_stamp(head.sequence, bytes, at + 1);
-        // Nobody writes behind a write that failed: a further generation is begun.
-        if next.is_none() && cut_short(&bytes[at..]) {
-            own.troubles.push(ReplayFault::Torn { file: file(), bytes: bytes.len() - at });
+        let next = next_timestamp(head.sequence, bytes, at + 1);
+        // Nothing is appended to a failed write: the next generation is started.
+        if next.is_none() && is_truncated(&bytes[at..]) {
+            own.faults.push(ReplayFault::Torn { file: name.clone(), bytes: bytes.len() - at });
             break;
         }
-        own.troubles.push(ReplayFault::Damaged { file: file(), at });
+        own.faults.push(ReplayFault::Damaged { file: name.clone(), at });
         let Some(next) = next else { break };
         at = next;
     }
-    if whole {
+    if is_complete {
         return own;
     }
-    for (key, until) in own.waits {
-        let wait = behind.waits.entry(key).or_default();
-        *wait = until.max(*wait);
-    }
-    behind.destinations.extend(own.destinations);
-    behind.troubles.extend(own.troubles);
-    behind.list = own.list.or(behind.list);
-    if own.stamp != Timestamp::default() {
-        behind.stamp = own.stamp;
-    }
-    behind.found = true;
-    behind
+    earlier.merge(own);
+    earlier
 }
--- a/crates/health-snapshot/tests/store.rs
+++ b/crates/health-snapshot/tests/store.rs
@@ -1,14 +1,16 @@
-//! The files of what is known, on a disk that fails as it is told to. Another first seed in KNOWN_SEED gives other runs.
+//! The store on a disk with injected faults. Another first seed in SNAPSHOT_SEED gives other runs.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
 
 use decision::interface::{Condition, RouteSnapshot};
-use health_snapshot::replay::{ReplayFault, Snapshot};
-use health_snapshot::stamp::Timestamp;
+use health_snapshot::replay::{GenerationFile, ReplayFault, Snapshot};
 use health_snapshot::store::{Options, RELEASED_MARKER, Source, Store, load};
-use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
+use health_snapshot::timestamp::Timestamp;
+use health_snapshot::{
+    DestinationRecord, EndpointStatus, ListVersion, ListedEndpoint, Micros, RouteKey, RouteRecord,
+};
 use journal::disk::Disk;
 use journal::sim::{Fault, SimDisk};
 
@@ -16,29 +18,29 @@
 const START: Micros = 1_700_000_000 * SECOND;
 
 fn first_seed() -> u64 {
-    let first = std::env::var("KNOWN_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
-    println!("KNOWN_SEED={first}");
+    let first = std::env::var("SNAPSHOT_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
+    println!("SNAPSHOT_SEED={first}");
     first
 }
 
-/// What a sender knows: some hundred destinations, and the list's version.
+/// The records of a sender: some hundred destinations, and the list's version.
 #[derive(Default)]
 struct World {
-    all: RefCell<BTreeMap<u16, DestinationRecord>>,
+    records: RefCell<BTreeMap<u16, DestinationRecord>>,
     index: RefCell<u64>,
     now: RefCell<Micros>,
 }
 
 impl Source for World {
     fn destinations(&self) -> Vec<u16> {
-        self.all.borrow().keys().copied().collect()
+        self.records.borrow().keys().copied().collect()
     }
-    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
-        let kept = self.all.borrow().get(&destination).cloned()?;
-        Some(DestinationRecord { at: *self.now.borrow(), ..kept })
+    fn record(&self, destination: u16) -> Option<DestinationRecord> {
+        let record = self.records.borrow().get(&destination).cloned()?;
+        Some(DestinationRecord { at: *self.now.borrow(), ..record })
     }
-    fn list(&self) -> (u64, Micros) {
-        (*self.index.borrow(), *self.now.borrow())
+    fn list(&self) -> ListVersion {
+        ListVersion { index: *self.index.borrow(), confirmed_at: *self.now.borrow() }
     }
 }
 
@@ -53,29 +55,35 @@
     }
 }
 
+/// The route that all endpoints of a destination share.
+fn common_route(destination: u16) -> RouteKey {
+    RouteKey { destination, endpoint: None }
+}
+
 fn world(count: u16) -> World {
     let world = World::default();
     *world.now.borrow_mut() = START;
     for destination in 0..count {
-        let learnt = RouteSnapshot {
+        let snapshot = RouteSnapshot {
             limit: 5.0 + f64::from(destination),
             last_success_at: START,
             ..RouteSnapshot::default()
         };
-        let kept =
-            DestinationRecord { at: 0, listed: vec![listed(destination, 1.0)], routes: vec![(None, learnt)] };
-        world.all.borrow_mut().insert(destination, kept);
+        let routes = vec![RouteRecord { endpoint: None, snapshot }];
+        let record = DestinationRecord { at: 0, listed: vec![listed(destination, 1.0)], routes };
+        world.records.borrow_mut().insert(destination, record);
     }
     world
 }
 
-/// What the judge holds the files against: each destination's latest state that a slice has written, and all since.
+/// A sender, and what its files must contain.
 struct Run {
     world: World,
     store: Store,
-    /// Waits in slices that came to their end.
+    /// Retry-After in slices that were completed.
     waits: BTreeMap<u16, Micros>,
-    told: BTreeMap<u16, Micros>,
+    /// Retry-After since.
+    pending: BTreeMap<u16, Micros>,
     rng: fastrand::Rng,
 }
 
@@ -88,79 +96,80 @@
 impl Run {
     fn new(disk: &SimDisk, count: u16, seed: u64) -> io::Result<Self> {
         let (store, _) = open(disk)?;
-        let (waits, told) = (BTreeMap::new(), BTreeMap::new());
-        Ok(Self { world: world(count), store, waits, told, rng: fastrand::Rng::with_seed(seed) })
+        let (waits, pending) = (BTreeMap::new(), BTreeMap::new());
+        Ok(Self { world: world(count), store, waits, pending, rng: fastrand::Rng::with_seed(seed) })
     }
 
     fn now(&self) -> Micros {
         *self.world.now.borrow()
     }
 
-    fn slice(&mut self, room: u64) -> io::Result<()> {
-        let stamp = Timestamp { wall: self.now(), boot: None };
-        self.store.slice(&stamp, room, &self.world)?;
+    fn write_slice(&mut self, space: u64) -> io::Result<()> {
+        let timestamp = Timestamp { wall: self.now(), boot: None };
+        self.store.write_slice(&timestamp, space, &self.world)?;
         Ok(())
     }
 
-    /// Something happens at some destination, and a slice follows a turn's time later.
+    /// Something changes at a random destination, and a slice follows.
     fn step(&mut self) -> io::Result<()> {
         let now = self.now() + self.rng.u64(5_000..200_000);
         *self.world.now.borrow_mut() = now;
-        let destination = self.rng.u16(..self.world.all.borrow().len() as u16);
+        let destination = self.rng.u16(..self.world.records.borrow().len() as u16);
         {
-            let mut all = self.world.all.borrow_mut();
-            let kept = all.get_mut(&destination).unwrap();
-            let learnt = &mut kept.routes[0].1;
+            let mut records = self.world.records.borrow_mut();
+            let record = records.get_mut(&destination).unwrap();
+            let snapshot = &mut record.routes[0].snapshot;
             match self.rng.u8(..6) {
                 0 => {
-                    learnt.wait_until = now + self.rng.u64(SECOND..600 * SECOND);
-                    self.told.insert(destination, learnt.wait_until);
-                    self.store.pressing(destination, false, now);
+                    snapshot.wait_until = now + self.rng.u64(SECOND..600 * SECOND);
+                    self.pending.insert(destination, snapshot.wait_until);
+                    self.store.mark_urgent(destination, false, now);
                 }
-                1 => (learnt.condition, learnt.unhealthy_since) = (Condition::Failing, Some(now)),
-                2 => (learnt.condition, learnt.cold_since) = (Condition::Healthy, Some(now)),
+                1 => (snapshot.condition, snapshot.unhealthy_since) = (Condition::Failing, Some(now)),
+                2 => (snapshot.condition, snapshot.cold_since) = (Condition::Healthy, Some(now)),
                 3 => {
-                    kept.listed[0].weight += 1.0;
+                    record.listed[0].weight += 1.0;
                     *self.world.index.borrow_mut() += 1;
-                    self.store.pressing(destination, true, now);
+                    self.store.mark_urgent(destination, true, now);
                 }
-                4 => learnt.limit = self.rng.f64() * 100.0,
-                _ => learnt.last_success_at = now,
+                4 => snapshot.limit = self.rng.f64() * 100.0,
+                _ => snapshot.last_success_at = now,
             }
         }
-        self.store.touched(destination, now);
-        self.slice(u64::MAX)?;
-        // What was pressing is written in the slice that follows; in a long one in the next.
+        self.store.mark_changed(destination, now);
+        self.write_slice(u64::MAX)?;
+        // What is urgent is written in the slice that follows; if that is full, in the next.
         if self.store.next_due(now).is_none_or(|due| due > now) {
-            self.waits.append(&mut self.told);
+            self.waits.append(&mut self.pending);
         }
         Ok(())
     }
 }
 
-/// What a process finds after the end of another: each wait of a slice that came to its end, and of each destination something
-/// that it once was.
-fn judge(run: &Run, snapshot: &Snapshot, what: &str) {
+/// Checks what a process finds after the end of another: each Retry-After of a completed slice, and a state of each destination
+/// that it was once in.
+fn check(run: &Run, snapshot: &Snapshot, what: &str) {
     for (destination, until) in run.waits.iter().filter(|wait| *wait.1 > run.now()) {
-        let found = snapshot.waits.get(&(*destination, None)).copied().unwrap_or(0);
+        let found = snapshot.waits.get(&common_route(*destination)).copied().unwrap_or(0);
         assert!(found >= *until, "{what}: the wait of {destination} until {until}, found {found}");
     }
-    for (destination, kept) in &snapshot.destinations {
-        for (_, learnt) in &kept.routes {
-            let meant =
-                learnt.limit > 0.0 && learnt.last_success_at >= START && learnt.last_success_at <= run.now();
-            assert!(meant, "{what}: {destination} is {learnt:?}");
+    for (destination, record) in &snapshot.destinations {
+        for RouteRecord { snapshot: observed, .. } in &record.routes {
+            let valid = observed.limit > 0.0
+                && observed.last_success_at >= START
+                && observed.last_success_at <= run.now();
+            assert!(valid, "{what}: {destination} is {observed:?}");
         }
         assert!(
-            kept.listed.iter().all(|listed| listed.name == format!("e{destination}")),
-            "{what}: {kept:?}"
+            record.listed.iter().all(|listed| listed.name == format!("e{destination}")),
+            "{what}: {record:?}"
         );
     }
 }
 
-/// Kills at every operation of a run, some bytes into a write, with a process behind it that goes on and is looked at too.
+/// Kills at every operation of a run, some bytes into a write; the next process continues, and is checked too.
 #[test]
-fn a_kill_at_any_operation_leaves_what_was_written_and_no_damage() {
+fn a_kill_at_any_operation_loses_no_completed_write() {
     let seed = first_seed();
     let steps = 400;
     let operations = {
@@ -176,7 +185,7 @@
         disk.fail(operation, Fault::Kill(rng.usize(..700)));
         let mut run = Run::new(&disk, 150, seed).unwrap();
         for _ in 0..steps {
-            // What fails for the sender is tried again; a killed process does nothing more.
+            // A failed slice is attempted again; a killed process does nothing more.
             let _ = run.step();
             if disk.is_killed() {
                 break;
@@ -186,27 +195,27 @@
         disk.restart();
         disk.mend();
         let snapshot = load(&mut disk.clone(), "n1").unwrap();
-        assert!(!snapshot.lost(), "operation {operation}: {:?}", snapshot.troubles);
-        judge(&run, &snapshot, &format!("operation {operation}"));
-        // The next process writes a generation of its own behind what is there.
+        assert!(!snapshot.is_incomplete(), "operation {operation}: {:?}", snapshot.faults);
+        check(&run, &snapshot, &format!("operation {operation}"));
+        // The next process starts a generation of its own.
         let (store, _) = open(&disk).unwrap();
         run.store = store;
         for _ in 0..5 {
             run.step().unwrap();
         }
         while run.store.next_due(run.now()).is_some_and(|due| due <= run.now()) {
-            run.slice(u64::MAX).unwrap();
+            run.write_slice(u64::MAX).unwrap();
         }
         let snapshot = load(&mut disk.clone(), "n1").unwrap();
-        assert!(!snapshot.lost(), "behind operation {operation}: {:?}", snapshot.troubles);
-        judge(&run, &snapshot, &format!("behind operation {operation}"));
+        assert!(!snapshot.is_incomplete(), "after operation {operation}: {:?}", snapshot.faults);
+        check(&run, &snapshot, &format!("after operation {operation}"));
         assert_eq!(snapshot.destinations.len(), 150);
     }
 }
 
-/// Power is lost at moments by chance: what was told and synced is there, whatever else was lost.
+/// Power is lost at random moments: each Retry-After that was synced is there.
 #[test]
-fn a_loss_of_power_leaves_the_waits_that_were_synced() {
+fn a_power_loss_loses_no_synced_wait() {
     let first = first_seed();
     for seed in first..first + 150 {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -217,13 +226,13 @@
         }
         disk.lose_power(&mut rng);
         let snapshot = load(&mut disk.clone(), "n1").unwrap();
-        judge(&run, &snapshot, &format!("seed {seed}"));
+        check(&run, &snapshot, &format!("seed {seed}"));
     }
 }
 
-/// A full disk, an error of the device, at every operation: the store goes on, and what it says it wrote is there.
+/// The disk is full, or the device fails, at any operation: the store continues, and what it reports as written is there.
 #[test]
-fn a_failed_write_is_not_followed_by_others() {
+fn nothing_is_appended_to_a_failed_write() {
     let seed = first_seed();
     for operation in (0..100).step_by(2) {
         for fault in [Fault::NoRoom(100), Fault::Device(37)] {
@@ -232,53 +241,53 @@
             let mut run = Run::new(&disk, 60, seed).unwrap();
             let mut failed = 0;
             for _ in 0..150 {
-                let told = run.told.clone();
+                let pending = run.pending.clone();
                 if run.step().is_err() {
                     failed += 1;
-                    run.told = told;
+                    run.pending = pending;
                 }
             }
-            // After the rest all is written again.
+            // After the backoff all is written again.
             *run.world.now.borrow_mut() += 100 * SECOND;
             while run.store.next_due(run.now()).is_some_and(|due| due <= run.now()) {
-                if run.slice(u64::MAX).is_err() {
+                if run.write_slice(u64::MAX).is_err() {
                     failed += 1;
                     *run.world.now.borrow_mut() += 100 * SECOND;
                 }
             }
             assert!(failed <= 1, "operation {operation}: {failed} failures of one fault");
             let snapshot = load(&mut disk.clone(), "n1").unwrap();
-            assert!(!snapshot.lost(), "operation {operation}, {fault:?}: {:?}", snapshot.troubles);
+            assert!(!snapshot.is_incomplete(), "operation {operation}, {fault:?}: {:?}", snapshot.faults);
             assert_eq!(snapshot.destinations.len(), 60, "operation {operation}, {fault:?}");
         }
     }
 }
 
 #[test]
-fn it_stays_within_its_size_and_what_binds_has_its_room_first() {
+fn it_respects_its_size_and_writes_restrictions_first() {
     let disk = SimDisk::new();
     let options = Options { size: 24 << 10, sync: false };
     let (mut store, _) = Store::open(Box::new(disk.clone()), "n1", options).unwrap();
     let world = world(1_000);
     for destination in 500..510 {
-        let mut all = world.all.borrow_mut();
-        all.get_mut(&destination).unwrap().routes[0].1.wait_until = START + 3_600 * SECOND;
+        let mut records = world.records.borrow_mut();
+        records.get_mut(&destination).unwrap().routes[0].snapshot.wait_until = START + 3_600 * SECOND;
     }
     for n in 0..400 {
         let now = START + n * 10_000;
         *world.now.borrow_mut() = now;
-        store.touched((n % 1_000) as u16, now);
-        store.slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world).unwrap();
+        store.mark_changed((n % 1_000) as u16, now);
+        store.write_slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world).unwrap();
         assert!(disk.used() <= options.size, "{} bytes", disk.used());
         assert_eq!(disk.used(), store.used());
     }
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
-    assert!(snapshot.left_out > 500, "{}", snapshot.left_out);
-    assert!((500..510).all(|destination| snapshot.waits.contains_key(&(destination, None))));
+    assert!(snapshot.omitted > 500, "{}", snapshot.omitted);
+    assert!((500..510).all(|destination| snapshot.waits.contains_key(&common_route(destination))));
 }
 
 #[test]
-fn room_that_is_given_back_is_told_until_all_is_written_anew() {
+fn released_space_is_reported_until_a_new_generation_is_complete() {
     let disk = SimDisk::new();
     let mut run = Run::new(&disk, 100, 1).unwrap();
     (0..20).for_each(|_| run.step().unwrap());
@@ -287,56 +296,58 @@
     run.store.release(now).unwrap();
     assert_eq!((run.store.used(), disk.used()), (0, 0));
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
-    assert_eq!((snapshot.lost(), snapshot.troubles), (true, vec![ReplayFault::GivenBack]));
-    // While the journal holds the room nothing is written.
+    assert_eq!((snapshot.is_incomplete(), snapshot.faults), (true, vec![ReplayFault::SpaceReleased]));
+    // Nothing is written while the journal uses the space.
     for _ in 0..50 {
         *run.world.now.borrow_mut() += SECOND;
-        run.slice(1_000).unwrap();
+        run.write_slice(1_000).unwrap();
     }
     assert_eq!(disk.used(), 0);
     *run.world.now.borrow_mut() += 100 * SECOND;
     while run.store.next_due(run.now()).is_some_and(|due| due <= run.now()) {
-        run.slice(u64::MAX).unwrap();
+        run.write_slice(u64::MAX).unwrap();
     }
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
-    assert!(!snapshot.lost() && snapshot.destinations.len() == 100, "{:?}", snapshot.troubles);
+    assert!(!snapshot.is_incomplete() && snapshot.destinations.len() == 100, "{:?}", snapshot.faults);
     assert!(disk.bytes(RELEASED_MARKER).is_none());
 }
 
 #[test]
-fn damage_is_told_and_what_stands_behind_it_is_read() {
+fn damage_is_reported_and_what_follows_it_is_read() {
     let disk = SimDisk::new();
     let mut run = Run::new(&disk, 50, 3).unwrap();
     (0..40).for_each(|_| run.step().unwrap());
     let names = disk.clone().names().unwrap();
     let (file, length) = names.iter().max_by_key(|name| name.1).cloned().unwrap();
-    let whole = load(&mut disk.clone(), "n1").unwrap();
+    let undamaged = load(&mut disk.clone(), "n1").unwrap();
     disk.spoil(&file, |bytes| bytes[length as usize / 3] ^= 0x20);
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
-    assert!(snapshot.lost() && snapshot.troubles.iter().any(|t| matches!(t, ReplayFault::Damaged { .. })));
-    assert_eq!(snapshot.stamp, whole.stamp, "the newest is read");
+    assert!(
+        snapshot.is_incomplete() && snapshot.faults.iter().any(|t| matches!(t, ReplayFault::Damaged { .. }))
+    );
+    assert_eq!(snapshot.timestamp, undamaged.timestamp, "the newest is read");
 }
 
 #[test]
-fn another_senders_files_are_used_for_nothing_and_go() {
+fn files_of_another_sender_are_ignored_and_removed() {
     let disk = SimDisk::new();
     let mut run = Run::new(&disk, 50, 3).unwrap();
     (0..20).for_each(|_| run.step().unwrap());
     let (mut store, snapshot) = Store::open(Box::new(disk.clone()), "n2", OPTIONS).unwrap();
     assert!(!snapshot.found && snapshot.destinations.is_empty() && snapshot.waits.is_empty());
-    assert!(matches!(&snapshot.troubles[..], [ReplayFault::Foreign { owner, .. }] if owner == "n1"));
-    assert!(!snapshot.lost(), "it is as without");
+    assert!(matches!(&snapshot.faults[..], [ReplayFault::Foreign { owner, .. }] if owner == "n1"));
+    assert!(!snapshot.is_incomplete(), "as without a snapshot");
     let (mine, now) = (world(3), START + SECOND);
     for n in 0..5 {
-        store.slice(&Timestamp { wall: now + n, boot: None }, u64::MAX, &mine).unwrap();
+        store.write_slice(&Timestamp { wall: now + n, boot: None }, u64::MAX, &mine).unwrap();
     }
     let snapshot = load(&mut disk.clone(), "n2").unwrap();
-    assert_eq!((snapshot.destinations.len(), snapshot.troubles), (3, vec![]));
+    assert_eq!((snapshot.destinations.len(), snapshot.faults), (3, vec![]));
 }
 
-/// The head's version is another one: its waits are read all the same.
+/// The head states another version.
 #[test]
-fn of_another_versions_files_the_waits_count() {
+fn waits_of_another_version_are_read() {
     let disk = SimDisk::new();
     let mut run = Run::new(&disk, 50, 3).unwrap();
     (0..60).for_each(|_| run.step().unwrap());
@@ -351,13 +362,13 @@
         });
     }
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
-    assert!(snapshot.lost() && snapshot.destinations.is_empty());
+    assert!(snapshot.is_incomplete() && snapshot.destinations.is_empty());
     for (destination, until) in waits {
-        assert!(snapshot.waits[&(destination, None)] >= until);
+        assert!(snapshot.waits[&common_route(destination)] >= until);
     }
 }
 
-/// Any bytes: reading ends without a panic, and finds no more than stands there.
+/// Whatever the bytes are, reading terminates without a panic, and finds no more than they can hold.
 #[test]
 fn any_bytes_can_be_read() {
     use proptest::prelude::*;
@@ -366,18 +377,18 @@
     (0..30).for_each(|_| run.step().unwrap());
     let files: Vec<Vec<u8>> =
         disk.clone().names().unwrap().iter().filter_map(|(name, _)| disk.bytes(name)).collect();
-    let good = files.concat();
-    let change = (0..good.len(), any::<u8>());
-    proptest!(ProptestConfig::with_cases(500), |(changes in prop::collection::vec(change, 0..6), cut in 0..good.len(),
+    let valid = files.concat();
+    let change = (0..valid.len(), any::<u8>());
+    proptest!(ProptestConfig::with_cases(500), |(changes in prop::collection::vec(change, 0..6), cut in 0..valid.len(),
         noise in prop::collection::vec(any::<u8>(), 0..300))| {
-        let mut bytes = good.clone();
+        let mut bytes = valid.clone();
         for (at, byte) in changes {
             bytes[at] = byte;
         }
         bytes.truncate(cut);
         bytes.extend(noise);
         let size = bytes.len();
-        let snapshot = health_snapshot::replay::read("n1", &[("known-000000000001".to_owned(), bytes)]);
+        let snapshot = health_snapshot::replay::read("n1", &[GenerationFile { name: "known-000000000001".to_owned(), bytes }]);
         prop_assert!(snapshot.destinations.len() <= size);
     });
 }
--- a/crates/loadtest/src/known_cost.rs
+++ b/crates/loadtest/src/known_cost.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use decision::interface::RouteSnapshot;
-use health_snapshot::stamp::Timestamp;
 use health_snapshot::store::{Options as Keep, Source, Store};
-use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, Micros};
+use health_snapshot::timestamp::Timestamp;
+use health_snapshot::{DestinationRecord, EndpointStatus, ListVersion, ListedEndpoint, Micros, RouteRecord};
 use journal::Journal;
 use journal::disk::Folder;
 use test_doubles::Platform;
@@ -41,7 +41,7 @@
         (0..self.count).collect()
     }
 
-    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
+    fn record(&self, destination: u16) -> Option<DestinationRecord> {
         let now = *self.now.borrow();
         let learnt = RouteSnapshot {
             limit: 5.0 + f64::from(destination),
@@ -58,11 +58,15 @@
             status: EndpointStatus::Active,
             weight: 1.0,
         };
-        Some(DestinationRecord { at: now, listed: vec![listed], routes: vec![(None, learnt)] })
+        Some(DestinationRecord {
+            at: now,
+            listed: vec![listed],
+            routes: vec![RouteRecord { endpoint: None, snapshot: learnt }],
+        })
     }
 
-    fn list(&self) -> (u64, Micros) {
-        (41, *self.now.borrow())
+    fn list(&self) -> ListVersion {
+        ListVersion { index: 41, confirmed_at: *self.now.borrow() }
     }
 }
 
@@ -78,10 +82,12 @@
         let now = START + turn * 5_000;
         *world.now.borrow_mut() = now;
         for n in 0..10 {
-            store.touched(((turn * 37 + n * 11) % u64::from(count)) as u16, now);
+            store.mark_changed(((turn * 37 + n * 11) % u64::from(count)) as u16, now);
         }
         let began = Instant::now();
-        store.slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world).map_err(|e| e.to_string())?;
+        store
+            .write_slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world)
+            .map_err(|e| e.to_string())?;
         times.push(began.elapsed());
     }
     Ok((Times::new(times), store.written()))
@@ -109,9 +115,11 @@
         journal.compact_step(now).map_err(|e| e.to_string())?;
         pause.push(began.elapsed());
         if known {
-            (0..10).for_each(|n| store.touched(((turn * 37 + n * 11) % 60) as u16, now));
+            (0..10).for_each(|n| store.mark_changed(((turn * 37 + n * 11) % 60) as u16, now));
             let room = journal.free_reserved_bytes();
-            store.slice(&Timestamp { wall: now, boot: None }, room, &world).map_err(|e| e.to_string())?;
+            store
+                .write_slice(&Timestamp { wall: now, boot: None }, room, &world)
+                .map_err(|e| e.to_string())?;
             journal.set_reserved_bytes(store.used());
         }
     }
--- a/crates/sender/src/driver.rs
+++ b/crates/sender/src/driver.rs
@@ -14,7 +14,7 @@
 use decision::interface::*;
 use decision::policy::Policy;
 use handover::HandoverState;
-use health_snapshot::belief::RestoredState;
+use health_snapshot::restore::RestoredState;
 use journal::{Abandonment, AcceptedMessage, Record};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, oneshot, watch};
--- a/crates/sender/src/driver/begin.rs
+++ b/crates/sender/src/driver/begin.rs
@@ -5,7 +5,7 @@
 use admin::door::AdmissionGate;
 use decision::interface::*;
 use handover::HandoverState;
-use health_snapshot::belief::{LIST_GOOD_FOR, RestoredState};
+use health_snapshot::restore::{LIST_TRUST_SPAN, RestoredState};
 use journal::{Abandonment, PendingMessage, Record};
 
 use super::left::Without;
@@ -125,7 +125,7 @@
         let now = self.at;
         let (list, from) = first_list(known, belief);
         self.index = list.index;
-        self.list_seen = (now + belief.list.good_for).saturating_sub(LIST_GOOD_FOR);
+        self.list_seen = (now + belief.list.good_for).saturating_sub(LIST_TRUST_SPAN);
         let mut said = vec![self.listed(&ListBody { snapshot: true, ..list })];
         said.extend(self.recall(belief));
         // A wait that the process before was told binds this one too.
--- a/crates/sender/src/driver/learnt.rs
+++ b/crates/sender/src/driver/learnt.rs
@@ -1,7 +1,7 @@
 //! What was learnt of partners, between the module and what is kept of it.
 
 use decision::interface::*;
-use health_snapshot::belief::RestoredState;
+use health_snapshot::restore::RestoredState;
 
 use super::Driver;
 use crate::known::View;
--- a/crates/sender/src/known.rs
+++ b/crates/sender/src/known.rs
@@ -5,10 +5,12 @@
 
 use decision::interface::{DestinationId, Micros};
 use decision::policy::Policy;
-use health_snapshot::belief::{self, Config, RestoreTime, RestoredState};
-use health_snapshot::stamp::{Boot, Timestamp};
+use health_snapshot::restore::{self, Config, RestoreTime, RestoredState};
 use health_snapshot::store::{Options, Source, Store};
-use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, keep};
+use health_snapshot::timestamp::{Boot, Timestamp};
+use health_snapshot::{
+    DestinationRecord, EndpointStatus, ListVersion, ListedEndpoint, RouteRecord, has_observations,
+};
 use journal::disk::Folder;
 use operator_config::{KnownClock, KnownTable};
 
@@ -95,8 +97,8 @@
     now: Micros,
     index: u64,
 ) -> RestoredState {
-    let start = RestoreTime { now, stamp: stamp(keeping.clock) };
-    belief::restore(snapshot, &start, index, &keeping.law)
+    let start = RestoreTime { now, timestamp: stamp(keeping.clock) };
+    restore::restore(snapshot, &start, index, &keeping.law)
 }
 
 /// What the driver shows of what is known.
@@ -120,7 +122,7 @@
         all
     }
 
-    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
+    fn record(&self, destination: u16) -> Option<DestinationRecord> {
         let id = DestinationId(destination);
         let listed: Vec<ListedEndpoint> = self
             .policy
@@ -132,12 +134,13 @@
             .policy
             .learnt(id)
             .into_iter()
-            .filter(|(_, learnt)| keep::is_known(learnt))
+            .filter(|(_, learnt)| has_observations(learnt))
             .filter_map(|((_, endpoint), learnt)| match endpoint {
-                None => Some((None, learnt)),
+                None => Some(RouteRecord { endpoint: None, snapshot: learnt }),
                 Some(endpoint) => {
                     let name = self.directory.name(endpoint);
-                    (!name.is_empty()).then(|| (Some(name.to_string()), learnt))
+                    (!name.is_empty())
+                        .then(|| RouteRecord { endpoint: Some(name.to_string()), snapshot: learnt })
                 }
             })
             .collect();
@@ -145,15 +148,15 @@
         known.then_some(DestinationRecord { at: self.now, listed, routes })
     }
 
-    fn list(&self) -> (u64, Micros) {
-        self.list
+    fn list(&self) -> ListVersion {
+        ListVersion { index: self.list.0, confirmed_at: self.list.1 }
     }
 }
 
 impl Memory {
     /// This process's clock is so far ahead of the one that what was read was written by.
     pub fn moved_by(&mut self, shift: i64) {
-        self.store.moved_by(shift);
+        self.store.set_clock_shift(shift);
     }
 
     /// Bytes on the disk, in whole blocks.
@@ -163,12 +166,12 @@
 
     /// Something may have been learnt of a destination.
     pub fn touched(&mut self, destination: u16, now: Micros) {
-        self.store.touched(destination, now);
+        self.store.mark_changed(destination, now);
     }
 
     /// It told a wait, or the list says something else of it.
     pub fn pressing(&mut self, destination: u16, listed: bool, now: Micros) {
-        self.store.pressing(destination, listed, now);
+        self.store.mark_urgent(destination, listed, now);
     }
 
     /// When there is something to write.
@@ -182,7 +185,7 @@
             return;
         }
         let stamp = Timestamp { wall: view.now, boot: boot(self.clock) };
-        if let Err(e) = self.store.slice(&stamp, room, view) {
+        if let Err(e) = self.store.write_slice(&stamp, room, view) {
             self.complain(view.now, &e);
         }
     }
@@ -205,7 +208,7 @@
 /// The list that a process begins with: what the snapshot has where that is newer, else the configuration's, with the drains
 /// that may have been told since. And the version to watch it from; none where the whole list is to be asked for.
 pub fn first_list(known: ListBody, belief: &mut RestoredState) -> (ListBody, Option<u64>) {
-    if let Some((index, destinations)) = belief.list.newer.take() {
+    if let Some(restore::NewerList { index, destinations }) = belief.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
             listed.into_iter().map(move |listed| Listing {
                 name: listed.name,
--- a/crates/sender/src/process.rs
+++ b/crates/sender/src/process.rs
@@ -12,7 +12,7 @@
 use decision::policy::Policy;
 use handover::HandoverState;
 use handover::step::{self, After, Found, Start};
-use health_snapshot::belief::RestoredState;
+use health_snapshot::restore::RestoredState;
 use journal::{Journal, JournalPart, OpenError};
 use operator_config::Operators;
 use sharding::{LeasePool, OwnershipMap, ShardId};
@@ -321,7 +321,7 @@
     let sync = operators.journal.sync == operator_config::Sync::Group;
     let keeping = Keeping::of(&operators.known, config.disk, sync, aim);
     let mut memory = keeping.and_then(|keeping| known::open(&config.state, &config.name, &keeping));
-    let written = memory.as_ref().map_or(0, |(_, snapshot)| snapshot.stamp.wall);
+    let written = memory.as_ref().map_or(0, |(_, snapshot)| snapshot.timestamp.wall);
     let latest = told.as_ref().map_or(0, |told| told.1.stopped_at).max(journal.latest()).max(written);
     let (clock, mut set_back) = Clock::after(latest);
     if set_back {
--- a/crates/sender/src/show_known.rs
+++ b/crates/sender/src/show_known.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use health_snapshot::belief::{Config, Reason, RestoreTime, RestoredRoute, RestoredState, restore};
 use health_snapshot::replay::Snapshot;
+use health_snapshot::restore::{Config, Reason, RestoreTime, RestoredRoute, RestoredState, restore};
 use health_snapshot::{EndpointStatus, Micros};
 use journal::disk::Folder;
 use operator_config::KnownClock;
@@ -28,8 +28,8 @@
     let told = |e: std::io::Error| format!("{}: {e}", folder.display());
     let owner = health_snapshot::store::owner(&mut disk).map_err(told)?.unwrap_or_default();
     let snapshot = health_snapshot::store::load(&mut disk, &owner).map_err(told)?;
-    let clock = if snapshot.stamp.boot.is_some() { KnownClock::Boot } else { KnownClock::Wall };
-    let start = RestoreTime { now: Clock::after(snapshot.stamp.wall).0.now(), stamp: stamp(clock) };
+    let clock = if snapshot.timestamp.boot.is_some() { KnownClock::Boot } else { KnownClock::Wall };
+    let start = RestoreTime { now: Clock::after(snapshot.timestamp.wall).0.now(), timestamp: stamp(clock) };
     let belief = restore(&snapshot, &start, 0, &Config { span: SPAN, latency_objective: AIM });
     Ok((snapshot, belief))
 }
@@ -66,7 +66,7 @@
     let endpoints = snapshot.destinations.values().flat_map(|kept| &kept.listed);
     let drains: Vec<_> = endpoints.clone().filter(|listed| listed.status != EndpointStatus::Active).collect();
     let mut list = match snapshot.list {
-        Some((index, _)) => format!("the list at version {index}"),
+        Some(list) => format!("the list at version {}", list.index),
         None => "the list at no version that is sure".to_owned(),
     };
     let _ = write!(list, ": {} endpoints, {} of them draining or gone", endpoints.count(), drains.len());
@@ -75,8 +75,8 @@
     }
     lines.push(list);
     lines.extend(drains.iter().map(|listed| format!("{}: {:?}", printed(&listed.name), listed.status)));
-    if snapshot.left_out > 0 {
-        lines.push(format!("{} destinations had no room: [known] size", snapshot.left_out));
+    if snapshot.omitted > 0 {
+        lines.push(format!("{} destinations had no room: [known] size", snapshot.omitted));
     }
     Ok(lines)
 }
