--- a/crates/fleet-sim/tests/shared.rs
+++ b/crates/fleet-sim/tests/shared.rs
@@ -41,7 +41,7 @@
 const FAIR: Notes = Notes { lost: 0.0, lends: false };
 
 /// An outage is known to all from the calls of a few: a third of the calls fail. What it costs in time is in
-/// `docs/shared.md`: all are cold then, and those with little to send wait for their turn in the ramp.
+/// `docs/gossip.md`: all are cold then, and those with little to send wait for their turn in the ramp.
 #[test]
 fn an_outage_costs_few_calls_where_senders_share() {
     let partner = Partner { limit: 60.0, capacity: 90.0, down: vec![(4.0, 9.0)], ..Partner::default() };
--- a/crates/idle-destinations/src/lib.rs
+++ b/crates/idle-destinations/src/lib.rs
@@ -1,5 +1,6 @@
-//! Destinations that nothing is sent to for long: when they fall asleep ([`Awake`]), what is remembered of them
-//! meanwhile ([`Memory`]) and how fast they may wake ([`Waking`]). No I/O, and no clock but the times that are told.
+//! Destinations that get nothing for long: when they become idle ([`ActiveSet`]), what is retained of them meanwhile
+//! ([`IdleTable`]) and how fast they are activated again ([`ActivationLimiter`]). No I/O, and no clock but the caller's times.
+//! `docs/idle-destinations.md` explains the design.
 //!
 //! ```
 //! use idle_destinations::{IdleTable, RetainedHealth};
@@ -12,15 +13,15 @@
 //! # Ok::<(), idle_destinations::IdleTableFull>(())
 //! ```
 
-mod awake;
-mod memory;
+mod activation;
+mod active;
 mod packed;
-mod waking;
+mod table;
 
-pub use awake::ActiveSet;
-pub use memory::{IdleTable, IdleTableFull, bytes_per_entry};
+pub use activation::ActivationLimiter;
+pub use active::ActiveSet;
 pub use packed::{Condition, RetainedHealth};
-pub use waking::ActivationLimiter;
+pub use table::{IdleTable, IdleTableFull, bytes_per_entry};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/idle-destinations/src/packed.rs
+++ b/crates/idle-destinations/src/packed.rs
@@ -1,187 +1,159 @@
-//! What is remembered of one destination, in 28 bytes.
+//! What is retained of one idle destination, in 28 bytes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// Times are kept in steps of this: a wait is rounded up, anything else down.
-const STEP: Micros = 100_000;
-/// So far before the memory's beginning times are told apart; with 32 bits for a time, ten years lie after it.
-const BEFORE: Micros = 3 * 365 * 86_400_000_000;
-/// Steps of the logarithm in which rates are kept: 0.07% each.
+#[cfg(test)]
+mod tests;
+
+/// Resolution of encoded times: the end of a Retry-After is rounded up, other times down.
+const TIME_UNIT: Micros = 100_000;
+/// Times are encoded from this span before the table's creation on; 32 bits reach ten years beyond it.
+const HISTORY: Micros = 3 * 365 * 86_400_000_000;
+/// Encoded rates per factor of two: a resolution of 0.07%.
 const RATE_STEPS: f64 = 1_000.0;
-/// The code of a rate of one a second.
-const ONE: f64 = 32_768.0;
+/// The encoded rate of one per second.
+const UNIT_RATE: f64 = 32_768.0;
 
-/// The worst that a destination's last calls came to.
+/// The worst outcome of a destination's last calls. Serialized by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Condition {
-    /// Nothing bad.
+    /// They succeeded.
     #[default]
     #[serde(rename = "Well")]
     Healthy,
-    /// It refused calls as too many, and has taken none since.
+    /// It rejected calls as too many, and has accepted none since.
     #[serde(rename = "Full")]
     Rejecting,
-    /// It failed or kept silent, and no call has gone well since.
+    /// It failed or did not respond, and no call has succeeded since.
     #[serde(rename = "Failed")]
     Failing,
 }
 
-/// What is remembered of a destination that sleeps.
+/// What is retained of an idle destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetainedHealth {
-    /// Nothing may go there before; 0 for no wait.
+    /// The end of its Retry-After; 0 for none.
     pub wait_until: Micros,
-    /// When the outage was first seen that may not be over.
+    /// When an outage that may still last was first observed.
     pub unhealthy_since: Option<Micros>,
-    /// When it came back from an outage.
+    /// When its last outage ended.
     pub cold_since: Option<Micros>,
-    /// When a call last went well.
+    /// When a call last succeeded.
     pub last_success_at: Micros,
-    /// Calls a second that it takes from all senders, as it told; 0 where it told nothing.
+    /// Its reported limit, in calls per second of all senders; 0 where none was reported.
     pub limit: f64,
-    /// Calls a second that went well from here.
+    /// Successful calls per second of this sender.
     pub success_rate: f64,
-    /// Calls a second at which it refused no more; 0 where it never refused.
+    /// Calls per second at which it stopped rejecting; 0 where it never rejected.
     pub send_rate: f64,
-    /// The worst that its last calls came to.
+    /// The worst outcome of its last calls.
     pub condition: Condition,
 }
 
-/// The same, packed.
+/// The encoded form of [`RetainedHealth`]; a time of 0 stands for none. Serialized by name.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Packed {
-    wait: u32,
-    ill: u32,
-    cold: u32,
-    well: u32,
-    /// When it fell asleep.
-    slept: u32,
+    #[serde(rename = "wait")]
+    wait_until: u32,
+    #[serde(rename = "ill")]
+    unhealthy_since: u32,
+    #[serde(rename = "cold")]
+    cold_since: u32,
+    #[serde(rename = "well")]
+    last_success_at: u32,
+    #[serde(rename = "slept")]
+    idle_since: u32,
     limit: u16,
-    rate: u16,
-    pace: u16,
-    pub worst: Condition,
+    #[serde(rename = "rate")]
+    success_rate: u16,
+    #[serde(rename = "pace")]
+    send_rate: u16,
+    #[serde(rename = "worst")]
+    pub(crate) condition: Condition,
 }
 
-/// Packs and unpacks times from one beginning on.
+/// Encodes times relative to a base, and rates logarithmically.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Scale {
+pub(crate) struct Encoding {
     base: Micros,
 }
 
-/// Rounded down, so that what comes back is never more than what went in.
-fn pack_rate(rate: f64) -> u16 {
-    if rate > 0.0 { ((rate.log2() * RATE_STEPS).floor() + ONE).clamp(1.0, 65_535.0) as u16 } else { 0 }
+/// Rounds down, so that the decoded rate never exceeds the original.
+fn encode_rate(rate: f64) -> u16 {
+    if rate <= 0.0 || rate.is_nan() {
+        return 0;
+    }
+    let code = (rate.log2() * RATE_STEPS).floor() + UNIT_RATE;
+    code.clamp(1.0, u16::MAX.into()) as u16
+}
+
+fn decode_rate(code: u16) -> f64 {
+    if code == 0 { 0.0 } else { ((f64::from(code) - UNIT_RATE) / RATE_STEPS).exp2() }
 }
 
-fn rate(code: u16) -> f64 {
-    if code == 0 { 0.0 } else { ((f64::from(code) - ONE) / RATE_STEPS).exp2() }
+/// A code that is not 0, which stands for none; the largest for times beyond the range.
+fn saturating_code(units: u64) -> u32 {
+    u32::try_from(units).unwrap_or(u32::MAX).max(1)
 }
 
-impl Scale {
-    pub fn new(now: Micros) -> Self {
-        Self { base: now.saturating_sub(BEFORE) }
+impl Encoding {
+    /// For a table that is created now.
+    pub(crate) fn new(now: Micros) -> Self {
+        Self { base: now.saturating_sub(HISTORY) }
     }
 
-    fn down(self, at: Micros) -> u32 {
-        u32::try_from(at.saturating_sub(self.base) / STEP).unwrap_or(u32::MAX).max(1)
+    fn round_down(self, at: Micros) -> u32 {
+        saturating_code(at.saturating_sub(self.base) / TIME_UNIT)
     }
 
-    fn up(self, at: Micros) -> u32 {
-        u32::try_from(at.saturating_sub(self.base).div_ceil(STEP)).unwrap_or(u32::MAX).max(1)
+    fn round_up(self, at: Micros) -> u32 {
+        saturating_code(at.saturating_sub(self.base).div_ceil(TIME_UNIT))
     }
 
-    fn time(self, code: u32) -> Micros {
-        self.base + Micros::from(code) * STEP
+    fn decode_time(self, code: u32) -> Micros {
+        self.base + Micros::from(code) * TIME_UNIT
     }
 
-    /// Packs; a wait that is over by then is none.
-    pub fn pack(self, facts: &RetainedHealth, now: Micros) -> Packed {
+    /// Encodes a destination that becomes idle now; a Retry-After that has ended is dropped.
+    pub(crate) fn pack(self, health: &RetainedHealth, now: Micros) -> Packed {
+        let has_wait = health.wait_until > now;
         Packed {
-            wait: if facts.wait_until > now { self.up(facts.wait_until) } else { 0 },
-            ill: facts.unhealthy_since.map_or(0, |at| self.down(at)),
-            cold: facts.cold_since.map_or(0, |at| self.down(at)),
-            well: self.down(facts.last_success_at),
-            slept: self.down(now),
-            limit: pack_rate(facts.limit),
-            rate: pack_rate(facts.success_rate),
-            pace: pack_rate(facts.send_rate),
-            worst: facts.condition,
+            wait_until: if has_wait { self.round_up(health.wait_until) } else { 0 },
+            unhealthy_since: health.unhealthy_since.map_or(0, |at| self.round_down(at)),
+            cold_since: health.cold_since.map_or(0, |at| self.round_down(at)),
+            last_success_at: self.round_down(health.last_success_at),
+            idle_since: self.round_down(now),
+            limit: encode_rate(health.limit),
+            success_rate: encode_rate(health.success_rate),
+            send_rate: encode_rate(health.send_rate),
+            condition: health.condition,
         }
     }
 
-    pub fn unpack(self, packed: &Packed) -> RetainedHealth {
-        let time = |code: u32| (code > 0).then(|| self.time(code));
+    /// Decodes an entry.
+    pub(crate) fn unpack(self, packed: &Packed) -> RetainedHealth {
+        let time = |code: u32| (code > 0).then(|| self.decode_time(code));
         RetainedHealth {
-            wait_until: self.wait(packed),
-            unhealthy_since: time(packed.ill),
-            cold_since: time(packed.cold),
-            last_success_at: self.time(packed.well),
-            limit: rate(packed.limit),
-            success_rate: rate(packed.rate),
-            send_rate: rate(packed.pace),
-            condition: packed.worst,
+            wait_until: self.wait_until(packed),
+            unhealthy_since: time(packed.unhealthy_since),
+            cold_since: time(packed.cold_since),
+            last_success_at: self.decode_time(packed.last_success_at),
+            limit: decode_rate(packed.limit),
+            success_rate: decode_rate(packed.success_rate),
+            send_rate: decode_rate(packed.send_rate),
+            condition: packed.condition,
         }
     }
 
-    pub fn wait(self, packed: &Packed) -> Micros {
-        if packed.wait > 0 { self.time(packed.wait) } else { 0 }
-    }
-
-    pub fn slept(self, packed: &Packed) -> Micros {
-        self.time(packed.slept)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_takes_28_bytes() {
-        assert_eq!(size_of::<Packed>(), 28);
-    }
-
-    #[test]
-    fn a_wait_is_never_shortened_and_a_rate_never_raised() {
-        let mut rng = fastrand::Rng::with_seed(3);
-        for _ in 0..10_000 {
-            let base = rng.u64(..2_000_000_000_000_000);
-            let scale = Scale::new(base);
-            let now = base + rng.u64(..100_000_000_000_000);
-            let figure = rng.f64() * 10f64.powi(rng.i32(-6..6));
-            let facts = RetainedHealth {
-                wait_until: now + rng.u64(1..100_000_000_000),
-                unhealthy_since: rng.bool().then_some(now),
-                cold_since: rng.bool().then_some(now),
-                last_success_at: now,
-                limit: figure,
-                success_rate: figure,
-                send_rate: figure,
-                condition: Condition::Rejecting,
-            };
-            let back = scale.unpack(&scale.pack(&facts, now));
-            assert!((facts.wait_until..facts.wait_until + STEP).contains(&back.wait_until));
-            let ill = back.unhealthy_since.unwrap_or(now);
-            assert!(
-                ill <= now
-                    && ill + STEP > now
-                    && back.unhealthy_since.is_some() == facts.unhealthy_since.is_some()
-            );
-            for back in [back.limit, back.success_rate, back.send_rate] {
-                assert!(back <= figure * 1.000_000_1 && back > figure * 0.998, "{figure} {back}");
-            }
-            assert_eq!(back.condition, Condition::Rejecting);
-        }
+    /// The end of an entry's Retry-After; 0 for none.
+    pub(crate) fn wait_until(self, packed: &Packed) -> Micros {
+        if packed.wait_until > 0 { self.decode_time(packed.wait_until) } else { 0 }
     }
 
-    #[test]
-    fn a_wait_beyond_all_times_is_kept_as_long_as_times_go() {
-        let scale = Scale::new(0);
-        let facts = RetainedHealth { wait_until: Micros::MAX, ..RetainedHealth::default() };
-        assert!(scale.unpack(&scale.pack(&facts, 5)).wait_until > 10 * 365 * 86_400_000_000);
-        let over = RetainedHealth { wait_until: 5, ..RetainedHealth::default() };
-        assert_eq!(scale.unpack(&scale.pack(&over, 5)).wait_until, 0);
+    /// When an entry's destination became idle.
+    pub(crate) fn idle_since(self, packed: &Packed) -> Micros {
+        self.decode_time(packed.idle_since)
     }
 }
--- a/crates/sender/src/cores/mod.rs
+++ b/crates/sender/src/cores/mod.rs
@@ -1,5 +1,5 @@
 //! Several cores of one sender: a thread each, with a driver, a module, clients' connections and calls of its own. What they
-//! share is here; what each owns, and who hears what, the package `cores` decides (`docs/cores.md`).
+//! share is here; what each owns, and who hears what, the package `cores` decides (`docs/sharding.md`).
 
 pub mod elsewhere;
 pub mod post;
