--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -10,10 +10,10 @@
 };
 use decision::policy::Policy;
 
-use health_snapshot::DestinationRecord;
-use health_snapshot::belief::{Config, RestoreTime, restore};
 use health_snapshot::replay::Snapshot;
-use health_snapshot::stamp::Timestamp;
+use health_snapshot::restore::{Config, RestoreTime, restore};
+use health_snapshot::timestamp::Timestamp;
+use health_snapshot::{DestinationRecord, RouteKey, RouteRecord};
 
 use crate::partner::{Count, Partner};
 
@@ -211,13 +211,13 @@
 /// What a sender of that rank is told.
 fn settings_of(me: usize, senders: usize, notes: Option<GossipFaults>) -> Settings {
     let (me, all) = (me as u16, senders as u16);
-    let bytes = (25.0, 100.0);
+    let byte_budget = (25.0, 100.0).into();
     let law = |notes: GossipFaults| GossipConfig {
         member: me,
         incarnation: 1,
         senders: all,
         broadcast: true,
-        byte_budget: bytes,
+        byte_budget,
         quota_transfer: notes.quota_transfer,
     };
     Settings { gossip: notes.map(law), ..settings(senders) }
@@ -466,14 +466,18 @@
 
     fn keep(&mut self, sender: usize) {
         let node = &mut self.nodes[sender];
-        let stamp = Timestamp { wall: WALL + self.now, boot: None };
-        let mut snapshot = Snapshot { stamp, found: true, ..Snapshot::default() };
+        let timestamp = Timestamp { wall: WALL + self.now, boot: None };
+        let mut snapshot = Snapshot { timestamp, found: true, ..Snapshot::default() };
         for destination in node.policy.known_destinations() {
-            let routes =
-                node.policy.learnt(destination).into_iter().map(|(_, learnt)| (None, on_the_wall(learnt)));
-            let kept = DestinationRecord { at: stamp.wall, listed: vec![], routes: routes.collect() };
-            for (_, learnt) in kept.routes.iter().filter(|route| route.1.wait_until > stamp.wall) {
-                snapshot.waits.insert((destination.0, None), learnt.wait_until);
+            let routes = node
+                .policy
+                .learnt(destination)
+                .into_iter()
+                .map(|(_, learnt)| RouteRecord { endpoint: None, snapshot: on_the_wall(learnt) });
+            let kept = DestinationRecord { at: timestamp.wall, listed: vec![], routes: routes.collect() };
+            for route in kept.routes.iter().filter(|route| route.snapshot.wait_until > timestamp.wall) {
+                let key = RouteKey { destination: destination.0, endpoint: None };
+                snapshot.waits.insert(key, route.snapshot.wait_until);
             }
             snapshot.destinations.insert(destination.0, kept);
         }
@@ -483,10 +487,10 @@
     /// What a sender believes that comes back now.
     fn believed(&self, sender: usize) -> Vec<Event> {
         let Some(snapshot) = &self.nodes[sender].snapshot else { return vec![] };
-        let stamp = Timestamp { wall: WALL + self.now, boot: None };
+        let timestamp = Timestamp { wall: WALL + self.now, boot: None };
         let law = Config { span: 3_600 * SECOND, latency_objective: 4 * SECOND };
-        let belief = restore(snapshot, &RestoreTime { now: self.now, stamp }, 0, &law);
-        let told = |believed: health_snapshot::belief::RestoredRoute| Event::SnapshotRestored {
+        let belief = restore(snapshot, &RestoreTime { now: self.now, timestamp }, 0, &law);
+        let told = |believed: health_snapshot::restore::RestoredRoute| Event::SnapshotRestored {
             route: (DestinationId(believed.destination), None),
             snapshot: believed.snapshot,
         };
--- a/crates/idle-destinations/src/lib.rs
+++ b/crates/idle-destinations/src/lib.rs
@@ -1,26 +1,27 @@
-//! Destinations that nothing is sent to for long: when they fall asleep ([`Awake`]), what is remembered of them
-//! meanwhile ([`Memory`]) and how fast they may wake ([`Waking`]). No I/O, and no clock but the times that are told.
+//! Destinations that get nothing for long: when they become idle ([`ActiveSet`]), what is retained of them meanwhile
+//! ([`IdleTable`]) and how fast they are activated again ([`ActivationLimiter`]). No I/O, and no clock but the caller's times.
+//! `docs/idle-destinations.md` explains the design.
 //!
 //! ```
-//! use dormant::{Facts, Memory};
+//! use idle_destinations::{IdleTable, RetainedHealth};
 //!
 //! let day = 86_400_000_000;
-//! let mut memory = Memory::new(1_000, 30 * day, 0);
-//! memory.keep("a charity", Facts { wait_until: day, limit: 5.0, ..Facts::default() }, 0)?;
-//! let remembered = memory.take("a charity", day / 2);
-//! assert_eq!(remembered.map(|facts| facts.wait_until), Some(day));
-//! # Ok::<(), dormant::MemoryFull>(())
+//! let mut table = IdleTable::new(1_000, 30 * day, 0);
+//! table.insert("a charity", RetainedHealth { wait_until: day, limit: 5.0, ..RetainedHealth::default() }, 0)?;
+//! let retained = table.take("a charity", day / 2);
+//! assert_eq!(retained.map(|health| health.wait_until), Some(day));
+//! # Ok::<(), idle_destinations::IdleTableFull>(())
 //! ```
 
-mod awake;
-mod memory;
+mod activation;
+mod active;
 mod packed;
-mod waking;
+mod table;
 
-pub use awake::ActiveSet;
-pub use memory::{IdleTable, IdleTableFull, bytes_per_entry};
+pub use activation::ActivationLimiter;
+pub use active::ActiveSet;
 pub use packed::{Condition, RetainedHealth};
-pub use waking::ActivationLimiter;
+pub use table::{IdleTable, IdleTableFull, bytes_per_entry};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/sender/src/event_loop/parts.rs
+++ b/crates/sender/src/event_loop/parts.rs
@@ -9,7 +9,7 @@
 use decision::interface::Micros;
 use decision::policy::Policy;
 use handover::HandoverState;
-use health_snapshot::belief::RestoredState;
+use health_snapshot::restore::RestoredState;
 use tokio::sync::watch;
 
 use super::Shard;
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -5,7 +5,7 @@
 use admin::gate::AdmissionGate;
 use decision::interface::{Event, MessageId, Micros};
 use handover::{AttemptInFlight, HandoverState, RetryAfterDeadline};
-use health_snapshot::belief::LIST_GOOD_FOR;
+use health_snapshot::restore::LIST_TRUST_SPAN;
 use journal::{Abandonment, PendingMessage, Record};
 
 use super::messages::decision_message;
@@ -134,7 +134,7 @@
         let belief = &mut recovery.restored;
         let (list, from) = initial_list(known, belief);
         self.list_version = list.index;
-        self.list_confirmed_at = (now + belief.list.good_for).saturating_sub(LIST_GOOD_FOR);
+        self.list_confirmed_at = (now + belief.list.good_for).saturating_sub(LIST_TRUST_SPAN);
         let mut events = vec![self.apply_list(&EndpointList { snapshot: true, ..list })];
         events.extend(self.restore_snapshot(belief));
         // A Retry-After that the predecessor was sent binds this process too.
--- a/crates/sender/src/event_loop/shard/messages.rs
+++ b/crates/sender/src/event_loop/shard/messages.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use decision::interface::{DestinationId, EndpointId, Event, MessageId, Micros, RouteSnapshot};
-use sharding::ShardId;
+use sharding::{AttemptId, ShardId};
 
 use super::UNLISTED;
 use crate::event_loop::EventLoop;
@@ -53,7 +53,7 @@
             }
             ShardMessage::Ended { destination, name, mut over } => {
                 member.record_work(destination);
-                member.router.add_foreign((over.message.0, over.attempt));
+                member.router.foreign_attempt_ended(AttemptId::new(over.message.0, over.attempt));
                 over.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
                 events.push(self.attempt_completed(over));
             }
@@ -70,7 +70,7 @@
             ShardMessage::Gather => member.gathering = true,
             ShardMessage::MaxConnections(most) => {
                 fronts.iter().for_each(|front| front.set_max_clients(most));
-                if member.owners.all_gathered() {
+                if member.owners.all_drained() {
                     // Another process calls from now on: idle connections are closed.
                     self.directory.carriers().iter().for_each(|carrier| carrier.set_max_connections(0));
                 }
@@ -122,7 +122,7 @@
         let Some(shard) = &mut self.shard else { return completed };
         let mut ours = Vec::new();
         for attempt in completed {
-            let id = (attempt.message.0, attempt.attempt);
+            let id = AttemptId::new(attempt.message.0, attempt.attempt);
             let destination = shard.router.attempt_ended(id);
             if let Some(destination) = destination.filter(|destination| !shard.owns(*destination)) {
                 let name = self.directory.name(attempt.endpoint);
@@ -132,7 +132,7 @@
             if let Some(destination) = self.directory.destination(attempt.endpoint) {
                 shard.record_work(destination);
             }
-            shard.router.add_foreign(id);
+            shard.router.foreign_attempt_ended(id);
             ours.push(attempt);
         }
         ours
@@ -204,14 +204,14 @@
         endpoint: EndpointId,
     ) {
         if let (Some(member), Some(destination)) = (&mut self.shard, self.directory.destination(endpoint)) {
-            member.router.attempt_started((message.0, attempt), destination, endpoint);
+            member.router.attempt_started(AttemptId::new(message.0, attempt), destination, endpoint);
         }
     }
 
     /// Cancels an attempt of this shard's module, wherever its connection is.
     pub(in crate::event_loop) fn cancel_attempt(&self, message: MessageId, attempt: u16) {
         if let Some(member) = &self.shard {
-            let at = member.router.connection((message.0, attempt));
+            let at = member.router.connection(AttemptId::new(message.0, attempt));
             if at != member.id() {
                 return member.handle.send(at, ShardMessage::Cancel(message, attempt));
             }
--- a/crates/sender/src/event_loop/shard/migration.rs
+++ b/crates/sender/src/event_loop/shard/migration.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use decision::interface::{DestinationId, Micros};
-use sharding::{DestinationLoad, Plan, ShardId};
+use sharding::{AttemptId, DestinationLoad, Plan, ShardId};
 
 use super::{PLAN_INTERVAL, PendingMigration};
 use crate::event_loop::EventLoop;
@@ -24,7 +24,7 @@
             .into_iter()
             .map(|(destination, events)| DestinationLoad {
                 destination,
-                core: owners.owner(destination),
+                shard: owners.owner(destination),
                 work: events.into(),
             })
             .collect();
@@ -39,7 +39,7 @@
                     member.handle.send(advised.from, say);
                 }
             }
-            Plan::Stuck { core, destination, share } if !member.imbalance_logged => {
+            Plan::Hotspot { shard: core, destination, share } if !member.imbalance_logged => {
                 member.imbalance_logged = true;
                 eprintln!(
                     "core {} is busier than the others and no move helps: {:.0}% of its work is for destination {destination}",
@@ -47,7 +47,7 @@
                     share * 100.0
                 );
             }
-            Plan::Stuck { .. } => {}
+            Plan::Hotspot { .. } => {}
             Plan::Stay => member.imbalance_logged = false,
         }
     }
@@ -93,7 +93,7 @@
     pub(in crate::event_loop) fn has_all_destinations(&self) -> bool {
         self.shard
             .as_ref()
-            .is_none_or(|member| member.owners.all_gathered() && member.pending_migration.is_none())
+            .is_none_or(|member| member.owners.all_drained() && member.pending_migration.is_none())
     }
 
     /// Asks the other shards to migrate all that they have here.
@@ -136,8 +136,9 @@
             }
         }
         let attempts = numbers.iter().filter_map(|n| Some((*n, self.attempts.remove(n)?))).collect();
-        let connections =
-            member.router.detach(parcel.out().map(|(message, attempt, _)| (message.0, attempt)));
+        let connections = member
+            .router
+            .detach(parcel.out().map(|(message, attempt, _)| AttemptId::new(message.0, attempt)));
         let (calls, messages) = (parcel.calls(), numbers.len());
         {
             let mut room = member.group().quotas();
--- a/crates/sender/src/event_loop/shard/mod.rs
+++ b/crates/sender/src/event_loop/shard/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use decision::interface::{EndpointId, MessageId, Micros};
-use sharding::{AttemptRouter, OwnershipMap, Planner, ShardId};
+use sharding::{AttemptId, AttemptRouter, OwnershipMap, Planner, ShardId};
 
 use crate::shards::{RemoteShards, ShardGroup, ShardHandle, ShardMessage};
 
@@ -115,7 +115,8 @@
     /// An attempt that a predecessor started, on a connection that it has.
     pub(super) fn adopt_attempt(&mut self, attempt: (u32, u16), destination: u16, endpoint: EndpointId) {
         // One that goes on after all knows its own.
-        if !self.router.knows(attempt) {
+        let attempt = AttemptId::new(attempt.0, attempt.1);
+        if !self.router.contains(attempt) {
             self.router.attempt_started(attempt, destination, endpoint);
         }
     }
@@ -127,7 +128,7 @@
         ids: &[(String, EndpointId)],
     ) -> RemoteShards {
         let on = |(message, attempt, endpoint): &(MessageId, u16, EndpointId)| {
-            let core = self.router.connection((message.0, *attempt));
+            let core = self.router.connection(AttemptId::new(message.0, *attempt));
             (core != self.id()).then_some(((*message, *attempt), (core, *endpoint)))
         };
         RemoteShards::new(self.handle.clone(), out.iter().filter_map(on).collect(), ids)
@@ -142,7 +143,7 @@
     pub(super) fn next_due(&self, now: Micros) -> Micros {
         let soon = if self.needs_polling() { now + 5_000 } else { Micros::MAX };
         // Once more after the last change: published figures are no older than the interval.
-        let shows = if self.router.begun() > 0 || self.publish_at > now {
+        let shows = if self.router.local_attempts() > 0 || self.publish_at > now {
             self.publish_at.max(now + 1)
         } else {
             Micros::MAX
--- a/crates/sender/src/event_loop/snapshot.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -1,7 +1,7 @@
 //! The health snapshot: what the event loop restores from it, and what it writes to it.
 
 use decision::interface::{DestinationId, EndpointId, Event, Outcome};
-use health_snapshot::belief::RestoredState;
+use health_snapshot::restore::RestoredState;
 
 use super::EventLoop;
 use crate::persistence::snapshot::SnapshotSource;
--- a/crates/sender/src/event_loop/startup.rs
+++ b/crates/sender/src/event_loop/startup.rs
@@ -9,7 +9,7 @@
 use decision::interface::Micros;
 use decision::policy::Policy;
 use handover::HandoverState;
-use health_snapshot::belief::RestoredState;
+use health_snapshot::restore::RestoredState;
 use sharding::ShardId;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, watch};
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -6,10 +6,12 @@
 
 use decision::interface::{DestinationId, Micros};
 use decision::policy::Policy;
-use health_snapshot::belief::{self, Config, RestoreTime, RestoredState};
-use health_snapshot::stamp::{Boot, Timestamp};
+use health_snapshot::restore::{self, Config, RestoreTime, RestoredState};
 use health_snapshot::store::{Options, Source, Store};
-use health_snapshot::{DestinationRecord, EndpointStatus, ListedEndpoint, keep};
+use health_snapshot::timestamp::{Boot, Timestamp};
+use health_snapshot::{
+    DestinationRecord, EndpointStatus, ListVersion, ListedEndpoint, RouteRecord, has_observations,
+};
 use journal::disk::Folder;
 use operator_config::{HealthSnapshotTable, SnapshotClock};
 
@@ -98,8 +100,8 @@
     now: Micros,
     index: u64,
 ) -> RestoredState {
-    let start = RestoreTime { now, stamp: stamp(keeping.clock) };
-    belief::restore(snapshot, &start, index, &keeping.law)
+    let start = RestoreTime { now, timestamp: stamp(keeping.clock) };
+    restore::restore(snapshot, &start, index, &keeping.law)
 }
 
 /// What the event loop shows the snapshot of its state.
@@ -123,7 +125,7 @@
         all
     }
 
-    fn kept(&self, destination: u16) -> Option<DestinationRecord> {
+    fn record(&self, destination: u16) -> Option<DestinationRecord> {
         let id = DestinationId(destination);
         let listed: Vec<ListedEndpoint> = self
             .policy
@@ -135,12 +137,13 @@
             .policy
             .learnt(id)
             .into_iter()
-            .filter(|(_, learnt)| keep::is_known(learnt))
+            .filter(|(_, learnt)| has_observations(learnt))
             .filter_map(|((_, endpoint), learnt)| match endpoint {
-                None => Some((None, learnt)),
+                None => Some(RouteRecord { endpoint: None, snapshot: learnt }),
                 Some(endpoint) => {
                     let name = self.directory.name(endpoint);
-                    (!name.is_empty()).then(|| (Some(name.to_string()), learnt))
+                    (!name.is_empty())
+                        .then(|| RouteRecord { endpoint: Some(name.to_string()), snapshot: learnt })
                 }
             })
             .collect();
@@ -148,15 +151,15 @@
         known.then_some(DestinationRecord { at: self.now, listed, routes })
     }
 
-    fn list(&self) -> (u64, Micros) {
-        self.list
+    fn list(&self) -> ListVersion {
+        ListVersion { index: self.list.0, confirmed_at: self.list.1 }
     }
 }
 
 impl SnapshotStore {
     /// Moves stored times: this process's clock is so far ahead of the writer's.
     pub fn moved_by(&mut self, shift: i64) {
-        self.store.moved_by(shift);
+        self.store.set_clock_shift(shift);
     }
 
     /// Bytes on the disk, in whole blocks.
@@ -166,12 +169,12 @@
 
     /// The observed health of a destination may have changed.
     pub fn mark_touched(&mut self, destination: u16, now: Micros) {
-        self.store.touched(destination, now);
+        self.store.mark_changed(destination, now);
     }
 
     /// A destination sent a Retry-After, or its listing changed.
     pub fn mark_urgent(&mut self, destination: u16, listed: bool, now: Micros) {
-        self.store.pressing(destination, listed, now);
+        self.store.mark_urgent(destination, listed, now);
     }
 
     /// When there is something to write.
@@ -185,7 +188,7 @@
             return;
         }
         let stamp = Timestamp { wall: view.now, boot: boot(self.clock) };
-        if let Err(e) = self.store.slice(&stamp, room, view) {
+        if let Err(e) = self.store.write_slice(&stamp, room, view) {
             self.complain(view.now, &e);
         }
     }
@@ -209,7 +212,7 @@
 /// the drains that may have been listed since. And the version to watch it from; none where the full list has
 /// to be fetched.
 pub fn initial_list(known: EndpointList, belief: &mut RestoredState) -> (EndpointList, Option<u64>) {
-    if let Some((index, destinations)) = belief.list.newer.take() {
+    if let Some(restore::NewerList { index, destinations }) = belief.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
             listed.into_iter().map(move |listed| EndpointListing {
                 name: listed.name,
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -18,8 +18,8 @@
 use decision::policy::Policy;
 use handover::HandoverState;
 use handover::step::{self, PredecessorStep};
-use health_snapshot::belief::RestoredState;
 use health_snapshot::replay::Snapshot;
+use health_snapshot::restore::RestoredState;
 use operator_config::Operators;
 use sharding::ShardId;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
@@ -387,7 +387,7 @@
     predecessor: Option<&HandoverState>,
     snapshot: Option<&(SnapshotStore, Snapshot)>,
 ) -> (Clock, bool) {
-    let snapshot_at = snapshot.map_or(0, |(_, snapshot)| snapshot.stamp.wall);
+    let snapshot_at = snapshot.map_or(0, |(_, snapshot)| snapshot.timestamp.wall);
     let latest = predecessor.map_or(0, |state| state.stopped_at).max(journal.latest()).max(snapshot_at);
     let (clock, set_back) = Clock::after(latest);
     if set_back {
--- a/crates/sender/src/process/shards.rs
+++ b/crates/sender/src/process/shards.rs
@@ -6,7 +6,7 @@
 use admin::ejections::Ejections;
 use admin::gate::AdmissionGate;
 use decision::interface::{Micros, Settings};
-use health_snapshot::belief::RestoredState;
+use health_snapshot::restore::RestoredState;
 use journal::JournalPart;
 use operator_config::Operators;
 use sharding::{LeasePool, OwnershipMap, ShardId};
--- a/crates/sender/src/shards/group.rs
+++ b/crates/sender/src/shards/group.rs
@@ -58,7 +58,7 @@
 impl ShardGroup {
     /// As many shards as the map has, with mailboxes of so many messages.
     pub fn new(owners: OwnershipMap, room: ShardQuotas, queue: usize) -> Arc<Self> {
-        let count = owners.count();
+        let count = owners.shards();
         Arc::new(Self {
             owners: ArcSwap::from_pointee(owners),
             mailboxes: (0..count).map(|_| Mailbox::new(queue)).collect(),
@@ -102,7 +102,7 @@
     /// Records that all that a shard owned is the first's: to be called after its migrations, and by the
     /// shard alone.
     pub fn gathered(&self, core: ShardId) {
-        self.owners.rcu(|owners| owners.gather_on(core));
+        self.owners.rcu(|owners| owners.with_drained(core));
     }
 
     /// Clients' connections of all shards but one.
