--- a/crates/journal/src/sim.rs
+++ b/crates/journal/src/sim/mod.rs
@@ -4,14 +4,15 @@
 //! any prefix of the write in progress. When the *machine* loses power, any subset of the unsynced sectors and of the
 //! unsynced changes of names is kept.
 
+mod changes;
+
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use crate::disk::Disk;
+use changes::{Change, NameChange, SECTOR_SIZE, SimFile};
 
-/// Unit in bytes that a loss of power keeps or drops as one.
-const SECTOR_SIZE: usize = 512;
+use crate::disk::Disk;
 
 /// A fault of one operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,102 +41,6 @@
     }
 }
 
-/// A change of a file's bytes.
-#[derive(Debug, Clone)]
-enum Change {
-    Write { offset: usize, bytes: Vec<u8> },
-    Truncate(usize),
-}
-
-impl Change {
-    fn apply(&self, to: &mut Vec<u8>) {
-        match self {
-            Self::Write { offset, bytes } => {
-                let end = offset + bytes.len();
-                if to.len() < end {
-                    to.resize(end, 0);
-                }
-                to[*offset..end].copy_from_slice(bytes);
-            }
-            Self::Truncate(length) => to.truncate(*length),
-        }
-    }
-
-    /// Applies what a loss of power keeps: any of a write's sectors, and a truncation or not.
-    fn apply_partially(&self, to: &mut Vec<u8>, rng: &mut fastrand::Rng) {
-        match self {
-            Self::Write { offset, bytes } => {
-                let mut from = 0;
-                while from < bytes.len() {
-                    let sector_end = ((offset + from) / SECTOR_SIZE + 1) * SECTOR_SIZE - offset;
-                    let end = sector_end.min(bytes.len());
-                    if rng.bool() {
-                        let sector = Self::Write { offset: offset + from, bytes: bytes[from..end].to_vec() };
-                        sector.apply(to);
-                    }
-                    from = end;
-                }
-            }
-            Self::Truncate(_) => {
-                if rng.bool() {
-                    self.apply(to);
-                }
-            }
-        }
-    }
-}
-
-#[derive(Debug, Clone, Default)]
-struct SimFile {
-    /// As processes see it.
-    bytes: Vec<u8>,
-    /// As of the last sync.
-    synced: Vec<u8>,
-    /// Changes since the last sync.
-    unsynced: Vec<Change>,
-}
-
-impl SimFile {
-    fn change(&mut self, change: Change) {
-        change.apply(&mut self.bytes);
-        self.unsynced.push(change);
-    }
-
-    fn lose_power(&mut self, rng: &mut fastrand::Rng) {
-        for change in std::mem::take(&mut self.unsynced) {
-            change.apply_partially(&mut self.synced, rng);
-        }
-        self.bytes = self.synced.clone();
-    }
-}
-
-/// A change of the folder's names. Files are given by their index.
-
-#[derive(Debug, Clone)]
-enum NameChange {
-    Create(String, usize),
-    Rename(String, String),
-    Remove(String),
-}
-
-impl NameChange {
-    fn apply(&self, names: &mut BTreeMap<String, usize>) {
-        match self {
-            Self::Create(name, file) => {
-                names.insert(name.clone(), *file);
-            }
-            Self::Rename(from, to) => {
-                if let Some(file) = names.remove(from) {
-                    names.insert(to.clone(), file);
-                }
-            }
-            Self::Remove(name) => {
-                names.remove(name);
-            }
-        }
-    }
-}
-
 #[derive(Debug, Default)]
 struct Inner {
     /// All files that ever were, removed ones included.
@@ -222,8 +127,7 @@
     pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let inner = &mut *self.inner();
         if let Some(file) = inner.names.get(name).copied() {
-            change(&mut inner.files[file].bytes);
-            inner.files[file].synced = inner.files[file].bytes.clone();
+            inner.files[file].corrupt(change);
         }
     }
 
@@ -231,7 +135,7 @@
     pub fn put(&self, name: &str, bytes: &[u8]) {
         let inner = &mut *self.inner();
         let file = inner.files.len();
-        inner.files.push(SimFile { bytes: bytes.to_vec(), synced: bytes.to_vec(), unsynced: vec![] });
+        inner.files.push(SimFile::synced(bytes));
         inner.names.insert(name.to_owned(), file);
         inner.synced_names.insert(name.to_owned(), file);
     }
@@ -354,9 +258,7 @@
         let inner = &mut *self.inner();
         inner.file(name)?;
         let (kept, result) = inner.begin_write(bytes.len())?;
-        let file = inner.file(name)?;
-        let offset = file.bytes.len();
-        file.change(Change::Write { offset, bytes: bytes[..bytes.len().min(kept)].to_vec() });
+        inner.file(name)?.append(&bytes[..bytes.len().min(kept)]);
         result
     }
 
@@ -395,9 +297,7 @@
         inner.file(name)?;
         let operation = inner.begin_atomic();
         if operation.takes_effect {
-            let file = inner.file(name)?;
-            file.synced = file.bytes.clone();
-            file.unsynced.clear();
+            inner.file(name)?.sync();
         }
         operation.result
     }
