--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -9,6 +9,28 @@
     DestinationId, DestinationKind, EndpointEntry, EndpointId, Listing, Micros, Outcome, RouteId,
 };
 
+/// What the endpoint list promises of a route; stored as a pair.
+#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
+pub(crate) struct ListedLimit {
+    /// Calls a second from all senders; 0 where none are promised.
+    pub calls_per_second: f64,
+    /// When it was first listed.
+    pub since: Micros,
+}
+
+impl From<(f64, Micros)> for ListedLimit {
+    fn from((calls_per_second, since): (f64, Micros)) -> Self {
+        Self { calls_per_second, since }
+    }
+}
+
+impl From<ListedLimit> for (f64, Micros) {
+    fn from(listed: ListedLimit) -> Self {
+        (listed.calls_per_second, listed.since)
+    }
+}
+
 /// An endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Endpoint {
@@ -20,8 +42,7 @@
     gone: bool,
     /// The last whole list that named it, or change since.
     named: u64,
-    /// Calls a second that its listing promises, and when it was first listed.
-    listed: (f64, Micros),
+    listed: ListedLimit,
     pub out: usize,
     pub bad_run: u32,
     /// Connections of ours that there were places for.
@@ -58,7 +79,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Cell {
     ids: BTreeSet<EndpointId>,
-    listed: (f64, Micros),
+    listed: ListedLimit,
 }
 
 /// All that lists named and that something refers to.
@@ -108,7 +129,7 @@
             ready: false,
             gone: false,
             named: 0,
-            listed: (calls, now),
+            listed: ListedLimit { calls_per_second: calls, since: now },
             out: 0,
             bad_run: 0,
             places: Places::default(),
@@ -120,17 +141,18 @@
         });
         (endpoint.ready, endpoint.gone) = (entry.listing == Listing::Ready, entry.listing == Listing::Gone);
         endpoint.named = self.lists;
-        endpoint.listed.0 = calls;
+        endpoint.listed.calls_per_second = calls;
         if endpoint.gone {
             self.gone.insert(entry.endpoint)
         } else {
             self.gone.remove(&entry.endpoint)
         };
-        let new = || Cell { ids: BTreeSet::new(), listed: (calls, now) };
+        let listed = ListedLimit { calls_per_second: calls, since: now };
+        let new = || Cell { ids: BTreeSet::new(), listed };
         let cell = self.cells.entry(endpoint.destination).or_insert_with(new);
         cell.ids.insert(entry.endpoint);
         if !kind.separate_routes {
-            cell.listed.0 = calls;
+            cell.listed.calls_per_second = calls;
         }
         (entry.destination, kind.separate_routes.then_some(entry.endpoint))
     }
@@ -148,7 +170,7 @@
     }
 
     /// Calls a second that the listing of a route promises, and since when it is listed.
-    pub fn listing(&self, route: RouteId) -> (f64, Micros) {
+    pub fn listing(&self, route: RouteId) -> ListedLimit {
         let listed = match route.1 {
             Some(endpoint) => self.all.get(&endpoint).map(|e| e.listed),
             None => self.cells.get(&route.0).map(|cell| cell.listed),
@@ -190,7 +212,7 @@
                     ready: ours.ready,
                     gone: ours.gone,
                     named: ours.named,
-                    listed: (ours.listed.0, ours.listed.1.min(theirs.listed.1)),
+                    listed: ListedLimit { since: ours.listed.since.min(theirs.listed.since), ..ours.listed },
                     ..theirs
                 };
                 continue;
--- a/crates/decision/src/estimate.rs
+++ b/crates/decision/src/estimate.rs
@@ -8,11 +8,35 @@
 
 use crate::interface::{Class, Decay, EndpointId, MessageId, Micros, Outcome};
 
-/// A rate of events that fades with `span`, after a further event.
-pub(crate) fn faded(rate: (f64, Micros), now: Micros, span: Micros, event: f64) -> (f64, Micros) {
-    let span = span.max(1) as f64;
-    let fade = (-(now.saturating_sub(rate.1) as f64) / span).exp();
-    (rate.0 * fade + event * 1e6 / span, now)
+/// An exponentially weighted rate of events; stored as a pair.
+#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
+pub(crate) struct DecayingRate {
+    /// Events a second.
+    pub per_second: f64,
+    /// When it was last counted.
+    pub as_of: Micros,
+}
+
+impl DecayingRate {
+    /// What it is after further events, where those before decay with a time constant of `span`.
+    pub fn after(self, events: f64, now: Micros, span: Micros) -> Self {
+        let span = span.max(1) as f64;
+        let decay = (-(now.saturating_sub(self.as_of) as f64) / span).exp();
+        Self { per_second: self.per_second * decay + events * 1e6 / span, as_of: now }
+    }
+}
+
+impl From<(f64, Micros)> for DecayingRate {
+    fn from((per_second, as_of): (f64, Micros)) -> Self {
+        Self { per_second, as_of }
+    }
+}
+
+impl From<DecayingRate> for (f64, Micros) {
+    fn from(rate: DecayingRate) -> Self {
+        (rate.per_second, rate.as_of)
+    }
 }
 
 /// Numbers that look random, and are the same however often they are asked for in a tick: what is looked at in it, and
@@ -24,11 +48,11 @@
 }
 
 /// Mean time of an answer and its mean deviation.
-#[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct AnswerTime(Option<(f64, f64)>);
+#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+pub(crate) struct AnswerLatency(Option<(f64, f64)>);
 
-impl AnswerTime {
-    pub fn note(&mut self, took: Micros) {
+impl AnswerLatency {
+    pub fn record(&mut self, took: Micros) {
         let took = took as f64;
         let (mean, dev) = self.0.unwrap_or((took, took / 2.0));
         self.0 = Some((mean + (took - mean) / 8.0, dev + ((took - mean).abs() - dev) / 8.0));
@@ -44,21 +68,23 @@
         self.0
     }
 
-    /// The longest that is usual, between parts of an aim.
-    pub fn longest(&self, aim: Micros) -> Micros {
-        self.0.map_or(aim / 2, |(mean, dev)| ((mean + 5.0 * dev) as Micros).clamp(aim / 16, aim))
+    /// The longest that is usual, between parts of a latency objective.
+    pub fn longest(&self, latency_objective: Micros) -> Micros {
+        let (least, most) = (latency_objective / 16, latency_objective);
+        let usual = |(mean, deviation): (f64, f64)| ((mean + 5.0 * deviation) as Micros).clamp(least, most);
+        self.0.map_or(latency_objective / 2, usual)
     }
 }
 
-/// Calls served while all was well, over the seconds that took, both fading; and when last counted.
-#[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Served {
+/// Calls that succeeded while the destination was warm, over the seconds that took, both decaying; and when last counted.
+#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+pub(crate) struct SuccessRate {
     calls: f64,
     seconds: f64,
     at: Micros,
 }
 
-impl Served {
+impl SuccessRate {
     pub fn since(at: Micros) -> Self {
         Self { at, ..Self::default() }
     }
@@ -69,9 +95,9 @@
         Self { calls: rate * (seconds + doubt as f64 / 1e6), seconds, at }
     }
 
-    /// One more was served; the time before counts where all was well.
-    pub fn note(&mut self, now: Micros, span: Micros, well: bool) {
-        if well {
+    /// One more succeeded; the time before counts where the destination was warm.
+    pub fn record(&mut self, now: Micros, span: Micros, warm: bool) {
+        if warm {
             let span = span.max(1) as f64 / 1e6;
             let fade = (-((now - self.at) as f64) / 1e6 / span).exp();
             self.calls = self.calls * fade + 1.0;
@@ -80,23 +106,23 @@
         self.at = now;
     }
 
-    /// Calls a second, as if none had been served for `doubt` more.
+    /// Calls a second, as if none had succeeded for `doubt` more.
     pub fn rate(&self, doubt: Micros) -> f64 {
         self.calls / (self.seconds + doubt as f64 / 1e6)
     }
 }
 
 /// Weights of what was sent within a span.
-#[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Spent(VecDeque<(Micros, f64)>);
+#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+pub(crate) struct SentWindow(VecDeque<(Micros, f64)>);
 
-impl Spent {
+impl SentWindow {
     pub fn push(&mut self, now: Micros, weight: f64) {
         self.0.push_back((now, weight));
     }
 
-    /// Forgets what is older.
-    pub fn keep(&mut self, span: Micros, now: Micros) {
+    /// Forgets what is older than a span.
+    pub fn forget_before(&mut self, span: Micros, now: Micros) {
         while self.0.front().is_some_and(|sent| sent.0 + span <= now) {
             self.0.pop_front();
         }
@@ -107,7 +133,7 @@
     }
 
     /// The weight of what was sent within a span before now, and when the last of it was.
-    pub fn of_late(&self, span: Micros, now: Micros) -> (f64, Micros) {
+    pub fn recent(&self, span: Micros, now: Micros) -> (f64, Micros) {
         let late = self.0.iter().rev().take_while(|sent| sent.0 + span > now);
         let last = self.0.back().map_or(0, |sent| sent.0);
         let weight = late.map(|sent| sent.1).sum();
@@ -115,35 +141,38 @@
     }
 }
 
-/// A pace in calls a second, without bound at first; what it allows now, and as of when.
-#[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Pace {
+/// A token bucket: a call takes a token. Without bound at first; a full one has a quarter of a second's calls and one.
+#[derive(Debug, Clone, Serialize, Deserialize)]
+pub(crate) struct TokenBucket {
+    /// Tokens a second.
     pub rate: f64,
-    pub credit: f64,
-    at: Micros,
+    #[serde(rename = "credit")]
+    pub tokens: f64,
+    #[serde(rename = "at")]
+    refilled_at: Micros,
 }
 
-impl Default for Pace {
+impl Default for TokenBucket {
     fn default() -> Self {
-        Self { rate: f64::INFINITY, credit: 1.0, at: 0 }
+        Self { rate: f64::INFINITY, tokens: 1.0, refilled_at: 0 }
     }
 }
 
-impl Pace {
+impl TokenBucket {
     pub fn since(at: Micros) -> Self {
-        Self { at, ..Self::default() }
+        Self { refilled_at: at, ..Self::default() }
     }
 
     pub fn refill(&mut self, now: Micros) {
-        let gained = self.rate * (now - self.at) as f64 / 1e6;
+        let gained = self.rate * (now - self.refilled_at) as f64 / 1e6;
         let most = 1.0 + self.rate / 4.0;
-        self.credit = if self.rate.is_finite() { (self.credit + gained).min(most) } else { 1.0 };
-        self.at = now;
+        self.tokens = if self.rate.is_finite() { (self.tokens + gained).min(most) } else { 1.0 };
+        self.refilled_at = now;
     }
 
     /// When it allows a call.
     pub fn allows_at(&self) -> Micros {
-        self.at.saturating_add(((1.0 - self.credit).max(0.0) / self.rate * 1e6).ceil() as Micros)
+        self.refilled_at.saturating_add(((1.0 - self.tokens).max(0.0) / self.rate * 1e6).ceil() as Micros)
     }
 }
 
--- /dev/null
+++ b/crates/decision/src/health/record.rs
@@ -0,0 +1,126 @@
+//! The stored form of a route's health. It is part of the state that one process hands to the next, where fields go by
+//! their names: these names and their order are a format, and stay whatever the fields in memory are called.
+
+use serde::{Deserialize, Serialize};
+
+use super::RouteHealth;
+use super::circuit_breaker::CircuitBreaker;
+use super::outage_detector::OutageDetector;
+use super::quota_share::QuotaShare;
+use super::rate_limiter::RateLimiter;
+use super::slow_start::SlowStart;
+use crate::estimate::{AnswerLatency, DecayingRate, SentWindow, SuccessRate, TokenBucket};
+use crate::interface::Micros;
+
+/// All fields of [`RouteHealth`]; as new where an older process lacks one. The components say what each means.
+#[derive(Debug, Default, Serialize, Deserialize)]
+#[serde(default)]
+pub(super) struct RouteHealthRecord {
+    pub breaker: CircuitBreaker,
+    pub wait_until: Micros,
+    pub fulls: u32,
+    pub unexplained: u32,
+    pub crowds: u32,
+    pub full_at: Micros,
+    pub bad_run: u32,
+    pub cold_since: Option<Micros>,
+    pub bad_since: Micros,
+    pub ramp: f64,
+    pub turn: f64,
+    pub turn_at: Micros,
+    pub out: usize,
+    pub sent: SentWindow,
+    pub served: SuccessRate,
+    pub told: f64,
+    pub used_up_at: Micros,
+    pub well_at: Micros,
+    pub listed: f64,
+    pub left: f64,
+    pub lift: f64,
+    pub short_at: Option<Micros>,
+    pub left_told: CapacityLeft,
+    pub pace: TokenBucket,
+    pub granted: DecayingRate,
+    pub cut_at: Micros,
+    pub grown_at: Micros,
+    pub usual: AnswerLatency,
+    pub answered_at: Micros,
+    pub lost_at: Micros,
+    pub late: bool,
+    pub delivered_at: Micros,
+    pub waking: bool,
+    pub woken_ill: bool,
+    pub returned: bool,
+    pub drawn: bool,
+    pub heard_ill: bool,
+    pub share: EscrowShare,
+}
+
+/// A share of an even share, with what senders transferred to one another.
+#[derive(Debug, Clone, Copy, Serialize, Deserialize)]
+pub(super) struct EscrowShare(pub f64);
+
+impl Default for EscrowShare {
+    fn default() -> Self {
+        Self(1.0)
+    }
+}
+
+/// Share of a limit that a report showed as left, and when; stored as a pair.
+#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
+pub(super) struct CapacityLeft {
+    /// From 0 to 1.
+    pub left: f64,
+    pub at: Micros,
+}
+
+impl From<(f64, Micros)> for CapacityLeft {
+    fn from((left, at): (f64, Micros)) -> Self {
+        Self { left, at }
+    }
+}
+
+impl From<CapacityLeft> for (f64, Micros) {
+    fn from(CapacityLeft { left, at }: CapacityLeft) -> Self {
+        (left, at)
+    }
+}
+
+impl From<RouteHealthRecord> for RouteHealth {
+    fn from(record: RouteHealthRecord) -> Self {
+        Self {
+            outage: OutageDetector::load(&record),
+            slow_start: SlowStart::load(&record),
+            limiter: RateLimiter::load(&record),
+            quota: QuotaShare::load(&record),
+            wait_until: record.wait_until,
+            in_flight: record.out,
+            activating: record.waking,
+            breaker: record.breaker,
+        }
+    }
+}
+
+impl From<&RouteHealth> for RouteHealthRecord {
+    fn from(health: &RouteHealth) -> Self {
+        let mut record = Self {
+            breaker: health.breaker.clone(),
+            wait_until: health.wait_until,
+            out: health.in_flight,
+            waking: health.activating,
+            ..Self::default()
+        };
+        health.outage.store(&mut record);
+        health.slow_start.store(&mut record);
+        health.limiter.store(&mut record);
+        health.quota.store(&mut record);
+        record
+    }
+}
+
+impl Serialize for RouteHealth {
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        RouteHealthRecord::from(self).serialize(serializer)
+    }
+}
--- /dev/null
+++ b/crates/decision/src/health/slow_start.rs
@@ -0,0 +1,83 @@
+//! Slow start of a destination after an outage.
+
+use crate::estimate::{SentWindow, SuccessRate};
+use crate::interface::{Micros, Rules};
+
+use super::{FEW_SENDERS, Tick};
+
+mod state;
+
+/// Part of the load that a cold destination bears which this sender allows itself.
+const SAFETY_MARGIN: f64 = 0.9;
+/// Where the window takes less than a whole call, single calls are spaced at random instead.
+const WHOLE_CALL: f64 = 0.999;
+
+/// What a cold destination can be counted on for.
+pub(super) struct ColdCapacity {
+    /// Share of its usual capacity, from 0 to 1.
+    pub share: f64,
+    /// This sender's usual traffic to it, in calls a second.
+    pub own_rate: f64,
+}
+
+/// Limits calls to a destination that may be cold to what it bears while it warms up.
+///
+/// *Input*: when the destination came back, its success rate before, each weight that is sent. *Rule*: the
+/// share of capacity to count on rises evenly from the rules' `cold_share` to 1 within `warm_within`. Calls a
+/// second are `overload_multiple * share * own rate *` [`SAFETY_MARGIN`]; what was sent within the last
+/// `overload_for` stays below that. Where this is under a call, single calls go at random moments at that
+/// rate. *Guards against* pushing a destination back into the outage that it returns from.
+#[derive(Debug)]
+pub(super) struct SlowStart {
+    /// When a destination back from an outage first answered.
+    cold_since: Option<Micros>,
+    /// Calls a second that were allowed at the last look.
+    rate: f64,
+    /// Calls at that rate until the next single call may go; 0 while none is awaited.
+    calls_until_next: f64,
+    checked_at: Micros,
+    sent: SentWindow,
+    successes: SuccessRate,
+}
+
+impl SlowStart {
+    /// Share of the capacity to count on, if it came back lately.
+    pub(super) fn warm_share(&self, rules: &Rules, now: Micros) -> Option<f64> {
+        let warm = now.saturating_sub(self.cold_since?) as f64 / rules.warm_within.max(1) as f64;
+        (warm < 1.0).then_some(rules.cold_share + (1.0 - rules.cold_share) * warm)
+    }
+
+    /// Whether it came back so lately that it is still warming up.
+    pub(super) fn is_warming(&self, rules: &Rules, now: Micros) -> bool {
+        self.cold_since.is_some_and(|since| now < since + rules.warm_within)
+    }
+
+    /// Whether a further weight may go to a destination that is as cold as that, or warm.
+    pub(super) fn allows(&mut self, cold: Option<ColdCapacity>, tick: &Tick, weight: f64) -> bool {
+        let (rules, now) = (&tick.settings.rules, tick.now);
+        self.sent.forget_before(rules.overload_for, now);
+        let last_checked_at = std::mem::replace(&mut self.checked_at, now);
+        let Some(ColdCapacity { share, own_rate }) = cold else {
+            self.calls_until_next = 0.0;
+            return true;
+        };
+        let seconds = rules.overload_for as f64 / 1e6;
+        let least = FEW_SENDERS as f64 / (tick.settings.senders as f64 * seconds);
+        self.rate = (rules.overload_multiple * share * own_rate * SAFETY_MARGIN).max(least);
+        if self.rate * seconds > WHOLE_CALL {
+            let sent = self.sent.sum();
+            return sent == 0.0 || sent + weight <= self.rate * seconds;
+        }
+        self.single_call_due(last_checked_at, now, tick.jitter)
+    }
+
+    /// Counts down to the next single call, or draws when it goes.
+    fn single_call_due(&mut self, last_checked_at: Micros, now: Micros, jitter: f64) -> bool {
+        if self.calls_until_next <= 0.0 {
+            self.calls_until_next = 2.0 * jitter;
+        } else {
+            self.calls_until_next -= self.rate * (now - last_checked_at) as f64 / 1e6;
+        }
+        self.calls_until_next <= 0.0
+    }
+}
--- /dev/null
+++ b/crates/decision/src/health/slow_start/state.rs
@@ -0,0 +1,77 @@
+//! How it begins, what it shows, and its stored form: nothing is decided here.
+
+use super::SlowStart;
+use crate::estimate::{SentWindow, SuccessRate};
+use crate::health::record::RouteHealthRecord;
+use crate::interface::{Micros, Rules};
+
+impl SlowStart {
+    pub(in crate::health) fn new(now: Micros) -> Self {
+        Self {
+            cold_since: None,
+            rate: 0.0,
+            calls_until_next: 0.0,
+            checked_at: 0,
+            sent: SentWindow::default(),
+            successes: SuccessRate::since(now),
+        }
+    }
+
+    /// When a destination back from an outage first answered.
+    pub(in crate::health) fn cold_since(&self) -> Option<Micros> {
+        self.cold_since
+    }
+
+    /// It is back from an outage since then, or was never in one.
+    pub(in crate::health) fn set_cold_since(&mut self, since: Option<Micros>) {
+        self.cold_since = since;
+    }
+
+    /// Calls a second that were served while the destination was warm.
+    pub(in crate::health) fn usual_rate(&self, rules: &Rules) -> f64 {
+        self.successes.rate(rules.overload_for)
+    }
+
+    /// The usual rate as an earlier process knew it.
+    pub(in crate::health) fn restore_rate(&mut self, rate: f64, rules: &Rules, now: Micros) {
+        self.successes = SuccessRate::at_rate(rate, rules.warm_within, rules.overload_for, now);
+    }
+
+    pub(in crate::health) fn record_success(&mut self, rules: &Rules, warm: bool, now: Micros) {
+        self.successes.record(now, rules.warm_within, warm);
+    }
+
+    pub(in crate::health) fn record_sent(&mut self, weight: f64, now: Micros) {
+        self.sent.push(now, weight);
+    }
+
+    /// Weight sent within the last span, and when the last of it was.
+    pub(in crate::health) fn recently_sent(&self, span: Micros, now: Micros) -> (f64, Micros) {
+        self.sent.recent(span, now)
+    }
+
+    /// When a call was last weighed.
+    pub(in crate::health) fn checked_at(&self) -> Micros {
+        self.checked_at
+    }
+}
+
+/// The stored form.
+impl SlowStart {
+    pub(in crate::health) fn load(record: &RouteHealthRecord) -> Self {
+        Self {
+            cold_since: record.cold_since,
+            rate: record.ramp,
+            calls_until_next: record.turn,
+            checked_at: record.turn_at,
+            sent: record.sent.clone(),
+            successes: record.served.clone(),
+        }
+    }
+
+    pub(in crate::health) fn store(&self, record: &mut RouteHealthRecord) {
+        record.cold_since = self.cold_since;
+        (record.ramp, record.turn, record.turn_at) = (self.rate, self.calls_until_next, self.checked_at);
+        (record.sent, record.served) = (self.sent.clone(), self.successes.clone());
+    }
+}
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -270,6 +270,13 @@
     pub rules: Rules,
 }
 
+impl Settings {
+    /// The shortest latency objective of all classes.
+    pub fn shortest_latency_objective(&self) -> Micros {
+        self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0)
+    }
+}
+
 /// State of an endpoint in the list. It says nothing of health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Listing {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -18,26 +18,26 @@
 //!
 //! let endpoint = EndpointId([10, 0, 0, 1, 0x1f, 0x90]);
 //! let destination = DestinationId(7);
-//! let listed = Entry { endpoint, destination, zone: 0, kind: 0, weight: 1.0, listing: Listing::Ready };
+//! let listed = EndpointEntry { endpoint, destination, zone: 0, kind: 0, weight: 1.0, listing: Listing::Ready };
 //! let message = Message {
-//!     id: MessageId(1), class: 0, tenant: 0, key: None, time_left: 24_000_000, hint: None, destination,
+//!     id: MessageId(1), class: 0, tenant: 0, key: None, remaining_time: 24_000_000, hint: None, destination,
 //! };
 //! let mut actions = Vec::new();
-//! policy.handle(now, &[Event::List(vec![listed]), Event::Accepted(message)], &mut actions);
+//! policy.handle(now, &[Event::EndpointList(vec![listed]), Event::Accepted(message)], &mut actions);
 //!
 //! for action in actions.drain(..) {
 //!     match action {
 //!         Action::Attempt { message, endpoint, timeout, .. } => {
 //!             println!("call {endpoint:?} with {message:?}, wait {timeout} microseconds at most");
 //!         }
-//!         Action::Remind { at, token } => println!("send Event::Reminder({token}) at {at}"),
+//!         Action::SetTimer { at, token } => println!("send Event::TimerFired({token}) at {at}"),
 //!         other => println!("{other:?}"),
 //!     }
 //! }
 //!
-//! // Later the answer comes. It is terminal: the client has been told by the sender.
+//! // Later the answer comes. It is terminal: the sender has answered the client.
 //! now += 200_000;
-//! let answer = Event::Ended {
+//! let answer = Event::AttemptCompleted {
 //!     message: MessageId(1), attempt: 0, endpoint, outcome: Outcome::Delivered,
 //!     terminal: true, took: 200_000, report: vec![],
 //! };
@@ -52,9 +52,12 @@
 mod calls;
 mod endpoints;
 mod estimate;
+mod health;
 pub mod interface;
 mod lines;
 pub mod policy;
 mod round;
 mod routes;
+#[cfg(test)]
+mod test_support;
 mod waiting;
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -2,19 +2,13 @@
 //! A three-state breaker per destination decides the ordinary path of every message. All sends pass
 //! [`Policy::dispatch`] and [`Policy::admit`]; all final answers pass [`Policy::answer`].
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-use gossip::Gossip;
-use idle_destinations::ActivationLimiter;
-use serde::{Deserialize, Serialize};
-
-use crate::book::{Book, Held};
-use crate::calls::Calls;
-use crate::endpoints::Endpoints;
-use crate::estimate::GivenUpAge;
-use crate::interface::*;
-use crate::lines::Lines;
-use crate::routes::Routes;
+use crate::book::Held;
+use crate::health::{FEW_SENDERS, MAX_SILENT, RESET_TIMEOUT};
+use crate::interface::{
+    Action, EndpointId, Event, Idempotency, IdempotencyScope, Message, Micros, RouteId, Settings,
+};
 
 mod answers;
 mod dispatch;
@@ -22,14 +16,14 @@
 mod fold;
 mod hearsay;
 pub mod moving;
-#[cfg(test)]
-mod oracle;
-pub(crate) mod route;
+mod state;
 mod takeover;
+#[cfg(test)]
+mod tests;
 mod view;
 mod worth;
 
-use route::{FEW_SENDERS, MAX_SILENT, RESET_TIMEOUT, Route, State};
+pub use state::Policy;
 
 /// What may not be repeated at will keeps its last byte back so long: longer than the way there and back.
 const HOLD: Micros = 5_000;
@@ -46,77 +40,7 @@
 /// From the end of a process until the next one repeats what was out, connection and all.
 const RESTART: Micros = 2_000_000;
 
-/// The decisions of one sender.
-#[derive(Serialize, Deserialize)]
-pub struct Policy {
-    settings: Settings,
-    #[serde(skip)]
-    rng: fastrand::Rng,
-    now: Micros,
-    endpoints: Endpoints,
-    routes: Routes,
-    /// Who of those that wake may begin.
-    waking: ActivationLimiter<RouteId>,
-    book: Book,
-    calls: Calls,
-    lines: Lines,
-    seed: u64,
-    /// When to ask for the list (again).
-    ask_at: Option<Micros>,
-    reminder: Option<Micros>,
-    /// Connections that are used no more often than this are closed after use.
-    keep: Micros,
-    given_up_from: GivenUpAge,
-    /// That, and which tenants were beyond their shares, when what waits for a slot was sorted.
-    sorted_for: (Micros, Vec<bool>),
-    /// Share of kept connections that were lost under a further call, smoothed.
-    kept_lost: f64,
-    /// When this process ends, once that is known.
-    stop_at: Option<Micros>,
-    /// From when on the next process may repeat what is first sent then, for each window.
-    unbound: BTreeSet<Micros>,
-    /// Messages a second that each tenant handed in here of late, and when that was last counted.
-    tenants: Vec<(f64, Micros)>,
-    /// What is shared with other senders. The next process begins anew with it, and hears it from them.
-    #[serde(skip)]
-    shared: Option<Gossip>,
-    /// When notes that are used for nothing may be told of again.
-    #[serde(skip)]
-    complain_at: Micros,
-}
-
 impl Policy {
-    /// A sender that knows nothing but its settings.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        Self {
-            shared: settings.gossip.map(|law| Gossip::new(law, seed, now)),
-            complain_at: 0,
-            routes: Routes::new(&settings, now),
-            waking: ActivationLimiter::new(
-                settings.idle.map(|d| d.activations_per_second),
-                settings.max_calls / 2,
-                now,
-            ),
-            ask_at: settings.polling_only.then_some(now),
-            tenants: vec![(0.0, now); settings.tenants.len()],
-            keep: first_keep(&settings),
-            given_up_from: GivenUpAge(Micros::MAX),
-            sorted_for: (Micros::MAX, vec![]),
-            kept_lost: 0.0,
-            settings,
-            rng: fastrand::Rng::with_seed(seed),
-            now,
-            endpoints: Endpoints::default(),
-            book: Book::default(),
-            calls: Calls::default(),
-            lines: Lines::default(),
-            seed,
-            reminder: None,
-            stop_at: None,
-            unbound: BTreeSet::new(),
-        }
-    }
-
     /// Folds in all events of the tick, then decides once.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.fold(now, events, actions);
@@ -147,17 +71,17 @@
 
     /// Opens the breakers of destinations with several calls out that are silent.
     pub(super) fn open_silent(&mut self) {
-        let (now, aim) = (self.now, self.shortest_aim());
+        let (now, aim) = (self.now, self.settings.shortest_latency_objective());
         let mut silent: BTreeMap<RouteId, u32> = BTreeMap::new();
         for (id, sent) in self.calls.unheard() {
-            if self.routes.get(&id).is_some_and(|route| route.silent(sent, aim, now)) {
+            if self.routes.get(&id).is_some_and(|route| route.is_silent(sent, aim, now)) {
                 *silent.entry(id).or_default() += 1;
             }
         }
         for (id, count) in silent {
             let Some(route) = self.routes.get_mut(&id) else { continue };
-            if route.breaker.state == State::Closed && count >= MAX_SILENT {
-                route.breaker.open(now, aim);
+            if route.is_breaker_closed() && count >= MAX_SILENT {
+                route.open_breaker(now, aim);
                 self.book.waiting.touch(id.0);
             }
         }
@@ -194,19 +118,6 @@
             }
         }
     }
-
-    /// Endpoints that are listed for a destination, with their routes.
-    fn usable(&self, destination: DestinationId) -> impl Iterator<Item = (EndpointId, &Route)> {
-        self.endpoints.of(destination).filter(|(_, e)| e.ready).filter_map(|(id, _)| {
-            let route = self.endpoints.route(id)?;
-            Some((id, self.routes.get(&route)?))
-        })
-    }
-
-    /// When a trial is due at the first of a destination's endpoints; 0 where one takes calls.
-    fn trial(&self, destination: DestinationId) -> Micros {
-        self.usable(destination).map(|(_, r)| r.breaker.due()).min().unwrap_or(0)
-    }
 }
 
 /// Guards endpoints' tables of connections against the idle ones of many senders: the more there are, the
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -1,11 +1,13 @@
 //! The one path of every send, and when to look again.
 
-use super::route::{BUNDLE_WEIGHT, State};
-use super::{FEW_SENDERS, HOLD, PLACES_FREE, Policy, RESTART, way};
+use super::{HOLD, PLACES_FREE, Policy, RESTART, way};
 use crate::estimate::chance;
+use crate::health::{FEW_SENDERS, Tick};
 use crate::interface::*;
 use crate::round::{Begun, Round, Verdict};
 
+/// What each further message adds to the weight of a call at a cold destination.
+const BATCHED_WEIGHT: f64 = 0.25;
 /// More destinations that wait for a slot than this are a crowd.
 const CROWD: usize = 256;
 
@@ -174,69 +176,66 @@
             return Verdict::Passed { slot: false };
         }
         let joined = begun.open(endpoint_id, endpoint.kind.max_batch);
-        route.pace.refill(now);
+        let tick =
+            Tick { settings: &self.settings, now, latency_objective: class.latency_objective, jitter: luck };
+        route.refill_tokens(now);
         // What is lent and borrowed of the limit; a sender that has more to send than its part asks for more.
         if let (Some(shared), None) = (&mut self.shared, route_id.1) {
-            route.share.0 = shared.quota_share(route_id.0.0, now);
-            let (needs, short) = route.needs(&self.settings, now, class.latency_objective, backlog);
-            shared.report_demand(route_id.0.0, needs, short, now);
+            route.set_escrow(shared.quota_share(route_id.0.0, now));
+            let demand = route.demand(&tick, backlog);
+            shared.report_demand(route_id.0.0, demand.shares, demand.is_short, now);
         }
-        if let Some(part) =
-            route.part(&self.settings, now, class.latency_objective, backlog / endpoint.kind.max_batch as f64)
-        {
-            route.pace.rate = part;
-            route.come_back_apart(luck);
-        }
-        if joined.is_none() && route.pace.credit < 1.0 {
+        let queued_calls = backlog / endpoint.kind.max_batch as f64;
+        route.apply_quota(&tick, queued_calls);
+        if joined.is_none() && !route.has_token() {
             return Verdict::Closed;
         }
         // Waits heeded; our own pauses, and one call at a time until a refusing destination accepts.
-        if now < route.wait_until || (route.fulls > 0 && route.out > 0) {
+        if now < route.wait_until() || (route.is_rejecting() && route.in_flight() > 0) {
             return Verdict::Closed;
         }
         // The ramp after an outage.
-        let weight = if joined.is_some() { BUNDLE_WEIGHT } else { 1.0 };
-        if !route.ramp_allows(&self.settings, now, weight, backlog, luck) {
+        let weight = if joined.is_some() { BATCHED_WEIGHT } else { 1.0 };
+        if !route.slow_start_allows(&tick, weight, backlog) {
             return Verdict::Closed;
         }
         if joined.is_none() {
             // Slots: all of them, and the destination's share.
             let slots = self.settings.max_calls;
-            let share = if route.failing() { slots / 2 } else { slots * 3 / 4 }.max(1);
-            if route.out >= share {
+            let share = if route.is_failing() { slots / 2 } else { slots * 3 / 4 }.max(1);
+            if route.in_flight() >= share {
                 return Verdict::Closed;
             }
             if self.calls.len() >= slots {
                 return Verdict::NoSlot;
             }
-        } else if route.breaker.state != State::Closed {
+        } else if !route.is_breaker_closed() {
             return Verdict::Closed;
         }
         // Those that wake begin with one call each, so many a second, the fullest worth first. Guards
         // descriptors, slots and the busy against a crowd. One that wakes with much to send loses a call's
         // time by it.
-        if joined.is_none() && route.waking && (route.out > 0 || !self.waking.allows(route_id, worth, now)) {
+        if joined.is_none()
+            && route.is_activating()
+            && (route.in_flight() > 0 || !self.waking.allows(route_id, worth, now))
+        {
             return Verdict::Closed;
         }
         // The breaker decides last, since it counts what it admits.
-        if joined.is_none() && !route.breaker.allows(now) {
+        if joined.is_none() && !route.breaker_allows(now) {
             return Verdict::Closed;
         }
         let call = joined.unwrap_or(self.calls.next());
-        let well = route.fulls == 0 && route.cold_share(&self.settings.rules, now).is_none();
+        let well = !route.is_rejecting() && route.cold_share(&self.settings.rules, now).is_none();
         let patience = if well {
             (2 * route.patience(class.latency_objective)).min(class.latency_objective)
         } else {
             class.latency_objective
         };
-        route.sent.push(now, weight);
+        route.record_sent(weight, now);
         if joined.is_none() {
-            route.out += 1;
-            route.pace.credit -= 1.0;
-            if route.breaker.state == State::HalfOpen {
-                route.breaker.trial = Some(call);
-            }
-            if route.waking {
+            route.call_started(call);
+            if route.is_activating() {
                 self.waking.call_started(call);
             }
             self.calls.begin(route_id, endpoint_id, now);
--- a/crates/decision/src/policy/due.rs
+++ b/crates/decision/src/policy/due.rs
@@ -1,8 +1,8 @@
 //! When what waits is looked at again, and when the module asks to be woken. Nothing is decided here: a look that comes
 //! too soon finds everything as it was, one that comes too late costs time.
 
-use super::route::CALM_AIMS;
 use super::{PLACES_FREE, Policy};
+use crate::health::CALM_OBJECTIVES;
 use crate::interface::*;
 use crate::round::Round;
 
@@ -21,14 +21,14 @@
     /// When a destination that nothing may go to now can change that by itself. A ramp rises all the time: it
     /// is looked at every few ticks, the fewer the more destinations wait.
     fn next_chance(&self, destination: DestinationId) -> Option<Micros> {
-        let (now, rules, aim) = (self.now, &self.settings.rules, self.shortest_aim());
+        let (now, rules, aim) = (self.now, &self.settings.rules, self.settings.shortest_latency_objective());
         let often = self.settings.period * (RAMP_TICKS + self.book.waiting.destinations() as Micros / 64);
         let ready = self.endpoints.of(destination).filter(|(_, e)| e.ready);
         let rests = ready.map(|(_, e)| e.rest_until.max(e.places.allow_at(e.out, PLACES_FREE)));
         let chances = self.usable(destination).flat_map(|(_, r)| {
             let ramp = if r.cold_share(rules, now).is_some() { now + often } else { 0 };
-            let part = r.short_at.map_or([0, 0], |at| [at + aim, at + CALM_AIMS * aim]);
-            [r.wait_until, r.breaker.due(), ramp, r.pace.allows_at(), part[0], part[1]]
+            let part = r.short_at().map_or([0, 0], |at| [at + aim, at + CALM_OBJECTIVES * aim]);
+            [r.wait_until(), r.trial_at(), ramp, r.rate_allows_at(), part[0], part[1]]
         });
         chances.chain(rests).filter(|at| *at > now).min()
     }
@@ -36,7 +36,7 @@
     /// Asks to be woken when the next decision can fall due without an event.
     pub(super) fn remind(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        let aim = self.shortest_aim();
+        let aim = self.settings.shortest_latency_objective();
         let silent = self.calls.unheard();
         let silent = silent.filter_map(|(id, sent)| Some(sent + self.routes.get(&id)?.patience(aim)));
         let due = [self.book.next_due(), self.lines.next_due(), self.ask_at, self.unbound.first().copied()];
--- a/crates/decision/src/policy/fold.rs
+++ b/crates/decision/src/policy/fold.rs
@@ -1,11 +1,11 @@
 //! Takes events into what is known: messages, outcomes, lists, reports. Nothing is decided here. Where an event calls for a
 //! decision (a breaker that opens, a message that is turned away, a report that can't be meant) the policy's files are asked.
 
-use super::route::RESET_TIMEOUT;
 use super::{KEPT_SEEN, Policy, RESTART, margin};
 use crate::book::Held;
 use crate::calls::Ended;
-use crate::estimate::{chance, faded};
+use crate::estimate::chance;
+use crate::health::{RESET_TIMEOUT, Tick};
 use crate::interface::*;
 
 /// A message is answered no more than this part of its class's time early.
@@ -37,7 +37,7 @@
                     let Some(id) = self.endpoints.route(*endpoint) else { continue };
                     self.routes.wake(id.0, &self.endpoints, now);
                     if let Some(route) = self.routes.get_mut(&id) {
-                        route.wait_until = route.wait_until.max(now + wait);
+                        route.wait_until_at_least(now + wait);
                     }
                     self.share_wait(id, now + wait);
                 }
@@ -99,10 +99,6 @@
         }
     }
 
-    pub(super) fn shortest_aim(&self) -> Micros {
-        self.settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0)
-    }
-
     /// A message that outlived the process that took it: what may have run then still binds.
     fn resume(
         &mut self,
@@ -121,7 +117,7 @@
         let Some(class) = self.settings.classes.get(message.class) else { return };
         let deadline = self.now + message.remaining_time;
         if let Some(rate) = self.tenants.get_mut(message.tenant) {
-            *rate = faded(*rate, self.now, class.latency_objective, 1.0);
+            *rate = rate.after(1.0, self.now, class.latency_objective);
         }
         if let (true, Some(key)) = (class.in_order, message.key) {
             self.lines.push(key, message.id);
@@ -154,16 +150,14 @@
     fn note_report(&mut self, endpoint: EndpointId, report: &[f32]) {
         let field = |at: Option<usize>| Some(f64::from(*report.get(at?)?)).filter(|field| field.is_finite());
         let (left, limit) = (field(self.settings.report.0), field(self.settings.report.1));
-        let aim = self.shortest_aim();
+        let aim = self.settings.shortest_latency_objective();
         let Some(id) = self.endpoints.route(endpoint) else { return };
         let (Some(limit), Some(route)) = (limit, self.routes.get_mut(&id)) else { return };
-        if !route.believes(limit) {
-            return;
-        }
         let left = left.unwrap_or(0.0).clamp(0.0, 1.0);
-        route.told(limit, left, self.now, aim);
-        self.share_limit(id, limit);
-        self.book.waiting.touch(id.0);
+        if route.record_report(limit, left, aim, self.now) {
+            self.share_limit(id, limit);
+            self.book.waiting.touch(id.0);
+        }
     }
 
     fn ended(&mut self, id: MessageId, attempt: u16, outcome: Outcome, terminal: bool) {
@@ -176,24 +170,21 @@
         if done {
             self.waking.call_completed(number);
         }
+        let latency_objective = self.settings.shortest_latency_objective();
+        let tick = Tick { settings: &self.settings, now, latency_objective, jitter: luck };
         if let Some(route) = self.routes.get_mut(&call.route) {
-            route.out -= usize::from(done);
+            if done {
+                route.call_completed();
+            }
             // Each message of a call may be told a wait of its own.
             if let Outcome::Rejected(Some(wait)) = outcome {
-                route.wait_until = route.wait_until.max(now + wait);
+                route.wait_until_at_least(now + wait);
             }
             if first {
-                route.waking &= !outcome.answered();
-                if matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::InvalidResponse) {
-                    route.usual.note(now - sent);
-                    route.answered_at = now;
-                } else if outcome == Outcome::TimedOut {
-                    // Patience grows with it: guards a destination that becomes slow against repeats.
-                    route.usual.note(now - sent);
-                }
-                let before = (route.bad_run, route.unexplained);
-                route.record(&self.settings, number, sent, outcome, now, luck);
-                let after = (route.bad_run, route.unexplained);
+                route.record_latency(sent, outcome, now);
+                let before = route.failure_counts();
+                route.record(&tick, number, sent, outcome);
+                let after = route.failure_counts();
                 self.share_outcome(call.route, sent, outcome, before, after);
             }
         }
--- a/crates/decision/src/policy/hearsay.rs
+++ b/crates/decision/src/policy/hearsay.rs
@@ -1,10 +1,10 @@
 //! What this sender tells others of what it sees, and what it hears from them, put into the module's terms. Nothing is decided
-//! here: what hearsay counts for stands in `route.rs`, beside the guards that it adds to.
+//! here: what gossip counts for stands in `health`, beside the guards that it adds to.
 
 use gossip::{FailureKind, Gossip, Observation};
 
 use super::Policy;
-use super::route::MAX_FAILURES;
+use crate::health::{FailureCounts, MAX_FAILURES};
 use crate::interface::*;
 
 /// Notes that are used for nothing are told of so often.
@@ -23,22 +23,25 @@
         route: RouteId,
         sent: Micros,
         outcome: Outcome,
-        before: (u32, u32),
-        after: (u32, u32),
+        before: FailureCounts,
+        after: FailureCounts,
     ) {
         let now = self.now;
-        let failed = after.0 > before.0;
+        let failed = after.failures > before.failures;
         let seen = match outcome {
             Outcome::Delivered => Observation::Success(sent),
             // One that is a limit's, or no more than one lost connection, is no evidence.
-            Outcome::Rejected(_) if after.1 > before.1 && after.1 >= MAX_FAILURES => {
-                Observation::Failure(FailureKind::Shut, after.1)
+            Outcome::Rejected(_)
+                if after.unattributed_rejections > before.unattributed_rejections
+                    && after.unattributed_rejections >= MAX_FAILURES =>
+            {
+                Observation::Failure(FailureKind::Shut, after.unattributed_rejections)
             }
             Outcome::Rejected(_) => Observation::Rejected,
-            Outcome::Error if failed => Observation::Failure(FailureKind::Failing, after.0),
-            Outcome::TimedOut if failed => Observation::Failure(FailureKind::Silent, after.0),
+            Outcome::Error if failed => Observation::Failure(FailureKind::Failing, after.failures),
+            Outcome::TimedOut if failed => Observation::Failure(FailureKind::Silent, after.failures),
             Outcome::ConnectFailed | Outcome::Reset if failed => {
-                Observation::Failure(FailureKind::Unreachable, after.0)
+                Observation::Failure(FailureKind::Unreachable, after.failures)
             }
             _ => return,
         };
@@ -82,8 +85,10 @@
             return;
         };
         let belief = shared.belief(destination.0, self.now);
-        if belief.unhealthy.is_some() && !route.heard_ill || belief.wait_until > route.wait_until {
-            route.heard(&belief, self.now);
+        if belief.unhealthy.is_some() && !route.is_reported_unhealthy()
+            || belief.wait_until > route.wait_until()
+        {
+            route.record_gossip(&belief, self.now);
         }
     }
 
@@ -93,7 +98,7 @@
         for (destination, belief) in shared.take_changes(now) {
             let id = (DestinationId(destination), None);
             if let Some(route) = self.routes.get_mut(&id) {
-                route.heard(&belief, now);
+                route.record_gossip(&belief, now);
                 self.book.waiting.touch(id.0);
             }
         }
--- a/crates/decision/src/policy/moving.rs
+++ b/crates/decision/src/policy/moving.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::Policy;
-use super::route::Route;
 use crate::book::Held;
 use crate::calls::Moved;
 use crate::endpoints::Endpoint;
+use crate::health::RouteHealth;
 use crate::interface::*;
 
 /// All that a module knew of a destination. It is in one place at a time: parted from one module, joined to another.
@@ -20,7 +20,7 @@
     /// When it was parted, on the clock of the events.
     at: Micros,
     messages: Vec<Held>,
-    routes: Vec<(RouteId, Route)>,
+    routes: Vec<(RouteId, RouteHealth)>,
     asleep: Vec<(RouteId, RouteSnapshot)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
     calls: Vec<Moved>,
--- a/crates/decision/src/policy/takeover.rs
+++ b/crates/decision/src/policy/takeover.rs
@@ -88,7 +88,7 @@
     pub fn waits(&self) -> Vec<(EndpointId, Micros)> {
         let listed = self.endpoints.in_list().filter_map(|(id, _)| {
             let route = self.routes.get(&self.endpoints.route(id)?)?;
-            Some((id, route.wait_until))
+            Some((id, route.wait_until()))
         });
         listed.filter(|(_, until)| *until > self.now).collect()
     }
--- /dev/null
+++ b/crates/decision/src/policy/tests/mod.rs
@@ -0,0 +1,3 @@
+//! Tests of the decisions that need a look inside.
+
+mod reference_model;
--- a/crates/decision/src/policy/oracle.rs
+++ b/crates/decision/src/policy/tests/reference_model.rs
@@ -9,11 +9,11 @@
 
 use std::collections::BTreeMap;
 
-use super::Policy;
 use crate::book::Held;
 use crate::interface::*;
+use crate::policy::Policy;
 use crate::round::{Begun, Verdict};
-use crate::routes::settings;
+use crate::test_support::settings;
 
 impl Policy {
     fn handle_all(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
--- a/crates/decision/src/policy/view.rs
+++ b/crates/decision/src/policy/view.rs
@@ -1,13 +1,12 @@
 //! What the module shows of itself to operators. Nothing is decided here and nothing is changed.
 
 use super::Policy;
-use super::route::State;
 use crate::interface::DestinationId;
 
 impl Policy {
     /// Destinations with a breaker that is open, or half-open until its trial has come back; each once, in order.
     pub fn open_breakers(&self) -> Vec<DestinationId> {
-        let open = self.routes.iter().filter(|(_, route)| route.breaker.state != State::Closed);
+        let open = self.routes.iter().filter(|(_, route)| !route.is_breaker_closed());
         let mut open: Vec<_> = open.map(|((destination, _), _)| *destination).collect();
         open.dedup();
         open
@@ -16,14 +15,14 @@
     /// Endpoints in the list that nothing new goes to now, or no more than a trial.
     pub fn avoided(&self) -> usize {
         let shut = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
-        let avoided = |id, ready: bool| !ready || shut(id).is_some_and(|r| r.breaker.state != State::Closed);
+        let avoided = |id, ready: bool| !ready || shut(id).is_some_and(|r| !r.is_breaker_closed());
         self.endpoints.in_list().filter(|(id, ready)| avoided(*id, *ready)).count()
     }
 
     /// Endpoints in the list that may take something new, and get no more than a trial.
     pub fn shut(&self) -> usize {
         let of = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
-        let shut = |id| of(id).is_some_and(|route| route.breaker.state != State::Closed);
+        let shut = |id| of(id).is_some_and(|route| !route.is_breaker_closed());
         self.endpoints.in_list().filter(|(id, ready)| *ready && shut(*id)).count()
     }
 
--- a/crates/decision/src/policy/worth.rs
+++ b/crates/decision/src/policy/worth.rs
@@ -12,7 +12,7 @@
         let (Some(rate), Some(t)) = (self.tenants.get(tenant), self.settings.tenants.get(tenant)) else {
             return 1.0;
         };
-        let total = rate.0 * self.settings.senders as f64;
+        let total = rate.per_second * self.settings.senders as f64;
         let within = if total > t.quota { t.quota / total } else { 1.0 };
         within + (1.0 - within) * self.settings.over_quota_weight
     }
@@ -29,8 +29,10 @@
         let (now, backlog) = (self.now, self.book.waiting.count(destination) as f64);
         // An outage is taken to last as long again as it has; a backlog to go at the pace of late.
         let wait = self.usable(destination).map(|(_, r)| {
-            let down = if r.down(&self.settings.rules, now) { now - r.answered_at.min(now) } else { 0 };
-            down + (backlog / r.granted.0.max(r.usual_rate(&self.settings.rules)).max(0.1) * 1e6) as Micros
+            let down =
+                if r.in_outage(&self.settings.rules, now) { now - r.answered_at().min(now) } else { 0 };
+            down + (backlog / r.granted_rate().max(r.usual_rate(&self.settings.rules)).max(0.1) * 1e6)
+                as Micros
         });
         wait.min().unwrap_or(Micros::MAX / 4)
     }
--- a/crates/decision/src/routes.rs
+++ b/crates/decision/src/routes.rs
@@ -1,5 +1,5 @@
 //! The routes of destinations that are awake, and what is remembered of those that sleep. It keeps and forgets; what a
-//! route may do, woken or not, is decided in `policy/route.rs`.
+//! route may do, woken or not, is decided in `health`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::endpoints::Endpoints;
+use crate::health::{RouteHealth, from_retained, to_retained};
 use crate::interface::{
-    Condition, DestinationId, EndpointId, IdlePolicy, Micros, RouteId, RouteSnapshot, Rules, Settings,
+    DestinationId, EndpointId, IdlePolicy, Micros, RouteId, RouteSnapshot, Rules, Settings,
 };
-use crate::policy::route::Route;
 
 /// So many destinations may fall asleep in a tick.
 const SLEEP_AT_ONCE: usize = 64;
@@ -24,7 +24,7 @@
 pub(crate) struct Routes {
     dormant: Option<IdlePolicy>,
     rules: Rules,
-    routes: BTreeMap<RouteId, Route>,
+    routes: BTreeMap<RouteId, RouteHealth>,
     awake: ActiveSet<DestinationId>,
     memory: IdleTable<RouteId>,
     /// What an earlier process learnt of routes that nothing has come for since; bounded by what it had.
@@ -55,7 +55,7 @@
     /// the bound on what sleeps counts for it too.
     pub fn learnt(&mut self, id: RouteId, learnt: RouteSnapshot, endpoints: &Endpoints, now: Micros) {
         if let Some(route) = self.routes.get_mut(&id) {
-            route.wait_until = route.wait_until.max(learnt.wait_until);
+            route.wait_until_at_least(learnt.wait_until);
             return;
         }
         // Guards a wait against a destination that is back under other endpoints.
@@ -69,7 +69,7 @@
             return;
         }
         if let Some(route) = self.routes.get_mut(&id).filter(|_| !listed) {
-            route.wait_until = route.wait_until.max(learnt.wait_until);
+            route.wait_until_at_least(learnt.wait_until);
             return;
         }
         let before = self.learnt.get(&id).map_or(0, |before| before.wait_until);
@@ -78,7 +78,7 @@
             Some(before) => RouteSnapshot { wait_until, ..*before },
             None => RouteSnapshot { wait_until, ..learnt },
         };
-        if self.dormant.is_none() || self.memory.insert(id, packed(&learnt), now).is_err() {
+        if self.dormant.is_none() || self.memory.insert(id, to_retained(&learnt), now).is_err() {
             self.learnt.insert(id, learnt);
         }
     }
@@ -98,12 +98,13 @@
     ) -> Vec<(RouteId, RouteSnapshot)> {
         let all = (destination, None)..=(destination, Some(EndpointId([u8::MAX; 6])));
         let mut known: BTreeMap<RouteId, RouteSnapshot> =
-            self.routes.range(all).map(|(id, route)| (*id, learnt(route, &self.rules, now))).collect();
+            self.routes.range(all).map(|(id, route)| (*id, route.snapshot(&self.rules, now))).collect();
         let mut asleep: BTreeSet<RouteId> =
             endpoints.of(destination).filter_map(|(id, _)| endpoints.route(id)).collect();
         asleep.insert((destination, None));
         for id in asleep {
-            let remembered = || self.learnt.get(&id).copied().or_else(|| self.memory.peek(id).map(unpacked));
+            let remembered =
+                || self.learnt.get(&id).copied().or_else(|| self.memory.peek(id).map(from_retained));
             if let (false, Some(learnt)) = (known.contains_key(&id), remembered()) {
                 known.insert(id, learnt);
             }
@@ -117,7 +118,7 @@
         destination: DestinationId,
         endpoints: &Endpoints,
         now: Micros,
-    ) -> (Vec<(RouteId, Route)>, Vec<Asleep>) {
+    ) -> (Vec<(RouteId, RouteHealth)>, Vec<Asleep>) {
         let known = self.known(destination, endpoints, now);
         let (mut awake, mut asleep) = (Vec::new(), Vec::new());
         for (id, learnt) in known {
@@ -136,7 +137,7 @@
     pub fn join(
         &mut self,
         destination: DestinationId,
-        awake: Vec<(RouteId, Route)>,
+        awake: Vec<(RouteId, RouteHealth)>,
         asleep: Vec<Asleep>,
         endpoints: &Endpoints,
         now: Micros,
@@ -148,12 +149,12 @@
             return;
         }
         for (id, mut route) in awake {
-            let ours = self.routes.get(&id).map_or(0, |ours| ours.wait_until);
-            route.wait_until = route.wait_until.max(ours);
-            let listed = endpoints.listing(id).0;
+            let ours = self.routes.get(&id).map_or(0, |ours| ours.wait_until());
+            route.wait_until_at_least(ours);
+            let listed = endpoints.listing(id).calls_per_second;
             // A list that this module heard alone.
-            if listed > 0.0 && listed != route.listed {
-                (route.listed, route.told) = (listed, listed);
+            if listed > 0.0 {
+                route.list_limit(listed);
             }
             self.routes.insert(id, route);
         }
@@ -171,16 +172,16 @@
         (self.dormant, self.rules) = (settings.idle, settings.rules.clone());
     }
 
-    pub fn get(&self, id: &RouteId) -> Option<&Route> {
+    pub fn get(&self, id: &RouteId) -> Option<&RouteHealth> {
         self.routes.get(id)
     }
 
-    pub fn get_mut(&mut self, id: &RouteId) -> Option<&mut Route> {
+    pub fn get_mut(&mut self, id: &RouteId) -> Option<&mut RouteHealth> {
         self.routes.get_mut(id)
     }
 
     /// Those that are awake, in order.
-    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, &Route)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, &RouteHealth)> {
         self.routes.iter()
     }
 
@@ -210,7 +211,7 @@
     /// before.
     pub fn listed(&mut self, id: RouteId, calls: f64, endpoints: &Endpoints, now: Micros) {
         match self.routes.get_mut(&id) {
-            Some(route) if calls != route.listed => (route.listed, route.told) = (calls, calls),
+            Some(route) => route.list_limit(calls),
             None if self.awake.contains(id.0) => self.rouse(id, endpoints, now),
             _ => {}
         }
@@ -221,7 +222,7 @@
     pub fn left(&mut self, destination: DestinationId, endpoint: EndpointId, now: Micros) {
         let id = (destination, Some(endpoint));
         let asleep = self.memory.wait_until(id, now);
-        let wait = self.routes.remove(&id).map_or(asleep, |route| route.wait_until);
+        let wait = self.routes.remove(&id).map_or(asleep, |route| route.wait_until());
         self.memory.remove(id);
         let facts = RetainedHealth { wait_until: wait, ..RetainedHealth::default() };
         if self.dormant.is_none()
@@ -230,8 +231,8 @@
         {
             return;
         }
-        let route = self.routes.entry((destination, None)).or_insert_with(|| Route::new(now));
-        route.wait_until = route.wait_until.max(wait);
+        let route = self.routes.entry((destination, None)).or_insert_with(|| RouteHealth::new(now));
+        route.wait_until_at_least(wait);
     }
 
     /// Gives a route back what is remembered of it, and the wait of its destination.
@@ -241,15 +242,16 @@
         }
         let common = (id.0, None);
         let wait =
-            self.memory.wait_until(common, now).max(self.routes.get(&common).map_or(0, |r| r.wait_until));
+            self.memory.wait_until(common, now).max(self.routes.get(&common).map_or(0, |r| r.wait_until()));
         let wait = wait.max(self.learnt.get(&common).map_or(0, |learnt| learnt.wait_until));
         let listing = endpoints.listing(id);
         let lost = self.learnt_lost.then(RouteSnapshot::unknown);
         let mut route = match self.learnt.remove(&id).or(lost.filter(|_| self.dormant.is_none())) {
-            Some(learnt) => Route::learnt(&learnt, listing, &self.rules, now),
-            None => Route::woken(self.memory.take(id, now), listing, &self.rules, now),
+            Some(learnt) => RouteHealth::restored(&learnt, listing, &self.rules, now),
+            None => RouteHealth::activated(self.memory.take(id, now), listing, &self.rules, now),
         };
-        (route.wait_until, route.waking) = (route.wait_until.max(wait), self.dormant.is_some());
+        route.wait_until_at_least(wait);
+        route.begin_activation(self.dormant.is_some());
         self.routes.insert(id, route);
     }
 
@@ -261,8 +263,8 @@
             let Some(destination) = self.awake.take_due(now) else { return };
             let all = (destination, None)..=(destination, Some(EndpointId([u8::MAX; 6])));
             let facts = self.routes.range(all).map(|(id, route)| {
-                let idle = route.out == 0 && route.turn_at + dormant.idle_after <= now;
-                idle.then(|| (*id, facts(route, &self.rules, now)))
+                let idle = route.in_flight() == 0 && route.checked_at() + dormant.idle_after <= now;
+                idle.then(|| (*id, route.retained(&self.rules, now)))
             });
             let facts = facts.collect::<Option<Vec<_>>>().filter(|_| !waits(destination));
             let memory = &mut self.memory;
@@ -280,108 +282,3 @@
         Some(self.awake.next_due()?.max(next_tick))
     }
 }
-
-/// What is remembered of a route that sleeps, of what was learnt of it.
-pub(crate) fn packed(learnt: &RouteSnapshot) -> RetainedHealth {
-    RetainedHealth {
-        wait_until: learnt.wait_until,
-        unhealthy_since: learnt.unhealthy_since,
-        cold_since: learnt.cold_since,
-        last_success_at: learnt.last_success_at,
-        limit: learnt.limit,
-        success_rate: learnt.success_rate,
-        send_rate: learnt.send_rate,
-        condition: learnt.condition,
-    }
-}
-
-fn unpacked(facts: RetainedHealth) -> RouteSnapshot {
-    RouteSnapshot {
-        wait_until: facts.wait_until,
-        unhealthy_since: facts.unhealthy_since,
-        cold_since: facts.cold_since,
-        last_success_at: facts.last_success_at,
-        limit: facts.limit,
-        success_rate: facts.success_rate,
-        send_rate: facts.send_rate,
-        condition: facts.condition,
-        ..RouteSnapshot::default()
-    }
-}
-
-/// All that is to be known of a route after the end of the process.
-fn learnt(route: &Route, rules: &Rules, now: Micros) -> RouteSnapshot {
-    let facts = facts(route, rules, now);
-    let due = route.breaker.due();
-    // One that goes on at once is no further than it was: a failure or two are no outage. One that sleeps is asked first.
-    let down = route.down(rules, now);
-    let worst = match facts.condition {
-        Condition::Failing if !down && route.fulls > 0 => Condition::Rejecting,
-        Condition::Failing if !down => Condition::Healthy,
-        worst => worst,
-    };
-    RouteSnapshot {
-        condition: worst,
-        failures: if down { 0 } else { route.bad_run },
-        unhealthy_since: facts.unhealthy_since.filter(|_| down),
-        shortage_at: route.short_at,
-        trial: (due > 0).then_some((due, route.breaker.reset)),
-        recent_calls: route.sent.of_late(rules.overload_for, now),
-        latency: route.usual.mean_and_deviation(),
-        ..unpacked(facts)
-    }
-}
-
-/// What is to be remembered of a route.
-fn facts(route: &Route, rules: &Rules, now: Micros) -> RetainedHealth {
-    let ill = route.ill(rules, now);
-    let refused = if route.fulls > 0 { Condition::Rejecting } else { Condition::Healthy };
-    RetainedHealth {
-        wait_until: route.wait_until,
-        unhealthy_since: ill.then_some(route.bad_since),
-        cold_since: route.cold_since,
-        last_success_at: route.delivered_at,
-        limit: route.told,
-        success_rate: route.usual_rate(rules),
-        send_rate: if route.pace.rate.is_finite() { route.pace.rate } else { 0.0 },
-        condition: if ill { Condition::Failing } else { refused },
-    }
-}
-
-#[cfg(test)]
-use crate::interface::*;
-#[cfg(test)]
-#[path = "../tests/common/settings.rs"]
-pub(crate) mod settings;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::policy::route::{MAX_FAILURES, State};
-
-    /// A route that was refused so often, half a second apart, before a refusal at the limit that is told, and then served.
-    fn served_after(refusals: u32, told: bool) -> Route {
-        let settings = settings::settings();
-        let mut now = settings::SECOND;
-        let mut route = Route::new(now);
-        for call in 0..u64::from(refusals) + 1 {
-            now += settings::SECOND / 2;
-            if told || call == u64::from(refusals) {
-                route.used_up_at = now;
-            }
-            route.record(&settings, call, now - 1_000, Outcome::Rejected(None), now, 0.5);
-        }
-        now += settings::SECOND;
-        route.record(&settings, u64::MAX, now - 1_000, Outcome::Delivered, now, 0.5);
-        assert_eq!(route.breaker.state, State::Closed);
-        route
-    }
-
-    /// Guards a destination that was shut: that it refuses at its usual limit again does not make it warm.
-    #[test]
-    fn a_refusal_at_the_limit_does_not_undo_an_outage() {
-        assert!(served_after(MAX_FAILURES + 3, false).cold_since.is_some());
-        assert!(served_after(MAX_FAILURES + 3, true).cold_since.is_none(), "its limit alone is no outage");
-        assert!(served_after(1, false).cold_since.is_none());
-    }
-}
--- a/crates/decision/tests/limits.rs
+++ b/crates/decision/tests/limits.rs
@@ -1,6 +1,6 @@
 //! The users' limits on the decision module.
 
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 /// The files that `deploy/balancer.toml` names as policy, by their paths.
 fn policy() -> Vec<(String, String)> {
@@ -29,12 +29,41 @@
 #[test]
 fn what_lies_beside_the_policy_is_known() {
     let named: Vec<_> = policy().into_iter().map(|file| file.0).collect();
-    // They show, compare, hand over, take events and notes in, tell when to look again, estimate.
-    let beside =
-        ["view.rs", "oracle.rs", "takeover.rs", "moving.rs", "fold.rs", "due.rs", "worth.rs", "hearsay.rs"];
-    for entry in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy")).unwrap() {
-        let name = entry.unwrap().file_name().into_string().unwrap();
-        let counted = named.iter().any(|path| path.ends_with(&format!("policy/{name}")));
-        assert!(counted != beside.contains(&name.as_str()), "{name}");
+    let beside = [
+        // They hold state, show it, hand it over, take events and gossip in, say when to look again, estimate.
+        "policy/state.rs",
+        "policy/view.rs",
+        "policy/takeover.rs",
+        "policy/moving.rs",
+        "policy/fold.rs",
+        "policy/due.rs",
+        "policy/worth.rs",
+        "policy/hearsay.rs",
+        // They hold state, show it and store it.
+        "health/mod.rs",
+        "health/record.rs",
+        "health/snapshot.rs",
+        "health/circuit_breaker/state.rs",
+        "health/outage_detector/state.rs",
+        "health/quota_share/state.rs",
+        "health/rate_limiter/state.rs",
+        "health/slow_start/state.rs",
+        // They test and compare.
+        "policy/tests/mod.rs",
+        "policy/tests/reference_model.rs",
+        "health/tests.rs",
+    ];
+    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+    let files: Vec<_> =
+        ["policy", "health"].iter().flat_map(|name| files_below(&source.join(name))).collect();
+    let names = files.iter().map(|path| path.strip_prefix(&source).unwrap().to_str().unwrap());
+    for name in names {
+        let counted = named.iter().any(|path| path.ends_with(&format!("src/{name}")));
+        assert!(counted != beside.contains(&name), "{name}");
     }
 }
+
+fn files_below(directory: &Path) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(directory).unwrap().map(|entry| entry.unwrap().path());
+    entries.flat_map(|path| if path.is_dir() { files_below(&path) } else { vec![path] }).collect()
+}
