--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,6 +1,6 @@
 //! Encoding of gossip messages: a version, a checksum, the sender's incarnation and clock, then parts, each with its tag and
 //! length, so that a part with an unknown tag is skipped. A message that is damaged, of another version, or invalid is rejected
-//! as a whole. The body of each part is postcard's ([`body`]).
+//! as a whole. The body of each part is a postcard value.
 //!
 //! | bytes | content |
 //! | --- | --- |
--- a/crates/gossip/tests/network/main.rs
+++ b/crates/gossip/tests/network/main.rs
@@ -18,24 +18,31 @@
     Conditions { loss, duplication: 0.1, ..LOSSLESS }
 }
 
-/// Seconds from the first failure until half, 99% and all believe in the outage; and bytes that each sender received.
-fn dissemination_times(senders: MemberIndex, broadcast: bool, loss: f64, seed: u64) -> ([f64; 3], f64) {
+/// How an outage is disseminated.
+struct Dissemination {
+    /// Seconds from the first failure until half, 99% and all of the senders believe in it.
+    times: [f64; 3],
+    /// Bytes that each sender received.
+    bytes: f64,
+}
+
+fn disseminate(senders: MemberIndex, broadcast: bool, loss: f64, seed: u64) -> Dissemination {
     let mut net = Net::new(senders, broadcast, seed);
     net.conditions = lossy(loss);
     net.run(2 * SECOND, |_| {});
-    let (begun, bytes) = (net.now, net.bytes);
+    let (started, bytes_before) = (net.now, net.bytes);
     let mut calls = Calls::new(DEST, 30.0 / f64::from(senders));
     let mut times = [f64::INFINITY; 3];
     for _ in 0..250 {
         net.run(20_000, |net| calls.tick(net, |_| true, 0.0, true));
         let share_believing = net.share_believing(DEST);
-        for (time, part) in times.iter_mut().zip([0.5, 0.99, 1.0]) {
-            if share_believing >= part && time.is_infinite() {
-                *time = (net.now - begun) as f64 / SECOND as f64;
+        for (time, share) in times.iter_mut().zip([0.5, 0.99, 1.0]) {
+            if share_believing >= share && time.is_infinite() {
+                *time = (net.now - started) as f64 / SECOND as f64;
             }
         }
     }
-    (times, (net.bytes - bytes) as f64 / f64::from(senders))
+    Dissemination { times, bytes: (net.bytes - bytes_before) as f64 / f64::from(senders) }
 }
 
 /// All believe in an outage that two or three senders observed, within the time of a few calls of the whole fleet.
@@ -44,7 +51,7 @@
     for senders in [24, 100, 300] {
         for loss in [0.0, 0.2] {
             for seed in seeds(2) {
-                let (times, bytes) = dissemination_times(senders, true, loss, seed);
+                let Dissemination { times, bytes } = disseminate(senders, true, loss, seed);
                 println!("{senders} senders, {loss} lost, seed {seed}: {times:?} s, {bytes:.0} bytes each");
                 assert!(times[0] < 0.5 && times[1] < 2.0, "{senders}, {loss}, seed {seed}: {times:?}");
                 assert!(bytes < 1_800.0, "{senders}, {loss}, seed {seed}: {bytes}");
@@ -56,7 +63,7 @@
 #[test]
 fn without_broadcast_updates_spread_by_fan_out() {
     for seed in seeds(2) {
-        let (times, bytes) = dissemination_times(100, false, 0.05, seed);
+        let Dissemination { times, bytes } = disseminate(100, false, 0.05, seed);
         println!("seed {seed}: {times:?} s, {bytes:.0} bytes each");
         assert!(times[0] < 1.0 && times[1] < 4.0, "seed {seed}: {times:?}");
     }
@@ -139,14 +146,21 @@
     }
 }
 
-/// Injects faults into a fleet that transfers quota. Returns the largest share of a limit that was in use, and the largest quota
-/// of one sender in even shares.
-fn quota_in_use(senders: MemberIndex, seed: u64, mut faults: impl FnMut(&mut Net, u64)) -> (f64, f64) {
+/// How much of a limit a fleet uses.
+struct QuotaUse {
+    /// The largest share of it that was in use.
+    max_in_use: f64,
+    /// The largest quota of a sender with a high demand, in even shares.
+    max_quota: f64,
+}
+
+/// Injects faults into a fleet that transfers quota.
+fn quota_use(senders: MemberIndex, seed: u64, mut faults: impl FnMut(&mut Net, u64)) -> QuotaUse {
     let mut net = Net::new(senders, true, seed);
-    net.conditions = Conditions { loss: 0.1, duplication: 0.2, latency: (4_000, 300_000) };
+    net.conditions = Conditions { loss: 0.1, duplication: 0.2, min_latency: 4_000, max_latency: 300_000 };
     net.watched = vec![DEST];
     net.run(5 * SECOND, |_| {});
-    let (mut tick, mut best) = (0, 0.0f64);
+    let (mut tick, mut max_quota) = (0, 0.0f64);
     net.run(40 * SECOND, |net| {
         tick += 1;
         faults(net, tick);
@@ -155,24 +169,24 @@
             let share = if member % 3 == 0 { 4.0 } else { 0.1 };
             net.with(member, |gossip, now| gossip.report_demand(DEST, share, member % 3 == 0, now));
         }
-        best = best.max(net.gossip(0).quota_share(DEST, net.clock(0)));
+        max_quota = max_quota.max(net.gossip(0).quota_share(DEST, net.clock(0)));
     });
-    (net.max_in_use, best)
+    QuotaUse { max_in_use: net.max_in_use, max_quota }
 }
 
 #[test]
 fn the_quota_in_use_never_exceeds_the_limit() {
     for seed in seeds(4) {
-        let (most, best) = quota_in_use(12, seed, |_, _| {});
-        assert!(most <= 1.0, "seed {seed}: {most} of the limit in use");
-        assert!(best > 1.3, "seed {seed}: one with a high demand has {best} even shares at most");
+        let QuotaUse { max_in_use, max_quota } = quota_use(12, seed, |_, _| {});
+        assert!(max_in_use <= 1.0, "seed {seed}: {max_in_use} of the limit in use");
+        assert!(max_quota > 1.3, "seed {seed}: one with a high demand has {max_quota} even shares at most");
     }
 }
 
 #[test]
 fn the_quota_in_use_never_exceeds_the_limit_under_partitions_pauses_and_kills() {
     for seed in seeds(6) {
-        let (most, _) = quota_in_use(12, seed, |net, tick| {
+        let QuotaUse { max_in_use, .. } = quota_use(12, seed, |net, tick| {
             let member = (tick * 7 % 12) as MemberIndex;
             match tick % 97 {
                 0 => net.kill(member),
@@ -188,7 +202,7 @@
                 _ => {}
             }
         });
-        assert!(most <= 1.0, "seed {seed}: {most} of the limit in use");
+        assert!(max_in_use <= 1.0, "seed {seed}: {max_in_use} of the limit in use");
     }
 }
 
--- a/crates/gossip/tests/network/net.rs
+++ b/crates/gossip/tests/network/net.rs
@@ -17,11 +17,12 @@
 pub struct Conditions {
     pub loss: f64,
     pub duplication: f64,
-    /// The least and the largest.
-    pub latency: (Micros, Micros),
+    pub min_latency: Micros,
+    pub max_latency: Micros,
 }
 
-pub const LOSSLESS: Conditions = Conditions { loss: 0.0, duplication: 0.0, latency: (4_000, 32_000) };
+pub const LOSSLESS: Conditions =
+    Conditions { loss: 0.0, duplication: 0.0, min_latency: 4_000, max_latency: 32_000 };
 
 struct Node {
     gossip: Gossip,
@@ -106,8 +107,8 @@
         let now = self.clock(member);
         let seen = match seen {
             // The caller uses the simulation's clock.
-            Observation::Success(begun) => {
-                Observation::Success(begun + self.nodes[usize::from(member)].ahead)
+            Observation::Success(started) => {
+                Observation::Success(started + self.nodes[usize::from(member)].ahead)
             }
             other => other,
         };
@@ -172,7 +173,8 @@
             }
             self.bytes += message.len() as u64;
             self.copies_sent += 1;
-            let deliver_at = self.now + self.rng.u64(self.conditions.latency.0..=self.conditions.latency.1);
+            let deliver_at =
+                self.now + self.rng.u64(self.conditions.min_latency..=self.conditions.max_latency);
             let (number, content) = (self.copies_sent, message.to_vec());
             self.in_flight.push(Reverse(InFlight { deliver_at, number, from, to, content }));
         }
@@ -299,8 +301,8 @@
             } else {
                 self.failures.remove(&member);
                 self.succeeded_at.insert(member, net.now);
-                let begun = net.now;
-                net.observe(member, self.destination, Observation::Success(begun));
+                let started = net.now;
+                net.observe(member, self.destination, Observation::Success(started));
             }
         }
     }
--- a/crates/health-snapshot/src/lib.rs
+++ b/crates/health-snapshot/src/lib.rs
@@ -5,7 +5,7 @@
 //! slices after the answers and calls of an event loop iteration are out, its disk space is what the journal leaves and is
 //! released to the journal first, and what is restored may make a sender more careful than one without a snapshot, never bolder.
 //! The one rule for that is [`restore`]; what is worth writing, and when, is decided in [`schedule`]; both are without I/O and
-//! clock, as are [`timestamp`], [`format`] and [`replay`]. [`store`] accesses files through [`journal::disk::Disk`] alone.
+//! clock, as are [`timestamp`], [`mod@format`] and [`replay`]. [`store`] accesses files through [`journal::disk::Disk`] alone.
 //!
 //! The package must not access sockets, decide on messages, or delay one. `docs/health-snapshot.md` explains the design.
 #![forbid(unsafe_code)]
