--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -3,7 +3,6 @@
 //!
 //! The crate has no I/O and no clock: the sender's listener, its driver and its front act on what is decided here.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod call;
 pub mod ejections;
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -459,7 +459,7 @@
         }
     }
 
-    /// What all senders have learnt is kept as it is now, for those that are killed later with [`World::keeps`] off.
+    /// What all senders have learnt is kept as it is now, for those that are killed later with [`World::keeps_snapshots`] off.
     pub fn keep_all(&mut self) {
         (0..self.nodes.len()).for_each(|sender| self.keep(sender));
     }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -10,7 +10,6 @@
 //! The crate has no I/O and no clock. [`frame`] encodes messages, and [`step`] says what each side does next.
 //! `docs/handover.md` explains the design.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod frame;
 mod outstanding;
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -42,7 +42,7 @@
         for DamagedFile { file, range } in &self.damaged {
             match range {
                 Some(range) => {
-                    writeln!(f, "journal: {file} is damaged, {range}; it is kept as damaged-{file}")?
+                    writeln!(f, "journal: {file} is damaged, {range}; it is kept as damaged-{file}")?;
                 }
                 None => writeln!(f, "journal: {file} is missing, or its head is damaged")?,
             }
--- a/crates/sender/src/event_loop/shard/messages.rs
+++ b/crates/sender/src/event_loop/shard/messages.rs
@@ -49,7 +49,7 @@
                 self.handle_inbound(Inbound::Withdrawn { id, request, destination }, events);
             }
             ShardMessage::Ended { destination, .. } if !member.owns(destination) => {
-                member.send_to_owner(destination, say)
+                member.send_to_owner(destination, say);
             }
             ShardMessage::Ended { destination, name, mut over } => {
                 member.record_work(destination);
@@ -58,14 +58,14 @@
                 events.push(self.attempt_completed(over));
             }
             ShardMessage::Wait { destination, .. } if !member.owns(destination) => {
-                member.send_to_owner(destination, say)
+                member.send_to_owner(destination, say);
             }
             ShardMessage::Wait { destination, name, wait } => {
-                events.push(self.wait(destination, &name, wait))
+                events.push(self.wait(destination, &name, wait));
             }
             ShardMessage::Migrate(bundle) => self.attach_destination(*bundle),
             ShardMessage::Depart { destination, to } => {
-                member.schedule_migration(destination, to, self.clock.now())
+                member.schedule_migration(destination, to, self.clock.now());
             }
             ShardMessage::Gather => member.gathering = true,
             ShardMessage::MaxConnections(most) => {
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -275,7 +275,7 @@
         let (say, mut heard, _) = link.split::<ToPredecessor, ToSuccessor>();
         let before = Rc::new(Self {
             outs: RefCell::new(OutstandingAttempts::new(out.into_iter().map(Into::into))),
-            say: say.clone(),
+            say,
             there: Cell::new(true),
         });
         let (followed, began) = (before.clone(), clock.now());
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -8,7 +8,6 @@
 //!
 //! The package must not do I/O, read a clock or decide on a message.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod ownership;
 mod planner;
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -2,6 +2,8 @@
 //! test or load test says, and the sender itself as a process. All waiting is on events; a patience bounds it, so that a
 //! failure ends the test. Nothing here decides whether a sender did well.
 
+#![allow(clippy::unwrap_used, reason = "a test double that fails is a test that fails")]
+
 mod arrival;
 mod crowd;
 mod http;
