--- a/crates/decision/src/health/rate_limiter.rs
+++ b/crates/decision/src/health/rate_limiter.rs
@@ -5,6 +5,8 @@
 
 mod state;
 
+pub(super) use state::LimitHint;
+
 /// Cut of the rate at a rejection.
 const RATE_CUT: f64 = 0.85;
 /// Growth of the rate in a latency objective's time, one latency objective after the cut.
@@ -14,15 +16,6 @@
 /// The same above an even share of a reported limit that others use up.
 const MAX_CALM_ABOVE_SHARE: f64 = 0.5;
 
-/// What is known of a destination's limit when its rate is set.
-#[derive(Clone, Copy)]
-pub(super) struct LimitHint {
-    /// An even share of the reported limit, in calls a second; 0 where none is reported.
-    pub even_share: f64,
-    /// Reports say that the senders together leave room below the limit.
-    pub has_headroom: bool,
-}
-
 /// Finds a send rate that a destination accepts, from its rejections alone where it reports no limit.
 ///
 /// *Input*: successes, rejections, and an even share of the reported limit; rates in calls a second. *Rule*:
--- a/crates/decision/src/health/rate_limiter/state.rs
+++ b/crates/decision/src/health/rate_limiter/state.rs
@@ -5,6 +5,15 @@
 use crate::health::record::RouteHealthRecord;
 use crate::interface::Micros;
 
+/// What is known of a destination's limit when its rate is set.
+#[derive(Clone, Copy)]
+pub(in crate::health) struct LimitHint {
+    /// An even share of the reported limit, in calls a second; 0 where none is reported.
+    pub even_share: f64,
+    /// Reports say that the senders together leave room below the limit.
+    pub has_headroom: bool,
+}
+
 impl RateLimiter {
     pub(in crate::health) fn new(now: Micros) -> Self {
         let granted = DecayingRate { per_second: 0.0, as_of: now };
--- a/crates/decision/src/health/slow_start.rs
+++ b/crates/decision/src/health/slow_start.rs
@@ -7,19 +7,13 @@
 
 mod state;
 
+pub(super) use state::ColdCapacity;
+
 /// Part of the load that a cold destination bears which this sender allows itself.
 const SAFETY_MARGIN: f64 = 0.9;
 /// Where the window takes less than a whole call, single calls are spaced at random instead.
 const WHOLE_CALL: f64 = 0.999;
 
-/// What a cold destination can be counted on for.
-pub(super) struct ColdCapacity {
-    /// Share of its usual capacity, from 0 to 1.
-    pub share: f64,
-    /// This sender's usual traffic to it, in calls a second.
-    pub own_rate: f64,
-}
-
 /// Limits calls to a destination that may be cold to what it bears while it warms up.
 ///
 /// *Input*: when the destination came back, its success rate before, each weight that is sent. *Rule*: the
--- a/crates/decision/src/health/slow_start/state.rs
+++ b/crates/decision/src/health/slow_start/state.rs
@@ -5,6 +5,14 @@
 use crate::health::record::RouteHealthRecord;
 use crate::interface::{Micros, Rules};
 
+/// What a cold destination can be counted on for.
+pub(in crate::health) struct ColdCapacity {
+    /// Share of its usual capacity, from 0 to 1.
+    pub share: f64,
+    /// This sender's usual traffic to it, in calls a second.
+    pub own_rate: f64,
+}
+
 impl SlowStart {
     pub(in crate::health) fn new(now: Micros) -> Self {
         Self {
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -10,7 +10,9 @@
     Action, EndpointId, Event, Idempotency, IdempotencyScope, Message, Micros, RouteId, Settings,
 };
 
+mod admission;
 mod answers;
+mod candidate;
 mod dispatch;
 mod due;
 mod fold;
--- a/crates/decision/src/policy/worth.rs
+++ b/crates/decision/src/policy/worth.rs
@@ -17,6 +17,11 @@
         within + (1.0 - within) * self.settings.over_quota_weight
     }
 
+    /// Tenants most of whose messages may be beyond their share.
+    pub(super) fn beyond(&self) -> Vec<bool> {
+        (0..self.tenants.len()).map(|tenant| self.within_share(tenant) < 0.5).collect()
+    }
+
     /// What a message is worth if it is delivered at that time.
     pub(super) fn worth_at(&self, held: &Held, at: Micros) -> f64 {
         let class = &self.settings.classes[held.message.class];
--- a/crates/decision/tests/limits.rs
+++ b/crates/decision/tests/limits.rs
@@ -32,6 +32,7 @@
     let beside = [
         // They hold state, show it, hand it over, take events and gossip in, say when to look again, estimate.
         "policy/state.rs",
+        "policy/candidate.rs",
         "policy/view.rs",
         "policy/takeover.rs",
         "policy/moving.rs",
