--- a/crates/decision/src/calls.rs
+++ b/crates/decision/src/call_table.rs
@@ -18,7 +18,7 @@
 
 /// What the outcome of an attempt is to its call.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct CompletedAttempt {
     /// The call's number.
     pub number: u64,
     /// The call.
@@ -28,29 +28,30 @@
     /// The messages of a call share one fate, which counts once.
     pub first: bool,
     /// None of its messages is out any more.
-    pub done: bool,
+    pub call_completed: bool,
 }
 
 /// A call that is out, and the attempts in it: message, number, ordered key.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Moved {
+pub(crate) struct MigratedCall {
     pub number: u64,
     pub call: Call,
     pub attempts: Vec<(MessageId, u16, Option<u64>)>,
     /// It is the first call to a destination that woke.
-    pub waking: bool,
+    #[serde(rename = "waking")]
+    pub activating: bool,
 }
 
 /// All that are out.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Calls {
+pub(crate) struct CallTable {
     calls: BTreeMap<u64, Call>,
     /// Attempts without an outcome, which may outlive their messages: their calls and ordered keys.
     attempts: BTreeMap<(MessageId, u16), (u64, Option<u64>)>,
     next: u64,
 }
 
-impl Calls {
+impl CallTable {
     pub fn len(&self) -> usize {
         self.calls.len()
     }
@@ -66,13 +67,13 @@
     }
 
     /// Takes the calls to a destination out.
-    pub fn part(&mut self, destination: DestinationId) -> Vec<Moved> {
+    pub fn detach(&mut self, destination: DestinationId) -> Vec<MigratedCall> {
         let calls: Vec<u64> =
             self.calls.iter().filter(|(_, call)| call.route.0 == destination).map(|(n, _)| *n).collect();
-        let mut moved: BTreeMap<u64, Moved> = BTreeMap::new();
+        let mut moved: BTreeMap<u64, MigratedCall> = BTreeMap::new();
         for number in calls {
             if let Some(call) = self.calls.remove(&number) {
-                moved.insert(number, Moved { number, call, attempts: Vec::new(), waking: false });
+                moved.insert(number, MigratedCall { number, call, attempts: Vec::new(), activating: false });
             }
         }
         self.attempts.retain(|(message, attempt), (call, key)| match moved.get_mut(call) {
@@ -86,27 +87,32 @@
     }
 
     /// Goes on with a call that another module began.
-    pub fn join(&mut self, moved: Moved) {
-        let Moved { number, call, attempts, .. } = moved;
+    pub fn attach(&mut self, moved: MigratedCall) {
+        let MigratedCall { number, call, attempts, .. } = moved;
         self.calls.insert(number, call);
         self.attempts
             .extend(attempts.into_iter().map(|(message, attempt, key)| ((message, attempt), (number, key))));
     }
 
     /// A call begins.
-    pub fn begin(&mut self, route: RouteId, endpoint: EndpointId, now: Micros) {
+    pub fn start(&mut self, route: RouteId, endpoint: EndpointId, now: Micros) {
         self.calls.insert(self.next, Call { route, endpoint, sent: now, messages: 0, judged: false });
         self.next += 1;
     }
 
     /// An attempt travels with a call.
-    pub fn carry(&mut self, call: u64, message: MessageId, attempt: u16, key: Option<u64>) {
+    pub fn add_attempt(&mut self, call: u64, message: MessageId, attempt: u16, key: Option<u64>) {
         self.calls.entry(call).and_modify(|call| call.messages += 1);
         self.attempts.insert((message, attempt), (call, key));
     }
 
     /// An attempt has its outcome; nothing if it was not out.
-    pub fn ended(&mut self, message: MessageId, attempt: u16, outcome: Outcome) -> Option<Ended> {
+    pub fn complete_attempt(
+        &mut self,
+        message: MessageId,
+        attempt: u16,
+        outcome: Outcome,
+    ) -> Option<CompletedAttempt> {
         let (number, key) = self.attempts.remove(&(message, attempt))?;
         let call = self.calls.get_mut(&number)?;
         call.messages -= 1;
@@ -118,17 +124,17 @@
         if done {
             self.calls.remove(&number);
         }
-        Some(Ended { number, call, key, first, done })
+        Some(CompletedAttempt { number, call, key, first, call_completed: done })
     }
 
     /// Attempts that are out, and where.
-    pub fn out(&self) -> impl Iterator<Item = (MessageId, u16, EndpointId)> {
+    pub fn attempts_in_flight(&self) -> impl Iterator<Item = (MessageId, u16, EndpointId)> {
         let endpoint = |call: &u64| self.calls.get(call).map(|call| call.endpoint);
         self.attempts.iter().filter_map(move |(of, (call, _))| Some((of.0, of.1, endpoint(call)?)))
     }
 
     /// Those of which nothing was heard yet: their routes, and when they were sent.
-    pub fn unheard(&self) -> impl Iterator<Item = (RouteId, Micros)> {
+    pub fn unanswered(&self) -> impl Iterator<Item = (RouteId, Micros)> {
         self.calls.values().filter(|call| !call.judged).map(|call| (call.route, call.sent))
     }
 }
--- a/crates/decision/src/waiting.rs
+++ b/crates/decision/src/destination_queues.rs
@@ -9,29 +9,31 @@
 use crate::interface::{DestinationId, MessageId, Micros};
 
 /// What is late goes after what is not; then the oldest aim goes first.
-pub(crate) type Place = (bool, Micros, MessageId);
+pub(crate) type QueuePosition = (bool, Micros, MessageId);
 
 /// A message that waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Ticket {
+pub(crate) struct QueueEntry {
     pub id: MessageId,
     pub destination: DestinationId,
     pub class: usize,
     pub tenant: usize,
     /// Until when it is in time.
-    pub aim: Micros,
+    #[serde(rename = "aim")]
+    pub objective_at: Micros,
     /// When it must be answered.
     pub end: Micros,
     /// A restart found it untried, and it still is: it is never late.
-    pub owed: bool,
+    #[serde(rename = "owed")]
+    pub owed_attempt: bool,
 }
 
 /// A class, a tenant, and whether a restart found its messages untried.
 type Of = (usize, usize, bool);
 
-impl Ticket {
+impl QueueEntry {
     fn of(&self) -> Of {
-        (self.class, self.tenant, self.owed)
+        (self.class, self.tenant, self.owed_attempt)
     }
 }
 
@@ -45,35 +47,36 @@
     ends: BTreeSet<(Micros, MessageId)>,
     due: Option<Micros>,
     /// Its place among the destinations that may be tried.
-    ready: Option<Place>,
+    ready: Option<QueuePosition>,
 }
 
 /// All that waits.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Waiting {
-    cells: HashMap<DestinationId, Cell>,
+pub(crate) struct DestinationQueues {
+    #[serde(rename = "cells")]
+    destinations: HashMap<DestinationId, Cell>,
     due: BTreeSet<(Micros, DestinationId)>,
     touched: BTreeSet<DestinationId>,
-    ready: BTreeSet<(Place, DestinationId)>,
+    ready: BTreeSet<(QueuePosition, DestinationId)>,
     /// How many messages there are; counted anew where another process counted.
     #[serde(skip)]
     count: usize,
 }
 
-impl Waiting {
+impl DestinationQueues {
     /// A message begins to wait.
-    pub fn insert(&mut self, ticket: &Ticket) {
-        let cell = self.cells.entry(ticket.destination).or_default();
-        cell.queues.entry(ticket.of()).or_default().insert((ticket.aim, ticket.id));
+    pub fn insert(&mut self, ticket: &QueueEntry) {
+        let cell = self.destinations.entry(ticket.destination).or_default();
+        cell.queues.entry(ticket.of()).or_default().insert((ticket.objective_at, ticket.id));
         self.count += usize::from(cell.ends.insert((ticket.end, ticket.id)));
         self.touched.insert(ticket.destination);
     }
 
     /// A message waits no more, if it did.
-    pub fn remove(&mut self, ticket: &Ticket) {
-        let Some(cell) = self.cells.get_mut(&ticket.destination) else { return };
+    pub fn remove(&mut self, ticket: &QueueEntry) {
+        let Some(cell) = self.destinations.get_mut(&ticket.destination) else { return };
         if let Some(queue) = cell.queues.get_mut(&ticket.of()) {
-            queue.remove(&(ticket.aim, ticket.id));
+            queue.remove(&(ticket.objective_at, ticket.id));
             if queue.is_empty() {
                 cell.queues.remove(&ticket.of());
             }
@@ -81,7 +84,7 @@
         self.count -= usize::from(cell.ends.remove(&(ticket.end, ticket.id)));
         if cell.ends.is_empty() {
             let (due, ready) = (cell.due, cell.ready);
-            self.cells.remove(&ticket.destination);
+            self.destinations.remove(&ticket.destination);
             due.map(|at| self.due.remove(&(at, ticket.destination)));
             ready.map(|place| self.ready.remove(&(place, ticket.destination)));
         }
@@ -93,35 +96,35 @@
     }
 
     /// Counts what another process left.
-    pub fn count_again(&mut self) {
-        self.count = self.cells.values().map(|cell| cell.ends.len()).sum();
+    pub fn recount(&mut self) {
+        self.count = self.destinations.values().map(|cell| cell.ends.len()).sum();
     }
 
     /// How many wait for a destination.
     pub fn count(&self, destination: DestinationId) -> usize {
-        self.cells.get(&destination).map_or(0, |cell| cell.ends.len())
+        self.destinations.get(&destination).map_or(0, |cell| cell.ends.len())
     }
 
     /// For how many destinations something waits.
     pub fn destinations(&self) -> usize {
-        self.cells.len()
+        self.destinations.len()
     }
 
     /// Something happened that may let a destination's messages go.
     pub fn touch(&mut self, destination: DestinationId) {
-        if self.cells.contains_key(&destination) {
+        if self.destinations.contains_key(&destination) {
             self.touched.insert(destination);
         }
     }
 
     /// The same for all destinations for which something waits.
     pub fn touch_all(&mut self) {
-        self.touched.extend(self.cells.keys());
+        self.touched.extend(self.destinations.keys());
     }
 
     /// A destination is to be looked at then, if nothing happens before.
-    pub fn look_at(&mut self, destination: DestinationId, at: Option<Micros>) {
-        let Some(cell) = self.cells.get_mut(&destination) else { return };
+    pub fn check_at(&mut self, destination: DestinationId, at: Option<Micros>) {
+        let Some(cell) = self.destinations.get_mut(&destination) else { return };
         if let Some(before) = std::mem::replace(&mut cell.due, at) {
             self.due.remove(&(before, destination));
         }
@@ -134,13 +137,13 @@
     }
 
     /// Touches the destinations whose time has come.
-    pub fn wake(&mut self, now: Micros) {
+    pub fn advance(&mut self, now: Micros) {
         while let Some((at, destination)) = self.due.pop_first() {
             if at > now {
                 self.due.insert((at, destination));
                 return;
             }
-            if let Some(cell) = self.cells.get_mut(&destination) {
+            if let Some(cell) = self.destinations.get_mut(&destination) {
                 cell.due = None;
             }
             self.touched.insert(destination);
@@ -159,18 +162,18 @@
 
     /// A destination's messages that must be answered before that time.
     pub fn ending(&self, destination: DestinationId, before: Micros) -> impl Iterator<Item = MessageId> + '_ {
-        let cell = self.cells.get(&destination);
+        let cell = self.destinations.get(&destination);
         cell.into_iter().flat_map(move |cell| cell.ends.range(..(before, MessageId(0)))).map(|end| end.1)
     }
 
     /// All messages that wait for a destination.
     pub fn of(&self, destination: DestinationId) -> impl Iterator<Item = MessageId> + '_ {
-        self.cells.get(&destination).into_iter().flat_map(|cell| &cell.ends).map(|end| end.1)
+        self.destinations.get(&destination).into_iter().flat_map(|cell| &cell.ends).map(|end| end.1)
     }
 
     /// Each queue of each destination: its messages, oldest aim first.
     pub fn queues(&self) -> impl Iterator<Item = (DestinationId, &Queue)> {
-        self.cells
+        self.destinations
             .iter()
             .flat_map(|(destination, cell)| cell.queues.values().map(|queue| (*destination, queue)))
     }
@@ -181,10 +184,10 @@
     pub fn next(
         &self,
         destination: DestinationId,
-        after: Option<Place>,
+        after: Option<QueuePosition>,
         late_before: impl Fn(usize, usize) -> Micros,
-    ) -> Option<Place> {
-        let queues = &self.cells.get(&destination)?.queues;
+    ) -> Option<QueuePosition> {
+        let queues = &self.destinations.get(&destination)?.queues;
         let first = |late: bool| {
             let of = |((class, tenant, owed), queue): (&Of, &Queue)| {
                 let border = (if *owed { 0 } else { late_before(*class, *tenant) }, MessageId(0));
@@ -208,8 +211,8 @@
     }
 
     /// Puts a destination among those that may be tried, at that place, or takes it out.
-    pub fn set_ready(&mut self, destination: DestinationId, place: Option<Place>) {
-        let Some(cell) = self.cells.get_mut(&destination) else { return };
+    pub fn set_ready(&mut self, destination: DestinationId, place: Option<QueuePosition>) {
+        let Some(cell) = self.destinations.get_mut(&destination) else { return };
         if let Some(before) = std::mem::replace(&mut cell.ready, place) {
             self.ready.remove(&(before, destination));
         }
@@ -224,12 +227,12 @@
     }
 
     /// A destination's place among those that may be tried.
-    pub fn ready(&self, destination: DestinationId) -> Option<Place> {
-        self.cells.get(&destination)?.ready
+    pub fn ready(&self, destination: DestinationId) -> Option<QueuePosition> {
+        self.destinations.get(&destination)?.ready
     }
 
     /// The destination that is to be tried first.
-    pub fn first_ready(&self) -> Option<(Place, DestinationId)> {
+    pub fn first_ready(&self) -> Option<(QueuePosition, DestinationId)> {
         self.ready.first().copied()
     }
 }
@@ -238,9 +241,17 @@
 mod tests {
     use super::*;
 
-    fn ticket(id: u32, class: usize, aim: Micros) -> Ticket {
+    fn ticket(id: u32, class: usize, aim: Micros) -> QueueEntry {
         let (id, destination) = (MessageId(id), DestinationId(7));
-        Ticket { id, destination, class, tenant: 0, aim, end: aim + 10, owed: false }
+        QueueEntry {
+            id,
+            destination,
+            class,
+            tenant: 0,
+            objective_at: aim,
+            end: aim + 10,
+            owed_attempt: false,
+        }
     }
 
     /// Against sorting all of them, for any border between late and in time.
@@ -248,14 +259,19 @@
     fn they_come_in_order_wherever_the_border_lies() {
         let mut rng = fastrand::Rng::with_seed(1);
         for _ in 0..500 {
-            let mut waiting = Waiting::default();
+            let mut waiting = DestinationQueues::default();
             let count = rng.u32(..12);
-            let any = |id| Ticket { owed: rng.u8(..4) == 0, ..ticket(id, rng.usize(..3), rng.u64(..8)) };
+            let any = |id| QueueEntry {
+                owed_attempt: rng.u8(..4) == 0,
+                ..ticket(id, rng.usize(..3), rng.u64(..8))
+            };
             let tickets: Vec<_> = (0..count).map(any).collect();
             tickets.iter().for_each(|ticket| waiting.insert(ticket));
             let borders = [rng.u64(..9), rng.u64(..9), rng.u64(..9)];
-            let mut sorted: Vec<Place> =
-                tickets.iter().map(|t| (!t.owed && t.aim < borders[t.class], t.aim, t.id)).collect();
+            let mut sorted: Vec<QueuePosition> = tickets
+                .iter()
+                .map(|t| (!t.owed_attempt && t.objective_at < borders[t.class], t.objective_at, t.id))
+                .collect();
             sorted.sort_unstable();
             let (mut found, mut after) = (vec![], None);
             while let Some(place) = waiting.next(DestinationId(7), after, |class, _| borders[class]) {
@@ -268,13 +284,13 @@
 
     #[test]
     fn nothing_is_left_of_a_destination_for_which_nothing_waits() {
-        let mut waiting = Waiting::default();
+        let mut waiting = DestinationQueues::default();
         let (one, two) = (ticket(1, 0, 5), ticket(2, 1, 3));
         waiting.insert(&one);
         waiting.insert(&two);
         assert_eq!(waiting.ending(DestinationId(7), 14).collect::<Vec<_>>(), [two.id]);
-        waiting.look_at(DestinationId(7), Some(9));
-        waiting.look_at(DestinationId(7), Some(8));
+        waiting.check_at(DestinationId(7), Some(9));
+        waiting.check_at(DestinationId(7), Some(8));
         waiting.set_ready(DestinationId(7), Some((false, 3, two.id)));
         assert_eq!((waiting.next_due(), waiting.count(DestinationId(7))), (Some(8), 2));
         waiting.remove(&one);
@@ -287,13 +303,13 @@
 
     #[test]
     fn what_is_due_is_touched_once() {
-        let mut waiting = Waiting::default();
+        let mut waiting = DestinationQueues::default();
         waiting.insert(&ticket(1, 0, 5));
         waiting.take_touched();
-        waiting.look_at(DestinationId(7), Some(8));
-        waiting.wake(7);
+        waiting.check_at(DestinationId(7), Some(8));
+        waiting.advance(7);
         assert_eq!(waiting.touched().count(), 0);
-        waiting.wake(8);
+        waiting.advance(8);
         assert_eq!((waiting.touched().count(), waiting.next_due()), (1, None));
     }
 }
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::estimate::Places;
+use crate::estimate::ConnectionSlots;
 use crate::interface::{
     DestinationId, DestinationKind, EndpointEntry, EndpointId, Listing, Micros, Outcome, RouteId,
 };
@@ -39,45 +39,55 @@
     pub kind: DestinationKind,
     pub ready: bool,
     /// No list names it any more.
-    gone: bool,
+    #[serde(rename = "gone")]
+    unlisted: bool,
     /// The last whole list that named it, or change since.
-    named: u64,
+    #[serde(rename = "named")]
+    last_listed: u64,
     listed: ListedLimit,
-    pub out: usize,
-    pub bad_run: u32,
+    #[serde(rename = "out")]
+    pub in_flight: usize,
+    #[serde(rename = "bad_run")]
+    pub consecutive_failures: u32,
     /// Connections of ours that there were places for.
     #[serde(default)]
-    pub places: Places,
+    #[serde(rename = "places")]
+    pub connection_slots: ConnectionSlots,
     /// Calls in a row that found no place, with none of ours there, and until when none goes for that.
     #[serde(default)]
-    pub crowded: u32,
+    #[serde(rename = "crowded")]
+    pub connection_rejections: u32,
     #[serde(default)]
-    pub rest_until: Micros,
+    #[serde(rename = "rest_until")]
+    pub backoff_until: Micros,
     /// A connection was lost or failed since the last success.
     pub lost: bool,
     /// When the last call was sent, and how long after the one before.
     pub sent_at: Micros,
-    pub gap: Micros,
+    #[serde(rename = "gap")]
+    pub call_interval: Micros,
 }
 
 impl Endpoint {
     /// The outcome of an attempt there: the first that its call got, and the last that is out.
-    pub fn ended(&mut self, outcome: Outcome, first: bool, done: bool) {
-        self.out -= usize::from(done);
+    pub fn attempt_completed(&mut self, outcome: Outcome, first: bool, done: bool) {
+        self.in_flight -= usize::from(done);
         match outcome {
-            Outcome::Delivered => (self.bad_run, self.lost, self.crowded) = (0, false, 0),
+            Outcome::Delivered => {
+                (self.consecutive_failures, self.lost, self.connection_rejections) = (0, false, 0);
+            }
             // Turned away only where it happens again: one connection is not the endpoint.
             Outcome::Reset | Outcome::ConnectFailed if first && !self.lost => self.lost = true,
             Outcome::Rejected(_) | Outcome::ConnectionRejected => {}
             Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent { .. } => {}
-            _ => self.bad_run += u32::from(first),
+            _ => self.consecutive_failures += u32::from(first),
         }
     }
 }
 
 /// The endpoints of a destination, and the listing of its common route: calls a second that it promises, and since when.
 #[derive(Debug, Serialize, Deserialize)]
-struct Cell {
+struct DestinationEndpoints {
     ids: BTreeSet<EndpointId>,
     listed: ListedLimit,
 }
@@ -87,11 +97,14 @@
 pub(crate) struct Endpoints {
     all: HashMap<EndpointId, Endpoint>,
     /// By destination, so that no tick looks at those that nothing is held for.
-    cells: BTreeMap<DestinationId, Cell>,
-    gone: BTreeSet<EndpointId>,
+    #[serde(rename = "cells")]
+    by_destination: BTreeMap<DestinationId, DestinationEndpoints>,
+    #[serde(rename = "gone")]
+    unlisted: BTreeSet<EndpointId>,
     /// Whole lists so far, and whether the last one has been seen to its end.
     lists: u64,
-    whole: bool,
+    #[serde(rename = "whole")]
+    full_list_pending: bool,
 }
 
 impl Endpoints {
@@ -105,17 +118,17 @@
 
     /// Endpoints in the list, and whether they take what is new.
     pub fn in_list(&self) -> impl Iterator<Item = (EndpointId, bool)> {
-        self.all.iter().filter(|(_, e)| !e.gone).map(|(id, e)| (*id, e.ready))
+        self.all.iter().filter(|(_, e)| !e.unlisted).map(|(id, e)| (*id, e.ready))
     }
 
     /// A whole list begins. What it has not named by the next [`Self::prune`] is gone.
-    pub fn none_listed(&mut self) {
+    pub fn begin_full_list(&mut self) {
         self.lists += 1;
-        self.whole = true;
+        self.full_list_pending = true;
     }
 
     /// What a list says of an endpoint, with the calls a second that its weight promises. Tells the route that leads to it.
-    pub fn listed(
+    pub fn apply_entry(
         &mut self,
         entry: &EndpointEntry,
         kind: DestinationKind,
@@ -127,29 +140,30 @@
             zone: entry.zone,
             kind,
             ready: false,
-            gone: false,
-            named: 0,
+            unlisted: false,
+            last_listed: 0,
             listed: ListedLimit { calls_per_second: calls, since: now },
-            out: 0,
-            bad_run: 0,
-            places: Places::default(),
-            crowded: 0,
-            rest_until: 0,
+            in_flight: 0,
+            consecutive_failures: 0,
+            connection_slots: ConnectionSlots::default(),
+            connection_rejections: 0,
+            backoff_until: 0,
             lost: false,
             sent_at: 0,
-            gap: Micros::MAX,
+            call_interval: Micros::MAX,
         });
-        (endpoint.ready, endpoint.gone) = (entry.listing == Listing::Ready, entry.listing == Listing::Gone);
-        endpoint.named = self.lists;
+        (endpoint.ready, endpoint.unlisted) =
+            (entry.listing == Listing::Ready, entry.listing == Listing::Gone);
+        endpoint.last_listed = self.lists;
         endpoint.listed.calls_per_second = calls;
-        if endpoint.gone {
-            self.gone.insert(entry.endpoint)
+        if endpoint.unlisted {
+            self.unlisted.insert(entry.endpoint)
         } else {
-            self.gone.remove(&entry.endpoint)
+            self.unlisted.remove(&entry.endpoint)
         };
         let listed = ListedLimit { calls_per_second: calls, since: now };
-        let new = || Cell { ids: BTreeSet::new(), listed };
-        let cell = self.cells.entry(endpoint.destination).or_insert_with(new);
+        let new = || DestinationEndpoints { ids: BTreeSet::new(), listed };
+        let cell = self.by_destination.entry(endpoint.destination).or_insert_with(new);
         cell.ids.insert(entry.endpoint);
         if !kind.separate_routes {
             cell.listed.calls_per_second = calls;
@@ -159,7 +173,7 @@
 
     /// Endpoints of a destination, in any state.
     pub fn of(&self, destination: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
-        let ids = self.cells.get(&destination).into_iter().flat_map(|cell| &cell.ids);
+        let ids = self.by_destination.get(&destination).into_iter().flat_map(|cell| &cell.ids);
         ids.filter_map(|id| Some((*id, self.all.get(id)?)))
     }
 
@@ -173,25 +187,25 @@
     pub fn listing(&self, route: RouteId) -> ListedLimit {
         let listed = match route.1 {
             Some(endpoint) => self.all.get(&endpoint).map(|e| e.listed),
-            None => self.cells.get(&route.0).map(|cell| cell.listed),
+            None => self.by_destination.get(&route.0).map(|cell| cell.listed),
         };
         listed.unwrap_or_default()
     }
 
     /// What is known of a destination's endpoints, for another module; here they are as if no call had ever gone there.
-    pub fn part(&mut self, destination: DestinationId) -> Vec<(EndpointId, Endpoint)> {
+    pub fn detach(&mut self, destination: DestinationId) -> Vec<(EndpointId, Endpoint)> {
         let ids: Vec<_> = self.of(destination).map(|(id, _)| id).collect();
         let known = ids.into_iter().filter_map(|id| {
             let known = self.all.get_mut(&id)?;
             let unused = Endpoint {
-                out: 0,
-                bad_run: 0,
-                places: Places::default(),
-                crowded: 0,
-                rest_until: 0,
+                in_flight: 0,
+                consecutive_failures: 0,
+                connection_slots: ConnectionSlots::default(),
+                connection_rejections: 0,
+                backoff_until: 0,
                 lost: false,
                 sent_at: 0,
-                gap: Micros::MAX,
+                call_interval: Micros::MAX,
                 ..known.clone()
             };
             Some((id, std::mem::replace(known, unused)))
@@ -201,7 +215,7 @@
 
     /// What another module knew of a destination's endpoints. What lists said here of them holds; one that none has named is
     /// kept for the calls that are out there, as one that is gone.
-    pub fn join(&mut self, destination: DestinationId, endpoints: Vec<(EndpointId, Endpoint)>) {
+    pub fn attach(&mut self, destination: DestinationId, endpoints: Vec<(EndpointId, Endpoint)>) {
         for (id, theirs) in endpoints {
             if let Some(ours) = self.all.get_mut(&id) {
                 // Guards a drain against what is older: the list as this module was told it is what binds it.
@@ -210,21 +224,22 @@
                     zone: ours.zone,
                     kind: ours.kind,
                     ready: ours.ready,
-                    gone: ours.gone,
-                    named: ours.named,
+                    unlisted: ours.unlisted,
+                    last_listed: ours.last_listed,
                     listed: ListedLimit { since: ours.listed.since.min(theirs.listed.since), ..ours.listed },
                     ..theirs
                 };
                 continue;
             }
             let listed = theirs.listed;
-            self.cells
+            self.by_destination
                 .entry(destination)
-                .or_insert_with(|| Cell { ids: BTreeSet::new(), listed })
+                .or_insert_with(|| DestinationEndpoints { ids: BTreeSet::new(), listed })
                 .ids
                 .insert(id);
-            self.gone.insert(id);
-            self.all.insert(id, Endpoint { destination, ready: false, gone: true, named: 0, ..theirs });
+            self.unlisted.insert(id);
+            self.all
+                .insert(id, Endpoint { destination, ready: false, unlisted: true, last_listed: 0, ..theirs });
         }
     }
 
@@ -234,19 +249,19 @@
         referred: impl FnOnce() -> BTreeSet<EndpointId>,
     ) -> Vec<(DestinationId, EndpointId)> {
         let mut left = Vec::new();
-        if std::mem::take(&mut self.whole) {
-            for (id, e) in self.all.iter_mut().filter(|(_, e)| e.named != self.lists) {
-                (e.ready, e.gone) = (false, true);
-                self.gone.insert(*id);
+        if std::mem::take(&mut self.full_list_pending) {
+            for (id, e) in self.all.iter_mut().filter(|(_, e)| e.last_listed != self.lists) {
+                (e.ready, e.unlisted) = (false, true);
+                self.unlisted.insert(*id);
             }
         }
-        if self.gone.is_empty() {
+        if self.unlisted.is_empty() {
             return left;
         }
         let referred = referred();
-        let (all, cells) = (&mut self.all, &mut self.cells);
-        self.gone.retain(|id| {
-            let Some(e) = all.get(id).filter(|e| e.out == 0 && !referred.contains(id)) else {
+        let (all, cells) = (&mut self.all, &mut self.by_destination);
+        self.unlisted.retain(|id| {
+            let Some(e) = all.get(id).filter(|e| e.in_flight == 0 && !referred.contains(id)) else {
                 return all.contains_key(id);
             };
             let destination = e.destination;
--- a/crates/decision/src/estimate.rs
+++ b/crates/decision/src/estimate.rs
@@ -41,7 +41,7 @@
 
 /// Numbers that look random, and are the same however often they are asked for in a tick: what is looked at in it, and
 /// how often, makes no difference to what is drawn.
-pub(crate) fn chance(seed: u64, now: Micros, message: MessageId, endpoint: EndpointId) -> Rng {
+pub(crate) fn message_rng(seed: u64, now: Micros, message: MessageId, endpoint: EndpointId) -> Rng {
     let endpoint = endpoint.0.iter().fold(0u64, |sum, byte| sum << 8 | u64::from(*byte));
     let mix = |sum: u64, next: u64| (sum ^ next).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
     Rng::with_seed([now, u64::from(message.0), endpoint].into_iter().fold(seed, mix))
@@ -178,11 +178,11 @@
 
 /// Connections that an endpoint had places for when it had no more, and when that was; without bound at first.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
-pub(crate) struct Places(Option<(f64, Micros)>);
+pub(crate) struct ConnectionSlots(Option<(f64, Micros)>);
 
-impl Places {
+impl ConnectionSlots {
     /// There was no place beside so many.
-    pub fn full(&mut self, beside: usize, now: Micros) {
+    pub fn record_rejection(&mut self, beside: usize, now: Micros) {
         self.0 = Some((beside as f64, now));
     }
 
@@ -196,9 +196,9 @@
 
 /// The age from which on messages are given up by those who handed them in, as far as calls told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct GivenUpAge(pub Micros);
+pub(crate) struct AbandonmentAge(pub Micros);
 
-impl GivenUpAge {
+impl AbandonmentAge {
     /// How the call of a message ended that had that age when it was sent.
     pub fn note(&mut self, age: Micros, outcome: Outcome) {
         match outcome {
@@ -210,7 +210,13 @@
 }
 
 /// Part of its worth that is left to a message at that time.
-pub(crate) fn worth_left(decay: Decay, class: &Class, aim: Micros, deadline: Micros, at: Micros) -> f64 {
+pub(crate) fn remaining_weight(
+    decay: Decay,
+    class: &Class,
+    aim: Micros,
+    deadline: Micros,
+    at: Micros,
+) -> f64 {
     let late = at.saturating_sub(aim) as f64;
     let span = (deadline - aim).max(1) as f64;
     match decay {
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -576,7 +576,7 @@
         /// At most 256 bytes.
         content: Vec<u8>,
     },
-    /// Ask for a [`Event::Reminder`].
+    /// Ask for a [`Event::TimerFired`].
     SetTimer {
         /// When.
         at: Micros,
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -48,16 +48,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod book;
-mod calls;
+mod call_table;
+mod destination_queues;
+mod dispatch_round;
 mod endpoints;
 mod estimate;
 mod health;
 pub mod interface;
-mod lines;
+mod message_table;
+mod ordering;
 pub mod policy;
-mod round;
-mod routes;
+mod route_table;
 #[cfg(test)]
 mod test_support;
-mod waiting;
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,29 +1,29 @@
 //! Every decision of a sender. The types, events and actions it works with are in `src/interface.rs`.
 //! A three-state breaker per destination decides the ordinary path of every message. All sends pass
-//! [`Policy::dispatch`] and [`Policy::admit`]; all final answers pass [`Policy::answer`].
+//! `Policy::dispatch` and `Policy::admit`; all final answers pass `Policy::answer`.
 
 use std::collections::BTreeMap;
 
-use crate::book::Held;
 use crate::health::{FEW_SENDERS, MAX_SILENT, RESET_TIMEOUT};
 use crate::interface::{
-    Action, EndpointId, Event, Idempotency, IdempotencyScope, Message, Micros, RouteId, Settings,
+    Action, EndpointId, Idempotency, IdempotencyScope, Message, Micros, RouteId, Settings,
 };
+use crate::message_table::PendingMessage;
 
 mod admission;
 mod answers;
 mod candidate;
 mod dispatch;
-mod due;
-mod fold;
-mod hearsay;
-pub mod moving;
+mod events;
+mod gossip;
+mod hand_over;
+mod inspection;
+pub mod migration;
 mod state;
-mod takeover;
 #[cfg(test)]
 mod tests;
-mod view;
-mod worth;
+mod timers;
+mod weights;
 
 pub use state::Policy;
 
@@ -43,24 +43,11 @@
 const RESTART: Micros = 2_000_000;
 
 impl Policy {
-    /// Folds in all events of the tick, then decides once.
-    pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        self.fold(now, events, actions);
-        self.heed(now);
-        self.settle(actions);
-        self.shed(actions);
-        self.dispatch(actions);
-        self.close_idle(events, actions);
-        self.routes.doze(now, |destination| self.book.waiting.count(destination) > 0);
-        self.speak(now, actions);
-        self.remind(actions);
-    }
-
     /// Guards the memory of a sender that can't forget: what sleeps has to make room first.
-    pub(super) fn taken_on(&mut self, message: &Message, actions: &mut Vec<Action>) {
-        match self.routes.no_room(message.destination, self.now) {
+    pub(super) fn message_accepted(&mut self, message: &Message, actions: &mut Vec<Action>) {
+        match self.routes.capacity_wait(message.destination, self.now) {
             Some(again) => self.answer(message.id, again.max(RESET_TIMEOUT), actions),
-            None => self.routes.wake(message.destination, &self.endpoints, self.now),
+            None => self.routes.activate(message.destination, &self.endpoints, self.now),
         }
     }
 
@@ -68,14 +55,14 @@
     /// and lost with the next request, whoever closes them. It hurts where handshakes are dear, or
     /// where new connections are lost as often.
     pub(super) fn fresh_connection(&self, effect: Idempotency) -> bool {
-        effect == Idempotency::NonIdempotent && self.kept_lost > KEPT_LOST
+        effect == Idempotency::NonIdempotent && self.reuse_loss_rate > KEPT_LOST
     }
 
     /// Opens the breakers of destinations with several calls out that are silent.
     pub(super) fn open_silent(&mut self) {
         let (now, aim) = (self.now, self.settings.shortest_latency_objective());
         let mut silent: BTreeMap<RouteId, u32> = BTreeMap::new();
-        for (id, sent) in self.calls.unheard() {
+        for (id, sent) in self.calls.unanswered() {
             if self.routes.get(&id).is_some_and(|route| route.is_silent(sent, aim, now)) {
                 *silent.entry(id).or_default() += 1;
             }
@@ -84,7 +71,7 @@
             let Some(route) = self.routes.get_mut(&id) else { continue };
             if route.is_breaker_closed() && count >= MAX_SILENT {
                 route.open_breaker(now, aim);
-                self.book.waiting.touch(id.0);
+                self.messages.queues.touch(id.0);
             }
         }
     }
@@ -92,20 +79,20 @@
     /// Guards an endpoint's table of connections: no more than had places there go at once, and one
     /// that found none comes again by chance, ever more seldom, unless the other endpoint takes it. It
     /// costs time where places are free again at once.
-    pub(super) fn crowded(&mut self, id: EndpointId, luck: f64) {
+    pub(super) fn connection_rejected(&mut self, id: EndpointId, luck: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
-        endpoint.places.full(endpoint.out, self.now);
-        if endpoint.out == 0 {
-            let rest = CROWDED_REST << endpoint.crowded.min(4);
-            endpoint.rest_until = self.now + rest / 2 + (rest as f64 * luck) as Micros;
-            endpoint.crowded += 1;
+        endpoint.connection_slots.record_rejection(endpoint.in_flight, self.now);
+        if endpoint.in_flight == 0 {
+            let rest = CROWDED_REST << endpoint.connection_rejections.min(4);
+            endpoint.backoff_until = self.now + rest / 2 + (rest as f64 * luck) as Micros;
+            endpoint.connection_rejections += 1;
         }
     }
 
     /// Guards the rule on effects: whether a further attempt at this endpoint can do no harm.
-    fn repeat_allowed(&self, held: &Held, endpoint: EndpointId) -> bool {
+    fn repeat_allowed(&self, held: &PendingMessage, endpoint: EndpointId) -> bool {
         let Some(first) = held.may_have_run.iter().min_by_key(|a| a.1) else { return true };
-        match held.effect {
+        match held.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed { scope: group, window } => {
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -4,9 +4,9 @@
 
 use super::candidate::{Candidate, Refusal};
 use super::{HOLD, PLACES_FREE, Policy, RESTART, way};
+use crate::dispatch_round::{StartedCalls, Verdict};
 use crate::health::{RouteHealth, Tick};
 use crate::interface::{Action, EndpointId, Idempotency, MessageId, Micros, RouteId};
-use crate::round::{Begun, Verdict};
 
 /// What each further message adds to the weight of a call at a cold destination.
 pub(super) const BATCHED_WEIGHT: f64 = 0.25;
@@ -18,7 +18,7 @@
         id: MessageId,
         endpoint: EndpointId,
         backlog: f64,
-        begun: &mut Begun,
+        begun: &mut StartedCalls,
         actions: &mut Vec<Action>,
     ) -> Verdict {
         let candidate = self.candidate(id, endpoint, backlog, begun).ok_or(Refusal::Unknown);
@@ -47,7 +47,7 @@
         }
         route.refill_tokens(now);
         // What was transferred of the limit; a sender that has more to send than its share asks for more.
-        if let (Some(gossip), None) = (&mut self.shared, candidate.route.1) {
+        if let (Some(gossip), None) = (&mut self.gossip, candidate.route.1) {
             route.set_escrow(gossip.quota_share(candidate.route.0.0, now));
             let demand = route.demand(&tick, candidate.backlog);
             gossip.report_demand(candidate.route.0.0, demand.shares, demand.is_short, now);
@@ -56,15 +56,15 @@
         check_rate(route, candidate, now)?;
         check_slow_start(route, candidate, &tick)?;
         check_slots(route, candidate, self.calls.len(), self.settings.max_calls)?;
-        check_activation(route, candidate, &mut self.waking, now)?;
+        check_activation(route, candidate, &mut self.activations, now)?;
         let breaker_allows = candidate.joined.is_some() || route.breaker_allows(now);
         if breaker_allows { Ok(()) } else { Err(Refusal::BreakerOpen) }
     }
 
     /// No message lost, nothing after its end; never two attempts at once.
     fn check_message(&self, candidate: &Candidate) -> Result<(), Refusal> {
-        let held = self.book.get(&candidate.message).ok_or(Refusal::Unknown)?;
-        let may_go = self.now < held.end && held.attempts < self.settings.max_attempts && held.out == 0;
+        let held = self.messages.get(&candidate.message).ok_or(Refusal::Unknown)?;
+        let may_go = self.now < held.end && held.attempts < self.settings.max_attempts && held.in_flight == 0;
         if may_go { Ok(()) } else { Err(Refusal::MessageDone) }
     }
 
@@ -74,19 +74,20 @@
         if !endpoint.ready || endpoint.destination != candidate.destination {
             return Err(Refusal::NotListed);
         }
-        let rest_until = endpoint.rest_until.max(endpoint.places.allow_at(endpoint.out, PLACES_FREE));
+        let rest_until =
+            endpoint.backoff_until.max(endpoint.connection_slots.allow_at(endpoint.in_flight, PLACES_FREE));
         if self.now < rest_until { Err(Refusal::NoConnection) } else { Ok(()) }
     }
 
     /// No effect twice.
     fn check_effect(&self, candidate: &Candidate) -> Result<(), Refusal> {
-        let held = self.book.get(&candidate.message).ok_or(Refusal::Unknown)?;
+        let held = self.messages.get(&candidate.message).ok_or(Refusal::Unknown)?;
         if self.repeat_allowed(held, candidate.endpoint) { Ok(()) } else { Err(Refusal::UnsafeRepeat) }
     }
 
     /// Order kept.
     fn check_order(&self, candidate: &Candidate) -> Result<(), Refusal> {
-        let in_order = |key| self.lines.allows(key, candidate.message, self.now);
+        let in_order = |key| self.lanes.allows(key, candidate.message, self.now);
         if candidate.key.is_none_or(in_order) { Ok(()) } else { Err(Refusal::OutOfOrder) }
     }
 
@@ -97,7 +98,7 @@
             Idempotency::NonIdempotent => true,
             Idempotency::Keyed { window, .. } => end + RESTART >= candidate.first_sent + window,
         };
-        self.stop_at.filter(binds).unwrap_or(Micros::MAX)
+        self.shutdown_at.filter(binds).unwrap_or(Micros::MAX)
     }
 
     /// Nor may a repeat leave, once its connection is up, so late that its key may be forgotten by there.
--- a/crates/decision/src/policy/candidate.rs
+++ b/crates/decision/src/policy/candidate.rs
@@ -2,10 +2,10 @@
 
 use super::Policy;
 use super::admission::BATCHED_WEIGHT;
-use crate::estimate::chance;
+use crate::dispatch_round::{StartedCalls, Verdict};
+use crate::estimate::message_rng;
 use crate::health::Tick;
 use crate::interface::{DestinationId, EndpointId, Idempotency, MessageId, Micros, RouteId, Settings};
-use crate::round::{Begun, Verdict};
 
 /// A message, and an endpoint that it may go to.
 pub(super) struct Candidate {
@@ -81,14 +81,14 @@
     pub(super) fn verdict(self) -> Verdict {
         match self {
             Self::MessageDone | Self::UnsafeRepeat | Self::OutOfOrder | Self::ShuttingDown => {
-                Verdict::Passed { slot: false }
+                Verdict::Skipped { slot: false }
             }
             Self::NoSlot => Verdict::NoSlot,
             Self::Unknown | Self::NotListed | Self::NoConnection | Self::RateLimited | Self::BackingOff => {
-                Verdict::Closed
+                Verdict::EndpointClosed
             }
             Self::SlowStart | Self::DestinationShare | Self::Activating | Self::BreakerOpen => {
-                Verdict::Closed
+                Verdict::EndpointClosed
             }
         }
     }
@@ -101,9 +101,9 @@
         id: MessageId,
         endpoint_id: EndpointId,
         backlog: f64,
-        begun: &Begun,
+        begun: &StartedCalls,
     ) -> Option<Candidate> {
-        let (held, endpoint) = (self.book.get(&id)?, self.endpoints.get(&endpoint_id)?);
+        let (held, endpoint) = (self.messages.get(&id)?, self.endpoints.get(&endpoint_id)?);
         let class = &self.settings.classes[held.message.class];
         Some(Candidate {
             message: id,
@@ -112,19 +112,19 @@
             route: (endpoint.destination, endpoint.kind.separate_routes.then_some(endpoint_id)),
             max_batch: endpoint.kind.max_batch,
             joined: begun.open(endpoint_id, endpoint.kind.max_batch),
-            effect: held.effect,
+            effect: held.idempotency,
             key: held.message.key.filter(|_| class.in_order),
             first_sent: held.may_have_run.iter().map(|attempt| attempt.1).min().unwrap_or(self.now),
             end: held.end,
             latency_objective: class.latency_objective,
-            priority: self.worth_at(held, self.now) * backlog,
+            priority: self.weight_at(held, self.now) * backlog,
             backlog,
-            jitter: chance(self.seed, self.now, id, endpoint_id).f64(),
+            jitter: message_rng(self.seed, self.now, id, endpoint_id).f64(),
         })
     }
 
     /// Keeps count of an attempt that goes, and of the call that begins with it.
-    pub(super) fn track_attempt(&mut self, candidate: &Candidate, begun: &mut Begun) {
+    pub(super) fn track_attempt(&mut self, candidate: &Candidate, begun: &mut StartedCalls) {
         let call = candidate.joined.unwrap_or(self.calls.next());
         if let Some(route) = self.routes.get_mut(&candidate.route) {
             route.record_sent(candidate.weight(), self.now);
@@ -132,12 +132,13 @@
         if candidate.joined.is_none() {
             self.track_call(call, candidate);
         }
-        begun.note(candidate.endpoint, call);
-        if let Some(attempt) = self.book.begun(candidate.message, self.now, candidate.endpoint) {
+        begun.record(candidate.endpoint, call);
+        if let Some(attempt) = self.messages.attempt_started(candidate.message, self.now, candidate.endpoint)
+        {
             if let Some(key) = candidate.key {
-                self.lines.begun(key, candidate.message, attempt);
+                self.lanes.attempt_started(key, candidate.message, attempt);
             }
-            self.calls.carry(call, candidate.message, attempt, candidate.key);
+            self.calls.add_attempt(call, candidate.message, attempt, candidate.key);
         }
     }
 
@@ -145,13 +146,13 @@
         if let Some(route) = self.routes.get_mut(&candidate.route) {
             route.call_started(call);
             if route.is_activating() {
-                self.waking.call_started(call);
+                self.activations.call_started(call);
             }
         }
-        self.calls.begin(candidate.route, candidate.endpoint, self.now);
+        self.calls.start(candidate.route, candidate.endpoint, self.now);
         if let Some(endpoint) = self.endpoints.get_mut(&candidate.endpoint) {
-            endpoint.out += 1;
-            (endpoint.gap, endpoint.sent_at) = (self.now - endpoint.sent_at, self.now);
+            endpoint.in_flight += 1;
+            (endpoint.call_interval, endpoint.sent_at) = (self.now - endpoint.sent_at, self.now);
         }
     }
 }
--- a/crates/decision/src/policy/fold.rs
+++ b/crates/decision/src/policy/events.rs
@@ -2,125 +2,126 @@
 //! decision (a breaker that opens, a message that is turned away, a report that can't be meant) the policy's files are asked.
 
 use super::{KEPT_SEEN, Policy, RESTART, margin};
-use crate::book::Held;
-use crate::calls::Ended;
-use crate::estimate::chance;
+use crate::call_table::CompletedAttempt;
+use crate::estimate::message_rng;
 use crate::health::{RESET_TIMEOUT, Tick};
 use crate::interface::*;
+use crate::message_table::PendingMessage;
 
 /// A message is answered no more than this part of its class's time early.
 const LEAST_OF_TIME: Micros = 64;
 
 impl Policy {
     /// Folds in events, and what fell due.
-    pub(super) fn fold(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
+    pub(super) fn apply_events(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
             match event {
                 Event::Accepted(message) => {
-                    self.hold(message, None);
-                    self.shared.iter_mut().for_each(gossip::Gossip::message_accepted);
-                    self.taken_on(message, actions);
-                    self.recall_hearsay(message.destination);
+                    self.accept(message, None);
+                    self.gossip.iter_mut().for_each(gossip::Gossip::message_accepted);
+                    self.message_accepted(message, actions);
+                    self.recall_gossip(message.destination);
                 }
                 Event::Recovered { message, attempts, may_have_run, idempotency: effect } => {
-                    self.resume(message, *attempts, may_have_run, *effect);
-                    self.recall_hearsay(message.destination);
+                    self.recover(message, *attempts, may_have_run, *effect);
+                    self.recall_gossip(message.destination);
                 }
                 Event::ShuttingDown(at) => {
-                    self.stop_at = Some(*at);
-                    self.book.waiting.touch_all();
+                    self.shutdown_at = Some(*at);
+                    self.messages.queues.touch_all();
                     let windows = self.settings.classes.iter().filter_map(|class| class.idempotency.window());
-                    self.unbound = windows.map(|window| (at + RESTART + 1).saturating_sub(window)).collect();
+                    self.repeat_boundaries =
+                        windows.map(|window| (at + RESTART + 1).saturating_sub(window)).collect();
                 }
                 Event::RetryAfter { endpoint, wait } => {
                     let Some(id) = self.endpoints.route(*endpoint) else { continue };
-                    self.routes.wake(id.0, &self.endpoints, now);
+                    self.routes.activate(id.0, &self.endpoints, now);
                     if let Some(route) = self.routes.get_mut(&id) {
                         route.wait_until_at_least(now + wait);
                     }
                     self.share_wait(id, now + wait);
                 }
                 Event::AttemptCompleted { message, attempt, endpoint, outcome, terminal, report, .. } => {
-                    self.note_report(*endpoint, report);
-                    self.ended(*message, *attempt, *outcome, *terminal);
+                    self.record_report(*endpoint, report);
+                    self.attempt_completed(*message, *attempt, *outcome, *terminal);
                 }
                 Event::Withdrawn(message) => self.forget(*message),
                 Event::EndpointList(entries) => {
-                    self.endpoints.none_listed();
-                    self.list(entries);
+                    self.endpoints.begin_full_list();
+                    self.apply_list(entries);
                     // What it does not name is gone without a word.
-                    self.book.all_endpoints_changed();
+                    self.messages.all_endpoints_changed();
                 }
-                Event::EndpointChanges(entries) => self.list(entries),
+                Event::EndpointChanges(entries) => self.apply_list(entries),
                 Event::DiscoveryFailed if self.settings.polling_only => {
                     // Asked again well inside the interval after which we would be deemed told.
                     let every = self.settings.rules.poll_interval.unwrap_or(RESET_TIMEOUT);
-                    self.ask_at = Some(now + every / 8 + self.rng.u64(0..=every / 8));
+                    self.poll_at = Some(now + every / 8 + self.rng.u64(0..=every / 8));
                 }
                 Event::ConnectionReused { lost } => {
-                    self.kept_lost += (f64::from(u8::from(*lost)) - self.kept_lost) / KEPT_SEEN;
+                    self.reuse_loss_rate += (f64::from(u8::from(*lost)) - self.reuse_loss_rate) / KEPT_SEEN;
                 }
                 Event::SnapshotRestored { route, snapshot: learnt } => {
-                    self.routes.learnt(*route, *learnt, &self.endpoints, now)
+                    self.routes.restored(*route, *learnt, &self.endpoints, now);
                 }
                 Event::CapacityChanged { max_calls: slots, max_messages: held } => {
                     (self.settings.max_calls, self.settings.max_messages) = (*slots, *held);
                 }
-                Event::SnapshotLost => self.routes.learnt_lost(),
-                Event::HealthChecked { endpoint, report, .. } => self.note_report(*endpoint, report),
-                Event::GossipReceived { from, content } => self.hear(*from, content, actions),
+                Event::SnapshotLost => self.routes.snapshot_lost(),
+                Event::HealthChecked { endpoint, report, .. } => self.record_report(*endpoint, report),
+                Event::GossipReceived { from, content } => self.receive_gossip(*from, content, actions),
                 Event::Streaming { .. } | Event::DiscoveryFailed | Event::TimerFired(_) => {}
             }
         }
-        if self.ask_at.is_some_and(|at| at <= now) {
-            self.ask_at = None;
+        if self.poll_at.is_some_and(|at| at <= now) {
+            self.poll_at = None;
             actions.push(Action::WatchEndpoints);
         }
         self.open_silent();
-        self.book.wake(now);
-        while self.unbound.first().is_some_and(|at| *at <= now) {
-            self.unbound.pop_first();
-            self.book.waiting.touch_all();
+        self.messages.advance(now);
+        while self.repeat_boundaries.first().is_some_and(|at| *at <= now) {
+            self.repeat_boundaries.pop_first();
+            self.messages.queues.touch_all();
         }
-        for first in self.lines.rested(now) {
-            self.touch(Some(first));
+        for first in self.lanes.take_resumed(now) {
+            self.reconsider(Some(first));
         }
-        for id in self.waking.take_granted(now, |id| self.book.waiting.count(id.0) > 0) {
-            self.book.waiting.touch(id.0);
+        for id in self.activations.take_granted(now, |id| self.messages.queues.count(id.0) > 0) {
+            self.messages.queues.touch(id.0);
         }
     }
 
     /// It may be this message's turn.
-    pub(super) fn touch(&mut self, message: Option<MessageId>) {
-        if let Some(held) = message.and_then(|id| self.book.get(&id)) {
+    pub(super) fn reconsider(&mut self, message: Option<MessageId>) {
+        if let Some(held) = message.and_then(|id| self.messages.get(&id)) {
             let destination = held.message.destination;
-            self.book.waiting.touch(destination);
+            self.messages.queues.touch(destination);
         }
     }
 
     /// A message that outlived the process that took it: what may have run then still binds.
-    fn resume(
+    fn recover(
         &mut self,
         message: &Message,
         attempts: u32,
         may_have_run: &[(Micros, EndpointId)],
         effect: Option<Idempotency>,
     ) {
-        self.hold(message, effect);
-        self.routes.wake(message.destination, &self.endpoints, self.now);
+        self.accept(message, effect);
+        self.routes.activate(message.destination, &self.endpoints, self.now);
         let may_have_run = may_have_run.iter().map(|a| (0, self.now.saturating_sub(a.0), a.1)).collect();
-        self.book.resumed(message.id, attempts, may_have_run);
+        self.messages.recovered(message.id, attempts, may_have_run);
     }
 
-    fn hold(&mut self, message: &Message, taken_on_under: Option<Idempotency>) {
+    fn accept(&mut self, message: &Message, taken_on_under: Option<Idempotency>) {
         let Some(class) = self.settings.classes.get(message.class) else { return };
         let deadline = self.now + message.remaining_time;
         if let Some(rate) = self.tenants.get_mut(message.tenant) {
             *rate = rate.after(1.0, self.now, class.latency_objective);
         }
         if let (true, Some(key)) = (class.in_order, message.key) {
-            self.lines.push(key, message.id);
+            self.lanes.push(key, message.id);
         }
         let aim = (deadline + class.latency_objective).saturating_sub(class.deadline);
         // It must be answered two ticks before its time is up, and by as much before as answers are out by there: when the
@@ -129,25 +130,25 @@
         let end = deadline.saturating_sub(early.max(2 * self.settings.period));
         let effect = taken_on_under.map_or(class.idempotency, |before| before.stricter(class.idempotency));
         let repeats = effect.window().map(|window| window - margin(&self.settings, window));
-        self.book.insert(Held::new(message.clone(), (deadline, aim, end), effect, repeats));
+        self.messages.insert(PendingMessage::new(message.clone(), (deadline, aim, end), effect, repeats));
     }
 
-    fn list(&mut self, entries: &[EndpointEntry]) {
+    fn apply_list(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
             let plain = DestinationKind { separate_routes: false, max_batch: 1 };
             let kind = self.settings.kinds.get(entry.kind).copied().unwrap_or(plain);
             let listed = self.settings.weights.calls(entry.weight);
-            let id = self.endpoints.listed(entry, kind, listed, self.now);
-            self.routes.listed(id, listed, &self.endpoints, self.now);
-            self.book.endpoints_changed(entry.destination);
+            let id = self.endpoints.apply_entry(entry, kind, listed, self.now);
+            self.routes.limit_listed(id, listed, &self.endpoints, self.now);
+            self.messages.endpoints_changed(entry.destination);
         }
-        for (destination, endpoint) in self.endpoints.prune(|| self.book.endpoints()) {
-            self.routes.left(destination, endpoint, self.now);
-            self.book.endpoints_changed(destination);
+        for (destination, endpoint) in self.endpoints.prune(|| self.messages.endpoints()) {
+            self.routes.endpoint_removed(destination, endpoint, self.now);
+            self.messages.endpoints_changed(destination);
         }
     }
 
-    fn note_report(&mut self, endpoint: EndpointId, report: &[f32]) {
+    fn record_report(&mut self, endpoint: EndpointId, report: &[f32]) {
         let field = |at: Option<usize>| Some(f64::from(*report.get(at?)?)).filter(|field| field.is_finite());
         let (left, limit) = (field(self.settings.report.0), field(self.settings.report.1));
         let aim = self.settings.shortest_latency_objective();
@@ -156,19 +157,21 @@
         let left = left.unwrap_or(0.0).clamp(0.0, 1.0);
         if route.record_report(limit, left, aim, self.now) {
             self.share_limit(id, limit);
-            self.book.waiting.touch(id.0);
+            self.messages.queues.touch(id.0);
         }
     }
 
-    fn ended(&mut self, id: MessageId, attempt: u16, outcome: Outcome, terminal: bool) {
-        let Some(Ended { number, call, key, first, done }) = self.calls.ended(id, attempt, outcome) else {
+    fn attempt_completed(&mut self, id: MessageId, attempt: u16, outcome: Outcome, terminal: bool) {
+        let Some(CompletedAttempt { number, call, key, first, call_completed: done }) =
+            self.calls.complete_attempt(id, attempt, outcome)
+        else {
             return;
         };
         let (now, sent) = (self.now, call.sent);
-        let luck = chance(self.seed, now, id, call.endpoint).f64();
-        self.book.waiting.touch(call.route.0);
+        let luck = message_rng(self.seed, now, id, call.endpoint).f64();
+        self.messages.queues.touch(call.route.0);
         if done {
-            self.waking.call_completed(number);
+            self.activations.call_completed(number);
         }
         let latency_objective = self.settings.shortest_latency_objective();
         let tick = Tick { settings: &self.settings, now, latency_objective, jitter: luck };
@@ -189,38 +192,38 @@
             }
         }
         if let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) {
-            endpoint.ended(outcome, first, done);
+            endpoint.attempt_completed(outcome, first, done);
         }
         if first && outcome == Outcome::ConnectionRejected {
-            self.crowded(call.endpoint, luck);
+            self.connection_rejected(call.endpoint, luck);
         }
         if let Some(key) = key {
             let unclear = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
             let rest = unclear.then_some(now + self.settings.rules.ordering_pause);
-            let first = self.lines.ended(key, id, attempt, rest, now);
-            self.touch(first);
+            let first = self.lanes.attempt_completed(key, id, attempt, rest, now);
+            self.reconsider(first);
         }
-        self.book.ended(id, attempt, outcome.never_ran());
+        self.messages.attempt_completed(id, attempt, outcome.never_ran());
         if terminal {
             // How old messages get before those who wait for them give them up, only a call tells.
-            if let Some(held) = self.book.get(&id) {
-                self.given_up_from.note(sent.saturating_sub(self.taken(held)), outcome);
+            if let Some(held) = self.messages.get(&id) {
+                self.abandonment_age.note(sent.saturating_sub(self.accepted_at(held)), outcome);
             }
             self.forget(id);
         }
     }
 
     /// When a message was handed in.
-    pub(super) fn taken(&self, held: &Held) -> Micros {
-        held.aim.saturating_sub(self.settings.classes[held.message.class].latency_objective)
+    pub(super) fn accepted_at(&self, held: &PendingMessage) -> Micros {
+        held.objective_at.saturating_sub(self.settings.classes[held.message.class].latency_objective)
     }
 
     /// The message is over; attempts that are out keep their slots until their outcomes come.
     pub(super) fn forget(&mut self, id: MessageId) {
-        let Some(held) = self.book.remove(id) else { return };
+        let Some(held) = self.messages.remove(id) else { return };
         if let Some(key) = held.message.key {
-            let first = self.lines.remove(key, id, self.now);
-            self.touch(first);
+            let first = self.lanes.remove(key, id, self.now);
+            self.reconsider(first);
         }
     }
 }
--- a/crates/decision/src/policy/hearsay.rs
+++ b/crates/decision/src/policy/gossip.rs
@@ -12,9 +12,9 @@
 
 impl Policy {
     /// What is shared is by destination; routes apart are a sender's own.
-    fn shared_of(&mut self, route: RouteId) -> Option<(&mut Gossip, u16)> {
+    fn gossip_of(&mut self, route: RouteId) -> Option<(&mut Gossip, u16)> {
         let (destination, None) = route else { return None };
-        Some((self.shared.as_mut()?, destination.0))
+        Some((self.gossip.as_mut()?, destination.0))
     }
 
     /// How a call ended, with failures and unexplained refusals in a row before and after it.
@@ -45,7 +45,7 @@
             }
             _ => return,
         };
-        if let Some((shared, destination)) = self.shared_of(route) {
+        if let Some((shared, destination)) = self.gossip_of(route) {
             shared.observe(destination, seen, now);
         }
     }
@@ -53,7 +53,7 @@
     /// A report told a limit.
     pub(super) fn share_limit(&mut self, route: RouteId, limit: f64) {
         let now = self.now;
-        if let Some((shared, destination)) = self.shared_of(route) {
+        if let Some((shared, destination)) = self.gossip_of(route) {
             shared.observe_limit(destination, limit as f32, now);
         }
     }
@@ -61,18 +61,18 @@
     /// A destination told a wait.
     pub(super) fn share_wait(&mut self, route: RouteId, until: Micros) {
         let now = self.now;
-        if let Some((shared, destination)) = self.shared_of(route) {
+        if let Some((shared, destination)) = self.gossip_of(route) {
             shared.observe_wait(destination, until, now);
         }
     }
 
     /// A note came.
-    pub(super) fn hear(&mut self, from: u16, content: &[u8], actions: &mut Vec<Action>) {
-        let Some(shared) = &mut self.shared else { return };
+    pub(super) fn receive_gossip(&mut self, from: u16, content: &[u8], actions: &mut Vec<Action>) {
+        let Some(shared) = &mut self.gossip else { return };
         if let Err(why) = shared.receive(from, content, self.now)
-            && self.now >= self.complain_at
+            && self.now >= self.next_gossip_warning_at
         {
-            self.complain_at = self.now + COMPLAIN_EVERY;
+            self.next_gossip_warning_at = self.now + COMPLAIN_EVERY;
             let rejected = shared.traffic().rejected_messages;
             let line = format!("a note from sender {from} is used for nothing ({rejected} so far): {why}");
             actions.push(Action::Log(line));
@@ -80,8 +80,8 @@
     }
 
     /// A destination that a message came for may have slept while others learnt of it.
-    pub(super) fn recall_hearsay(&mut self, destination: DestinationId) {
-        let (Some(shared), Some(route)) = (&self.shared, self.routes.get_mut(&(destination, None))) else {
+    pub(super) fn recall_gossip(&mut self, destination: DestinationId) {
+        let (Some(shared), Some(route)) = (&self.gossip, self.routes.get_mut(&(destination, None))) else {
             return;
         };
         let belief = shared.belief(destination.0, self.now);
@@ -93,23 +93,23 @@
     }
 
     /// Routes hear what is believed otherwise now.
-    pub(super) fn heed(&mut self, now: Micros) {
-        let Some(shared) = &mut self.shared else { return };
+    pub(super) fn apply_gossip(&mut self, now: Micros) {
+        let Some(shared) = &mut self.gossip else { return };
         for (destination, belief) in shared.take_changes(now) {
             let id = (DestinationId(destination), None);
             if let Some(route) = self.routes.get_mut(&id) {
                 route.record_gossip(&belief, now);
-                self.book.waiting.touch(id.0);
+                self.messages.queues.touch(id.0);
             }
         }
     }
 
     /// What is said now.
-    pub(super) fn speak(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some(shared) = &mut self.shared else { return };
+    pub(super) fn publish_gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let Some(shared) = &mut self.gossip else { return };
         for action in actions.iter() {
             if let Action::Attempt { message, .. } = action
-                && let Some(held) = self.book.get(message).filter(|held| held.attempts > 1)
+                && let Some(held) = self.messages.get(message).filter(|held| held.attempts > 1)
             {
                 shared.count_retry(held.message.destination.0, now);
             }
@@ -120,7 +120,7 @@
     }
 
     /// What is shared, for operators.
-    pub fn shared(&self) -> Option<&Gossip> {
-        self.shared.as_ref()
+    pub fn gossip(&self) -> Option<&Gossip> {
+        self.gossip.as_ref()
     }
 }
--- a/crates/decision/src/policy/takeover.rs
+++ b/crates/decision/src/policy/hand_over.rs
@@ -8,15 +8,15 @@
 
 /// Another version's state that can't be read: go on as after a kill, with the journal alone.
 #[derive(Debug)]
-pub struct NotUnderstood(rmp_serde::decode::Error);
+pub struct UnreadableState(rmp_serde::decode::Error);
 
-impl fmt::Display for NotUnderstood {
+impl fmt::Display for UnreadableState {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "the state of the process before can't be read: {}", self.0)
     }
 }
 
-impl std::error::Error for NotUnderstood {}
+impl std::error::Error for UnreadableState {}
 
 impl Policy {
     /// All that it knows, fields by their names, so that another version reads what it has in common.
@@ -31,52 +31,52 @@
     ///
     /// # Errors
     /// Fails when the state is none, or another version's.
-    pub fn taken_over(
+    pub fn from_state(
         state: &[u8],
         settings: Settings,
         seed: u64,
         now: Micros,
-    ) -> Result<Self, NotUnderstood> {
-        let mut policy: Self = rmp_serde::from_slice(state).map_err(NotUnderstood)?;
-        policy.routes.settle_under(&settings);
+    ) -> Result<Self, UnreadableState> {
+        let mut policy: Self = rmp_serde::from_slice(state).map_err(UnreadableState)?;
+        policy.routes.reconfigure(&settings);
         policy
-            .waking
+            .activations
             .reconfigure(settings.idle.map(|dormant| dormant.activations_per_second), settings.max_calls / 2);
-        policy.shared = settings.gossip.map(|law| gossip::Gossip::new(law, seed, now));
+        policy.gossip = settings.gossip.map(|law| gossip::Gossip::new(law, seed, now));
         let effects: Vec<_> = settings.classes.iter().map(|class| class.idempotency).collect();
-        policy.book.bind(&effects);
+        policy.messages.bind_idempotency(&effects);
         policy.settings = settings;
         policy.rng = fastrand::Rng::with_seed(seed);
         policy.now = policy.now.max(now);
-        policy.reminder = None;
-        policy.book.waiting.count_again();
-        policy.unbound.clear();
-        if policy.stop_at.take().is_some() {
-            policy.book.waiting.touch_all();
+        policy.timer = None;
+        policy.messages.queues.recount();
+        policy.repeat_boundaries.clear();
+        if policy.shutdown_at.take().is_some() {
+            policy.messages.queues.touch_all();
         }
         Ok(policy)
     }
 
     /// Whether it holds a message.
     pub fn holds(&self, message: MessageId) -> bool {
-        self.book.get(&message).is_some()
+        self.messages.get(&message).is_some()
     }
 
     /// The messages that it holds, in order.
     pub fn messages(&self) -> Vec<MessageId> {
-        let mut messages: Vec<_> = self.book.ids().collect();
+        let mut messages: Vec<_> = self.messages.ids().collect();
         messages.sort_unstable();
         messages
     }
 
     /// Destinations of which anything was learnt.
-    pub fn known_destinations(&self) -> Vec<DestinationId> {
-        self.routes.known_destinations().into_iter().collect()
+    pub fn observed_destinations(&self) -> Vec<DestinationId> {
+        self.routes.observed_destinations().into_iter().collect()
     }
 
-    /// What was learnt of a destination's routes, awake or not, as [`Event::Learnt`] tells it to another process.
-    pub fn learnt(&self, destination: DestinationId) -> Vec<(RouteId, RouteSnapshot)> {
-        self.routes.known(destination, &self.endpoints, self.now)
+    /// What was learnt of a destination's routes, awake or not, as [`Event::SnapshotRestored`] tells it to another process.
+    pub fn route_snapshots(&self, destination: DestinationId) -> Vec<(RouteId, RouteSnapshot)> {
+        self.routes.snapshots(destination, &self.endpoints, self.now)
     }
 
     /// Endpoints of a destination, as lists named them.
--- a/crates/decision/src/policy/view.rs
+++ b/crates/decision/src/policy/inspection.rs
@@ -13,26 +13,26 @@
     }
 
     /// Endpoints in the list that nothing new goes to now, or no more than a trial.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_endpoints(&self) -> usize {
         let shut = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
         let avoided = |id, ready: bool| !ready || shut(id).is_some_and(|r| !r.is_breaker_closed());
         self.endpoints.in_list().filter(|(id, ready)| avoided(*id, *ready)).count()
     }
 
     /// Endpoints in the list that may take something new, and get no more than a trial.
-    pub fn shut(&self) -> usize {
+    pub fn open_breaker_endpoints(&self) -> usize {
         let of = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
         let shut = |id| of(id).is_some_and(|route| !route.is_breaker_closed());
         self.endpoints.in_list().filter(|(id, ready)| *ready && shut(*id)).count()
     }
 
     /// Destinations that are awake, and routes that are remembered asleep.
-    pub fn awake_and_asleep(&self) -> (usize, usize) {
-        self.routes.awake_and_asleep()
+    pub fn active_and_idle(&self) -> (usize, usize) {
+        self.routes.active_and_idle()
     }
 
     /// Messages that are held.
-    pub fn held(&self) -> usize {
-        self.book.len()
+    pub fn pending_messages(&self) -> usize {
+        self.messages.len()
     }
 }
--- a/crates/decision/src/policy/tests/reference_model.rs
+++ b/crates/decision/src/policy/tests/reference_model.rs
@@ -9,25 +9,25 @@
 
 use std::collections::BTreeMap;
 
-use crate::book::Held;
+use crate::dispatch_round::{StartedCalls, Verdict};
 use crate::interface::*;
+use crate::message_table::PendingMessage;
 use crate::policy::Policy;
-use crate::round::{Begun, Verdict};
 use crate::test_support::settings;
 
 impl Policy {
     fn handle_all(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        self.fold(now, events, actions);
+        self.apply_events(now, events, actions);
         self.settle_all(actions);
         self.shed_all(actions);
         self.dispatch_all(actions);
         self.close_idle(events, actions);
-        self.book.waiting.take_touched();
-        self.book.take_check();
+        self.messages.queues.take_touched();
+        self.messages.take_unsettled();
     }
 
     fn ids(&self) -> Vec<MessageId> {
-        let mut ids: Vec<_> = self.book.iter().map(|(id, _)| *id).collect();
+        let mut ids: Vec<_> = self.messages.iter().map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
@@ -36,10 +36,10 @@
         let now = self.now;
         let mut over = Vec::new();
         for id in self.ids() {
-            let held = self.book.get(&id).unwrap();
+            let held = self.messages.get(&id).unwrap();
             if now >= held.end {
                 over.push((id, 0));
-            } else if held.out == 0 {
+            } else if held.in_flight == 0 {
                 let trial = self.trial(held.message.destination);
                 let limit = held.attempts >= self.settings.max_attempts;
                 if self.stuck(held) || limit || trial > held.end {
@@ -54,13 +54,15 @@
 
     fn shed_all(&mut self, actions: &mut Vec<Action>) {
         let room = (self.settings.max_messages / 16).max(1);
-        let excess = (self.book.len() + room).saturating_sub(self.settings.max_messages);
+        let excess = (self.messages.len() + room).saturating_sub(self.settings.max_messages);
         let mut least = Vec::new();
-        let idle = |held: &Held| held.out == 0 && held.may_have_run.is_empty() && !held.is_owed_a_call();
-        for (id, held) in self.book.iter().filter(|(_, held)| idle(held)) {
+        let idle = |held: &PendingMessage| {
+            held.in_flight == 0 && held.may_have_run.is_empty() && !held.is_owed_attempt()
+        };
+        for (id, held) in self.messages.iter().filter(|(_, held)| idle(held)) {
             let wait = self.expected_wait(held.message.destination);
-            let worth = self.worth_at(held, self.now.saturating_add(wait));
-            least.push(((worth * 1e6) as u64, held.aim, *id, wait));
+            let worth = self.weight_at(held, self.now.saturating_add(wait));
+            least.push(((worth * 1e6) as u64, held.objective_at, *id, wait));
         }
         least.sort_unstable();
         for (_, _, id, wait) in least.into_iter().take(excess) {
@@ -70,21 +72,21 @@
 
     fn dispatch_all(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        let late = |held: &Held| {
-            let given_up = self.taken(held).saturating_add(self.given_up_from.0);
-            let late = now > held.aim.min(given_up) || self.within_share(held.message.tenant) < 0.5;
-            late && !held.is_owed_a_call()
+        let late = |held: &PendingMessage| {
+            let given_up = self.accepted_at(held).saturating_add(self.abandonment_age.0);
+            let late = now > held.objective_at.min(given_up) || self.quota_weight(held.message.tenant) < 0.5;
+            late && !held.is_owed_attempt()
         };
-        let waiting = self.book.iter().filter(|(_, held)| held.out == 0);
-        let mut queue: Vec<_> = waiting.map(|(id, held)| (late(held), held.aim, *id)).collect();
+        let waiting = self.messages.iter().filter(|(_, held)| held.in_flight == 0);
+        let mut queue: Vec<_> = waiting.map(|(id, held)| (late(held), held.objective_at, *id)).collect();
         queue.sort_unstable();
         let mut backlog: BTreeMap<DestinationId, f64> = BTreeMap::new();
         for (_, _, id) in &queue {
-            *backlog.entry(self.book.get(id).unwrap().message.destination).or_default() += 1.0;
+            *backlog.entry(self.messages.get(id).unwrap().message.destination).or_default() += 1.0;
         }
-        let mut begun = Begun::default();
+        let mut begun = StartedCalls::default();
         for (_, _, id) in queue {
-            let destination = self.book.get(&id).unwrap().message.destination;
+            let destination = self.messages.get(&id).unwrap().message.destination;
             for endpoint in self.choices(id, destination, &begun) {
                 if self.admit(id, endpoint, backlog[&destination], &mut begun, actions) == Verdict::Sent {
                     break;
@@ -248,7 +250,7 @@
                 Action::Attempt { message, endpoint, .. } => {
                     sent += 1;
                     // The policy numbers attempts as it makes them.
-                    let number = new.book.get(message).unwrap().attempts as u16 - 1;
+                    let number = new.messages.get(message).unwrap().attempts as u16 - 1;
                     out.push((*message, number, *endpoint));
                 }
                 Action::Reject { message, .. } | Action::Fail(message) => held.retain(|id| id != message),
@@ -261,9 +263,12 @@
             texts
         };
         assert_eq!(sorted(&mine), sorted(&theirs), "seed {seed}, tick {tick}");
-        assert_eq!(new.held(), old.held(), "seed {seed}, tick {tick}");
+        assert_eq!(new.pending_messages(), old.pending_messages(), "seed {seed}, tick {tick}");
     }
-    assert_eq!(new.book.waiting.destinations() == 0, new.book.iter().all(|(_, held)| held.out > 0));
+    assert_eq!(
+        new.messages.queues.destinations() == 0,
+        new.messages.iter().all(|(_, held)| held.in_flight > 0)
+    );
     sent
 }
 
--- a/crates/decision/src/policy/worth.rs
+++ b/crates/decision/src/policy/weights.rs
@@ -1,14 +1,14 @@
 //! What messages are worth, and how long they can expect to wait: estimates that the decisions are made from.
 
 use super::Policy;
-use crate::book::Held;
-use crate::estimate::worth_left;
+use crate::estimate::remaining_weight;
 use crate::interface::*;
+use crate::message_table::PendingMessage;
 
 impl Policy {
     /// Part of the worth that is left to a tenant's message when it may be beyond the tenant's share, as
     /// far as one sender can tell.
-    pub(super) fn within_share(&self, tenant: usize) -> f64 {
+    pub(super) fn quota_weight(&self, tenant: usize) -> f64 {
         let (Some(rate), Some(t)) = (self.tenants.get(tenant), self.settings.tenants.get(tenant)) else {
             return 1.0;
         };
@@ -18,20 +18,20 @@
     }
 
     /// Tenants most of whose messages may be beyond their share.
-    pub(super) fn beyond(&self) -> Vec<bool> {
-        (0..self.tenants.len()).map(|tenant| self.within_share(tenant) < 0.5).collect()
+    pub(super) fn tenants_over_quota(&self) -> Vec<bool> {
+        (0..self.tenants.len()).map(|tenant| self.quota_weight(tenant) < 0.5).collect()
     }
 
     /// What a message is worth if it is delivered at that time.
-    pub(super) fn worth_at(&self, held: &Held, at: Micros) -> f64 {
+    pub(super) fn weight_at(&self, held: &PendingMessage, at: Micros) -> f64 {
         let class = &self.settings.classes[held.message.class];
-        let left = worth_left(self.settings.decay, class, held.aim, held.deadline, at);
-        class.priority_weight * left * self.within_share(held.message.tenant)
+        let left = remaining_weight(self.settings.decay, class, held.objective_at, held.deadline, at);
+        class.priority_weight * left * self.quota_weight(held.message.tenant)
     }
 
     /// How long a destination's messages can expect to wait.
     pub(super) fn expected_wait(&self, destination: DestinationId) -> Micros {
-        let (now, backlog) = (self.now, self.book.waiting.count(destination) as f64);
+        let (now, backlog) = (self.now, self.messages.queues.count(destination) as f64);
         // An outage is taken to last as long again as it has; a backlog to go at the pace of late.
         let wait = self.usable(destination).map(|(_, r)| {
             let down =
--- a/crates/decision/src/routes.rs
+++ b/crates/decision/src/route_table.rs
@@ -21,12 +21,15 @@
 
 /// All routes.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct Routes {
-    dormant: Option<IdlePolicy>,
+pub(crate) struct RouteTable {
+    #[serde(rename = "dormant")]
+    idle_policy: Option<IdlePolicy>,
     rules: Rules,
     routes: BTreeMap<RouteId, RouteHealth>,
-    awake: ActiveSet<DestinationId>,
-    memory: IdleTable<RouteId>,
+    #[serde(rename = "awake")]
+    active: ActiveSet<DestinationId>,
+    #[serde(rename = "memory")]
+    idle: IdleTable<RouteId>,
     /// What an earlier process learnt of routes that nothing has come for since; bounded by what it had.
     #[serde(default)]
     learnt: HashMap<RouteId, RouteSnapshot>,
@@ -35,17 +38,17 @@
     learnt_lost: bool,
 }
 
-impl Routes {
+impl RouteTable {
     /// None is known.
     pub fn new(settings: &Settings, now: Micros) -> Self {
         let dormant = settings.idle;
         let (most, remember) = dormant.map_or((0, 0), |d| (d.max_retained, d.retain_for));
         Self {
-            dormant,
+            idle_policy: dormant,
             rules: settings.rules.clone(),
             routes: BTreeMap::new(),
-            awake: ActiveSet::new(dormant.map(|d| d.idle_after)),
-            memory: IdleTable::new(most, remember, now),
+            active: ActiveSet::new(dormant.map(|d| d.idle_after)),
+            idle: IdleTable::new(most, remember, now),
             learnt: HashMap::new(),
             learnt_lost: false,
         }
@@ -53,7 +56,7 @@
 
     /// An earlier process learnt that of a route. Where destinations sleep it is remembered as of one that does, so that
     /// the bound on what sleeps counts for it too.
-    pub fn learnt(&mut self, id: RouteId, learnt: RouteSnapshot, endpoints: &Endpoints, now: Micros) {
+    pub fn restored(&mut self, id: RouteId, learnt: RouteSnapshot, endpoints: &Endpoints, now: Micros) {
         if let Some(route) = self.routes.get_mut(&id) {
             route.wait_until_at_least(learnt.wait_until);
             return;
@@ -78,19 +81,19 @@
             Some(before) => RouteSnapshot { wait_until, ..*before },
             None => RouteSnapshot { wait_until, ..learnt },
         };
-        if self.dormant.is_none() || self.memory.insert(id, to_retained(&learnt), now).is_err() {
+        if self.idle_policy.is_none() || self.idle.insert(id, to_retained(&learnt), now).is_err() {
             self.learnt.insert(id, learnt);
         }
     }
 
     /// What an earlier process learnt is lost.
-    pub fn learnt_lost(&mut self) {
+    pub fn snapshot_lost(&mut self) {
         self.learnt_lost = true;
-        self.memory.mark_incomplete();
+        self.idle.mark_incomplete();
     }
 
     /// What is known of a destination's routes, awake or not, for another process.
-    pub fn known(
+    pub fn snapshots(
         &self,
         destination: DestinationId,
         endpoints: &Endpoints,
@@ -104,7 +107,7 @@
         asleep.insert((destination, None));
         for id in asleep {
             let remembered =
-                || self.learnt.get(&id).copied().or_else(|| self.memory.peek(id).map(from_retained));
+                || self.learnt.get(&id).copied().or_else(|| self.idle.peek(id).map(from_retained));
             if let (false, Some(learnt)) = (known.contains_key(&id), remembered()) {
                 known.insert(id, learnt);
             }
@@ -113,13 +116,13 @@
     }
 
     /// Takes a destination's routes out: those that are awake, and what is remembered of others.
-    pub fn part(
+    pub fn detach(
         &mut self,
         destination: DestinationId,
         endpoints: &Endpoints,
         now: Micros,
     ) -> (Vec<(RouteId, RouteHealth)>, Vec<Asleep>) {
-        let known = self.known(destination, endpoints, now);
+        let known = self.snapshots(destination, endpoints, now);
         let (mut awake, mut asleep) = (Vec::new(), Vec::new());
         for (id, learnt) in known {
             match self.routes.remove(&id) {
@@ -127,14 +130,14 @@
                 None => asleep.push((id, learnt)),
             }
             self.learnt.remove(&id);
-            self.memory.remove(id);
+            self.idle.remove(id);
         }
-        self.awake.forget(destination);
+        self.active.forget(destination);
         (awake, asleep)
     }
 
     /// Goes on with a destination's routes as another module knew them.
-    pub fn join(
+    pub fn attach(
         &mut self,
         destination: DestinationId,
         awake: Vec<(RouteId, RouteHealth)>,
@@ -143,7 +146,7 @@
         now: Micros,
     ) {
         for (id, learnt) in asleep {
-            self.learnt(id, learnt, endpoints, now);
+            self.restored(id, learnt, endpoints, now);
         }
         if awake.is_empty() {
             return;
@@ -158,18 +161,18 @@
             }
             self.routes.insert(id, route);
         }
-        self.wake(destination, endpoints, now);
+        self.activate(destination, endpoints, now);
     }
 
     /// Destinations of which anything is known.
-    pub fn known_destinations(&self) -> BTreeSet<DestinationId> {
+    pub fn observed_destinations(&self) -> BTreeSet<DestinationId> {
         let awake = self.routes.keys().map(|id| id.0);
-        awake.chain(self.learnt.keys().map(|id| id.0)).chain(self.memory.keys().map(|id| id.0)).collect()
+        awake.chain(self.learnt.keys().map(|id| id.0)).chain(self.idle.keys().map(|id| id.0)).collect()
     }
 
     /// The rules and the sleep that are so from now on.
-    pub fn settle_under(&mut self, settings: &Settings) {
-        (self.dormant, self.rules) = (settings.idle, settings.rules.clone());
+    pub fn reconfigure(&mut self, settings: &Settings) {
+        (self.idle_policy, self.rules) = (settings.idle, settings.rules.clone());
     }
 
     pub fn get(&self, id: &RouteId) -> Option<&RouteHealth> {
@@ -186,48 +189,48 @@
     }
 
     /// Destinations that are awake, and routes that are remembered asleep.
-    pub fn awake_and_asleep(&self) -> (usize, usize) {
-        (self.awake.len(), self.memory.len())
+    pub fn active_and_idle(&self) -> (usize, usize) {
+        (self.active.len(), self.idle.len())
     }
 
     /// In how long there may be room for a destination to wake, if it sleeps and there is none now.
-    pub fn no_room(&self, destination: DestinationId, now: Micros) -> Option<Micros> {
-        let full = self.dormant.is_some_and(|d| self.awake.len() >= d.max_active);
-        let next = || self.awake.next_due().map_or(0, |at| at.saturating_sub(now));
-        (full && !self.awake.contains(destination)).then(next)
+    pub fn capacity_wait(&self, destination: DestinationId, now: Micros) -> Option<Micros> {
+        let full = self.idle_policy.is_some_and(|d| self.active.len() >= d.max_active);
+        let next = || self.active.next_due().map_or(0, |at| at.saturating_sub(now));
+        (full && !self.active.contains(destination)).then(next)
     }
 
     /// Something comes for a destination: it is awake from now on.
-    pub fn wake(&mut self, destination: DestinationId, endpoints: &Endpoints, now: Micros) {
-        if !self.awake.contains(destination) {
-            self.awake.activate(destination, now);
+    pub fn activate(&mut self, destination: DestinationId, endpoints: &Endpoints, now: Micros) {
+        if !self.active.contains(destination) {
+            self.active.activate(destination, now);
             for id in endpoints.of(destination).filter_map(|(id, _)| endpoints.route(id)) {
-                self.rouse(id, endpoints, now);
+                self.activate_route(id, endpoints, now);
             }
         }
     }
 
     /// The list says that of a route, new or not. What reports told since is finer than a list that says the same as
     /// before.
-    pub fn listed(&mut self, id: RouteId, calls: f64, endpoints: &Endpoints, now: Micros) {
+    pub fn limit_listed(&mut self, id: RouteId, calls: f64, endpoints: &Endpoints, now: Micros) {
         match self.routes.get_mut(&id) {
             Some(route) => route.list_limit(calls),
-            None if self.awake.contains(id.0) => self.rouse(id, endpoints, now),
+            None if self.active.contains(id.0) => self.activate_route(id, endpoints, now),
             _ => {}
         }
     }
 
     /// An endpoint is gone, and with it the route that it may have had of its own. Guards that route's wait against a
     /// destination that is back under other endpoints.
-    pub fn left(&mut self, destination: DestinationId, endpoint: EndpointId, now: Micros) {
+    pub fn endpoint_removed(&mut self, destination: DestinationId, endpoint: EndpointId, now: Micros) {
         let id = (destination, Some(endpoint));
-        let asleep = self.memory.wait_until(id, now);
+        let asleep = self.idle.wait_until(id, now);
         let wait = self.routes.remove(&id).map_or(asleep, |route| route.wait_until());
-        self.memory.remove(id);
+        self.idle.remove(id);
         let facts = RetainedHealth { wait_until: wait, ..RetainedHealth::default() };
-        if self.dormant.is_none()
+        if self.idle_policy.is_none()
             || wait <= now
-            || self.memory.insert((destination, None), facts, now).is_ok()
+            || self.idle.insert((destination, None), facts, now).is_ok()
         {
             return;
         }
@@ -236,49 +239,49 @@
     }
 
     /// Gives a route back what is remembered of it, and the wait of its destination.
-    fn rouse(&mut self, id: RouteId, endpoints: &Endpoints, now: Micros) {
+    fn activate_route(&mut self, id: RouteId, endpoints: &Endpoints, now: Micros) {
         if self.routes.contains_key(&id) {
             return;
         }
         let common = (id.0, None);
         let wait =
-            self.memory.wait_until(common, now).max(self.routes.get(&common).map_or(0, |r| r.wait_until()));
+            self.idle.wait_until(common, now).max(self.routes.get(&common).map_or(0, |r| r.wait_until()));
         let wait = wait.max(self.learnt.get(&common).map_or(0, |learnt| learnt.wait_until));
         let listing = endpoints.listing(id);
         let lost = self.learnt_lost.then(RouteSnapshot::unknown);
-        let mut route = match self.learnt.remove(&id).or(lost.filter(|_| self.dormant.is_none())) {
+        let mut route = match self.learnt.remove(&id).or(lost.filter(|_| self.idle_policy.is_none())) {
             Some(learnt) => RouteHealth::restored(&learnt, listing, &self.rules, now),
-            None => RouteHealth::activated(self.memory.take(id, now), listing, &self.rules, now),
+            None => RouteHealth::activated(self.idle.take(id, now), listing, &self.rules, now),
         };
         route.wait_until_at_least(wait);
-        route.begin_activation(self.dormant.is_some());
+        route.begin_activation(self.idle_policy.is_some());
         self.routes.insert(id, route);
     }
 
     /// Lets destinations sleep at which nothing was tried for long and for which nothing waits; what can't be remembered
     /// stays awake.
-    pub fn doze(&mut self, now: Micros, waits: impl Fn(DestinationId) -> bool) {
-        let Some(dormant) = self.dormant else { return };
+    pub fn retire_idle(&mut self, now: Micros, waits: impl Fn(DestinationId) -> bool) {
+        let Some(dormant) = self.idle_policy else { return };
         for _ in 0..SLEEP_AT_ONCE {
-            let Some(destination) = self.awake.take_due(now) else { return };
+            let Some(destination) = self.active.take_due(now) else { return };
             let all = (destination, None)..=(destination, Some(EndpointId([u8::MAX; 6])));
             let facts = self.routes.range(all).map(|(id, route)| {
                 let idle = route.in_flight() == 0 && route.checked_at() + dormant.idle_after <= now;
                 idle.then(|| (*id, route.retained(&self.rules, now)))
             });
             let facts = facts.collect::<Option<Vec<_>>>().filter(|_| !waits(destination));
-            let memory = &mut self.memory;
+            let memory = &mut self.idle;
             match facts {
                 Some(facts) if facts.iter().all(|f| memory.insert(f.0, f.1, now).is_ok()) => {
                     facts.iter().for_each(|f| drop(self.routes.remove(&f.0)));
                 }
-                _ => self.awake.activate(destination, now),
+                _ => self.active.activate(destination, now),
             }
         }
     }
 
     /// When a destination may be idle; what more is due than may fall asleep at once, has to wait for the next tick.
     pub fn next_due(&self, next_tick: Micros) -> Option<Micros> {
-        Some(self.awake.next_due()?.max(next_tick))
+        Some(self.active.next_due()?.max(next_tick))
     }
 }
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -98,7 +98,7 @@
     /// Another process goes on with what this one knows.
     pub fn hand_over(&mut self, settings: Settings) {
         let state = self.policy.state().unwrap();
-        self.policy = Policy::taken_over(&state, settings, 42, self.now).unwrap();
+        self.policy = Policy::from_state(&state, settings, 42, self.now).unwrap();
         self.reminders.clear();
         self.tell(vec![]);
     }
--- a/crates/decision/tests/dormant.rs
+++ b/crates/decision/tests/dormant.rs
@@ -54,21 +54,21 @@
 #[test]
 fn what_is_idle_sleeps_and_what_waits_or_is_out_does_not() {
     let mut s = Sender::new(drowsy(), &[entry(1, 0), at(8, 8), at(9, 9)]);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 0), "what is only listed takes up nothing");
+    assert_eq!(s.policy.active_and_idle(), (0, 0), "what is only listed takes up nothing");
     s.serve(3);
-    assert_eq!(s.policy.awake_and_asleep(), (1, 0));
+    assert_eq!(s.policy.active_and_idle(), (1, 0));
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 1));
+    assert_eq!(s.policy.active_and_idle(), (0, 1));
     // One that has a call out all the while.
     let message = s.message(ONCE, None, 500 * SECOND);
     s.tell(vec![Event::Accepted(message)]);
     let out = s.out.pop().unwrap();
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (1, 0));
+    assert_eq!(s.policy.active_and_idle(), (1, 0));
     let end = s.ended(out, Outcome::Delivered);
     s.tell(vec![end]);
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 1));
+    assert_eq!(s.policy.active_and_idle(), (0, 1));
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.serve(3);
     s.pass(10_000 * SECOND);
-    assert_eq!(s.policy.awake_and_asleep(), (1, 0));
+    assert_eq!(s.policy.active_and_idle(), (1, 0));
 }
 
 #[test]
@@ -86,7 +86,7 @@
     told(&mut s, 100 * SECOND);
     let until = s.now + 100 * SECOND;
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 1));
+    assert_eq!(s.policy.active_and_idle(), (0, 1));
     let before = s.sent.len();
     s.pass(until - s.now - 10 * SECOND);
     s.accept(SAFE);
@@ -182,7 +182,7 @@
     s.serve(20);
     s.suffer(5, Outcome::Error);
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 1));
+    assert_eq!(s.policy.active_and_idle(), (0, 1));
     let (first, then) = returning(&mut s);
     assert_eq!(first, 1);
     // A fifth of about four calls a second, twice over, for three seconds.
@@ -194,7 +194,7 @@
     let mut s = Sender::new(drowsy(), &[entry(1, 0)]);
     s.suffer(5, Outcome::ConnectFailed);
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 1));
+    assert_eq!(s.policy.active_and_idle(), (0, 1));
     let before = s.sent.len();
     accept_all(&mut s, [DEST.0; 5].into_iter());
     s.end(Outcome::ConnectFailed);
@@ -230,7 +230,7 @@
         }
         s.pass(SECOND);
     }
-    while !s.out.is_empty() || s.policy.held() > 0 {
+    while !s.out.is_empty() || s.policy.pending_messages() > 0 {
         deliver_all(&mut s);
         s.pass(SECOND / 10);
     }
@@ -249,7 +249,7 @@
     s.tell(left);
     deliver_all(&mut s);
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 1));
+    assert_eq!(s.policy.active_and_idle(), (0, 1));
     let woken = calls(&mut s);
     assert!(awake < 15 && woken < 15, "{awake} calls before, {woken} after");
 }
@@ -311,7 +311,7 @@
         (0..1_000).map(|n| Event::RetryAfter { endpoint: at(n, n).endpoint, wait: 200 * SECOND }).collect();
     s.tell(waits);
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (0, 1_000));
+    assert_eq!(s.policy.active_and_idle(), (0, 1_000));
     accept_all(&mut s, 0..10);
     let before = s.sent.len();
     s.tell(vec![Event::EndpointList(vec![])]);
@@ -321,7 +321,7 @@
     s.pass(SECOND);
     let sent: Vec<_> = s.sent[before..].iter().map(|sent| sent.endpoint).collect();
     assert_eq!(sent, (2_000..2_005).map(|n| at(n, n).endpoint).collect::<Vec<_>>());
-    assert_eq!(s.policy.awake_and_asleep(), (25, 980));
+    assert_eq!(s.policy.active_and_idle(), (25, 980));
 }
 
 #[test]
@@ -333,7 +333,7 @@
         (0..10).map(|n| Event::RetryAfter { endpoint: at(n, n).endpoint, wait: 300 * SECOND }).collect();
     s.tell(waits);
     night(&mut s);
-    assert_eq!(s.policy.awake_and_asleep(), (6, 4), "what can't be remembered stays awake");
+    assert_eq!(s.policy.active_and_idle(), (6, 4), "what can't be remembered stays awake");
     accept_all(&mut s, 10..13);
     assert_eq!((s.sent.len(), s.refused.len()), (2, 1));
     let (_, again) = s.refused[0];
@@ -359,7 +359,7 @@
     s.tell(waits);
     accept_all(&mut s, 0..10_000);
     let mut delivered = 0;
-    while s.policy.held() > 0 && s.now < until + 9 * SECOND {
+    while s.policy.pending_messages() > 0 && s.now < until + 9 * SECOND {
         s.pass(SECOND / 20);
         assert!(s.out.len() <= 500);
         delivered += s.out.len();
@@ -368,7 +368,7 @@
         s.tell(ends);
     }
     assert!(s.sent.iter().all(|sent| sent.sent >= until));
-    assert_eq!((s.policy.held(), s.refused.len(), s.sent.len()), (0, 0, 10_000), "{delivered}");
+    assert_eq!((s.policy.pending_messages(), s.refused.len(), s.sent.len()), (0, 0, 10_000), "{delivered}");
 }
 
 /// Silent, or refusing connections: its calls go one at a time until one is answered, whatever waits for it.
--- a/crates/decision/tests/learnt.rs
+++ b/crates/decision/tests/learnt.rs
@@ -165,7 +165,7 @@
             sender.accept(SAFE);
         }
         sender.pass(SECOND);
-        sender.policy.learnt(DEST)[0].1.limit
+        sender.policy.route_snapshots(DEST)[0].1.limit
     };
     assert_eq!(part(100.0), 100.0);
     assert_eq!(part(50.0), 50.0);
@@ -182,11 +182,11 @@
         ..ill()
     };
     let sender = new_with(settings(), &[entry(1, 0)], &[(None, learnt)]);
-    assert_eq!(sender.policy.learnt(DEST), vec![((DEST, None), learnt)]);
-    assert_eq!(sender.policy.known_destinations(), vec![DEST]);
+    assert_eq!(sender.policy.route_snapshots(DEST), vec![((DEST, None), learnt)]);
+    assert_eq!(sender.policy.observed_destinations(), vec![DEST]);
     let mut woken = new_with(settings(), &[entry(1, 0)], &[(None, learnt)]);
     woken.accept(SAFE);
-    let known = woken.policy.learnt(DEST)[0].1;
+    let known = woken.policy.route_snapshots(DEST)[0].1;
     assert_eq!(
         (known.wait_until, known.limit, known.condition),
         (learnt.wait_until, 40.0, Condition::Failing)
--- a/crates/decision/tests/moving.rs
+++ b/crates/decision/tests/moving.rs
@@ -8,7 +8,7 @@
 use common::*;
 use decision::interface::*;
 use decision::policy::Policy;
-use decision::policy::moving::Stays;
+use decision::policy::migration::MigrationRefused;
 
 fn first_seed() -> u64 {
     let first = std::env::var("MOVING_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
@@ -57,7 +57,7 @@
                 let again = Event::EndpointChanges(said.values().cloned().chain([entry(4, 0)]).collect());
                 spare.handle(s.now, std::slice::from_ref(&again), &mut vec![]);
                 if moves {
-                    spare.join(s.policy.part(DEST).unwrap());
+                    spare.attach(s.policy.detach(DEST).unwrap());
                     std::mem::swap(&mut s.policy, &mut spare);
                 }
                 s.tell(vec![again]);
@@ -259,10 +259,10 @@
                 if from == to {
                     return;
                 }
-                let parcel = self.modules[from].part(DestinationId(destination)).unwrap();
+                let parcel = self.modules[from].detach(DestinationId(destination)).unwrap();
                 let out = self.out.iter().filter(|o| o.1.0 == destination).count();
-                assert_eq!(parcel.out().count(), out, "all that is out goes along");
-                self.modules[to].join(parcel);
+                assert_eq!(parcel.attempts_in_flight().count(), out, "all that is out goes along");
+                self.modules[to].attach(parcel);
                 self.owner.insert(destination, to);
                 self.tell_all(&[]);
             }
@@ -285,7 +285,7 @@
         let left: Vec<_> = team.held.keys().filter(|id| !team.over.contains(id)).collect();
         assert!(left.is_empty(), "seed {seed}: without an end: {left:?}");
         assert!(
-            team.modules.iter().all(|module| module.held() == 0 && module.calls_out() == 0),
+            team.modules.iter().all(|module| module.pending_messages() == 0 && module.calls_in_flight() == 0),
             "seed {seed}"
         );
         (calls, held) = (calls + team.calls, held + team.held.len());
@@ -303,11 +303,11 @@
     assert_eq!(s.policy.open_breakers(), [DEST]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(s.now, &[Event::EndpointList(vec![entry(1, 0)])], &mut vec![]);
-    let parcel = s.policy.part(DEST).unwrap();
+    let parcel = s.policy.detach(DEST).unwrap();
     assert!(parcel.messages().any(|message| message == id));
-    assert_eq!((s.policy.held(), s.policy.open_breakers()), (0, vec![]));
-    other.join(parcel);
-    assert!(other.held() > 0 && other.open_breakers() == [DEST]);
+    assert_eq!((s.policy.pending_messages(), s.policy.open_breakers()), (0, vec![]));
+    other.attach(parcel);
+    assert!(other.pending_messages() > 0 && other.open_breakers() == [DEST]);
 }
 
 /// Guards a drain that the new owner has heard of and the old one has not.
@@ -319,7 +319,7 @@
     let mut other = Policy::new(settings(), 43, s.now);
     let draining = EndpointEntry { listing: Listing::Draining, ..entry(1, 0) };
     other.handle(s.now, &[Event::EndpointList(vec![draining])], &mut vec![]);
-    other.join(s.policy.part(DEST).unwrap());
+    other.attach(s.policy.detach(DEST).unwrap());
     let mut actions = vec![];
     (1..40).for_each(|n| other.handle(s.now + n * SECOND / 4, &[Event::TimerFired(0)], &mut actions));
     assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })), "{actions:?}");
@@ -334,7 +334,7 @@
     s.tell(vec![Event::SnapshotRestored { route: (DEST, None), snapshot: learnt }]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(s.now, &[Event::EndpointList(vec![entry(1, 0)])], &mut vec![]);
-    other.join(s.policy.part(DEST).unwrap());
+    other.attach(s.policy.detach(DEST).unwrap());
     s.policy = other;
     s.accept(SAFE);
     assert!(s.out.is_empty(), "the wait runs");
@@ -355,9 +355,9 @@
         &[Event::EndpointList(vec![EndpointEntry { endpoint: theirs, ..entry(1, 0) }])],
         &mut vec![],
     );
-    let parcel = s.policy.part(DEST).unwrap();
+    let parcel = s.policy.detach(DEST).unwrap();
     assert_eq!(parcel.endpoints(), BTreeSet::from([endpoint(1)]));
-    other.join(parcel.rename(&BTreeMap::from([(endpoint(1), theirs)])));
+    other.attach(parcel.rename(&BTreeMap::from([(endpoint(1), theirs)])));
     let mut actions = vec![];
     let ended = Event::AttemptCompleted {
         message: id,
@@ -379,9 +379,9 @@
 fn messages_in_order_stay_where_they_are() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.accept_keyed(ORDERED, Some(1));
-    assert_eq!(s.policy.part(DEST).err(), Some(Stays::Ordered));
-    assert_eq!(s.policy.held(), 1, "nothing has changed");
+    assert_eq!(s.policy.detach(DEST).err(), Some(MigrationRefused::Ordered));
+    assert_eq!(s.policy.pending_messages(), 1, "nothing has changed");
     s.tell(vec![Event::ShuttingDown(s.now + 3 * SECOND)]);
     s.end(Outcome::Delivered);
-    assert_eq!(s.policy.part(DEST).err(), Some(Stays::Stopping));
+    assert_eq!(s.policy.detach(DEST).err(), Some(MigrationRefused::ShuttingDown));
 }
--- a/crates/decision/tests/takeover.rs
+++ b/crates/decision/tests/takeover.rs
@@ -74,13 +74,13 @@
 fn what_is_no_state_is_not_taken() {
     let policy = Policy::new(settings(), 42, START);
     let state = policy.state().unwrap();
-    assert!(Policy::taken_over(&state[..state.len() - 1], settings(), 42, START).is_err());
-    assert!(Policy::taken_over(b"", settings(), 42, START).is_err());
+    assert!(Policy::from_state(&state[..state.len() - 1], settings(), 42, START).is_err());
+    assert!(Policy::from_state(b"", settings(), 42, START).is_err());
     // A field that this version needs is not there.
     let other = state.windows(6).position(|w| w == b"routes").map(|at| {
         let mut state = state.clone();
         state[at] = b'x';
         state
     });
-    assert!(Policy::taken_over(&other.unwrap(), settings(), 42, START).is_err());
+    assert!(Policy::from_state(&other.unwrap(), settings(), 42, START).is_err());
 }
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -468,10 +468,10 @@
         let node = &mut self.nodes[sender];
         let timestamp = Timestamp { wall: WALL + self.now, boot: None };
         let mut snapshot = Snapshot { timestamp, found: true, ..Snapshot::default() };
-        for destination in node.policy.known_destinations() {
+        for destination in node.policy.observed_destinations() {
             let routes = node
                 .policy
-                .learnt(destination)
+                .route_snapshots(destination)
                 .into_iter()
                 .map(|(_, learnt)| RouteRecord { endpoint: None, snapshot: on_the_wall(learnt) });
             let kept = DestinationRecord { at: timestamp.wall, listed: vec![], routes: routes.collect() };
--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -647,7 +647,7 @@
             }
         }
         // What the next process has of it, before its first batch.
-        let taken_over = Policy::taken_over(&day.state()?, settings(1), seed, day.now);
+        let taken_over = Policy::from_state(&day.state()?, settings(1), seed, day.now);
         let state = taken_over.map_err(io::Error::other)?.state().map_err(io::Error::other)?;
         moments.push(moment(canonical(&state)?)?);
     }
@@ -663,8 +663,8 @@
             day.step(step);
         }
         let policy = &mut day.senders[0].policy;
-        for destination in policy.known_destinations() {
-            let parcel = policy.part(destination).map_err(|stays| io::Error::other(stays.to_string()))?;
+        for destination in policy.observed_destinations() {
+            let parcel = policy.detach(destination).map_err(|stays| io::Error::other(stays.to_string()))?;
             moments.push(moment(named(&parcel)?)?);
         }
     }
--- a/crates/golden/tests/handover.rs
+++ b/crates/golden/tests/handover.rs
@@ -6,7 +6,7 @@
 use std::sync::OnceLock;
 
 use decision::policy::Policy;
-use decision::policy::moving::Parcel;
+use decision::policy::migration::MigratedState;
 use golden::handover::{bodies, canonical, files, listing, names};
 use handover::{HandoverState, ToPredecessor, ToSuccessor, frame};
 use serde::Serialize;
@@ -61,7 +61,7 @@
             "to_new.frames" => frames_are_written_again::<ToSuccessor>(file, bytes),
             "names.txt" => {}
             _ if file.starts_with("policy-") => is_written_again::<Policy>(file, bytes),
-            _ if file.starts_with("parcel-") => is_written_again::<Parcel>(file, bytes),
+            _ if file.starts_with("parcel-") => is_written_again::<MigratedState>(file, bytes),
             _ => panic!("{file}: no test reads it"),
         }
     }
@@ -73,8 +73,8 @@
     let recorded = recorded();
     let state: HandoverState = rmp_serde::from_slice(&recorded["state.msgpack"]).unwrap();
     let settings = golden::handover::settings(1);
-    let policy = Policy::taken_over(&state.policy, settings, 1, state.stopped_at).unwrap();
-    assert!(!policy.messages().is_empty() && policy.calls_out() > 0);
+    let policy = Policy::from_state(&state.policy, settings, 1, state.stopped_at).unwrap();
+    assert!(!policy.messages().is_empty() && policy.calls_in_flight() > 0);
 }
 
 /// Guards names of fields and variants at every level, in what the code of today writes.
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,6 +1,8 @@
 //! Measurements and faults against the real sender, on loopback: one scenario a name, each bounded in time, its last
 //! line `held: …` with the figures or `broken: …` with what did not hold.
 
+#![allow(clippy::unwrap_used, reason = "a load test that fails ends in `broken`")]
+
 mod compaction_kills;
 mod cores;
 mod demo;
--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -33,7 +33,7 @@
                 let (ends, now) = self.combined_figures();
                 told(200, &(ends.text(now) + &self.figures_by_shard()))
             }
-            AdminRequest::Gossip => match self.policy.shared() {
+            AdminRequest::Gossip => match self.policy.gossip() {
                 Some(shared) => told(200, &show_shared(shared, self.clock.now())),
                 None => told(404, "nothing is shared: the operators' file has no [shared] on = true\n"),
             },
@@ -70,9 +70,9 @@
     pub(super) fn figures(&self) -> Gauges {
         Gauges {
             relayed: self.directory.carriers().iter().map(|carrier| carrier.messages_written()).sum(),
-            open: self.policy.held(),
+            open: self.policy.pending_messages(),
             listed: self.directory.listed_endpoints(),
-            out_of_rotation: self.policy.avoided(),
+            out_of_rotation: self.policy.unavailable_endpoints(),
         }
     }
 }
--- a/crates/sender/src/event_loop/inbound.rs
+++ b/crates/sender/src/event_loop/inbound.rs
@@ -60,9 +60,9 @@
 
     fn log_status(&self) {
         let open: Vec<_> = self.policy.open_breakers().iter().map(|destination| destination.0).collect();
-        let (awake, asleep) = self.policy.awake_and_asleep();
+        let (awake, asleep) = self.policy.active_and_idle();
         let core = self.shard.as_ref().map_or(String::new(), |shard| format!(" core={}", shard.id().0));
-        let held = self.policy.held();
+        let held = self.policy.pending_messages();
         eprintln!("status{core} held={held} awake={awake} asleep={asleep} open={open:?}");
     }
 
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -93,7 +93,7 @@
                 (self.next_message, outs)
             }
             // Those on connections of other shards too.
-            JournalStore::Sharded(part) => (part.next_number(), self.policy.out()),
+            JournalStore::Sharded(part) => (part.next_number(), self.policy.attempts_in_flight()),
         };
         let standby = match *self.gate.borrow() {
             AdmissionGate::Standby(since) => Some(since),
--- a/crates/sender/src/event_loop/shard/figures.rs
+++ b/crates/sender/src/event_loop/shard/figures.rs
@@ -14,10 +14,15 @@
         let Some(member) = self.shard.as_mut().filter(|member| member.publish_at <= now) else { return };
         member.publish_at = now + PUBLISH_INTERVAL;
         let (me, team, moves) = (member.id(), member.group().clone(), (member.attached, member.detached));
-        let now = Gauges { out_of_rotation: self.policy.shut(), ..self.figures() };
+        let now = Gauges { out_of_rotation: self.policy.open_breaker_endpoints(), ..self.figures() };
         team.show(
             me,
-            Figures { ends: Some(self.outcome_counts.clone()), now, out: self.policy.calls_out(), moves },
+            Figures {
+                ends: Some(self.outcome_counts.clone()),
+                now,
+                out: self.policy.calls_in_flight(),
+                moves,
+            },
         );
     }
 
@@ -27,7 +32,7 @@
         let all = member.group().figures();
         let mut ends = self.outcome_counts.clone();
         let mut now = self.figures();
-        now.out_of_rotation = self.policy.avoided();
+        now.out_of_rotation = self.policy.unavailable_endpoints();
         for figures in all.iter().enumerate().filter(|(core, _)| *core != member.id().index()).map(|of| of.1)
         {
             figures.ends.iter().for_each(|theirs| ends.add(theirs));
--- a/crates/sender/src/event_loop/shard/leases.rs
+++ b/crates/sender/src/event_loop/shard/leases.rs
@@ -12,7 +12,8 @@
             .iter()
             .filter(|event| matches!(event, Event::Accepted(_) | Event::Recovered { .. }))
             .count();
-        let (held, out, waiting) = (self.policy.held(), self.policy.calls_out(), self.policy.waiting());
+        let (held, out, waiting) =
+            (self.policy.pending_messages(), self.policy.calls_in_flight(), self.policy.queued_messages());
         // The module begins to shed load a sixteenth ahead of its capacity.
         let room_for = (held + come) * 16 / 15 + 2;
         let used: usize = self.directory.carriers().iter().map(|carrier| carrier.connections()).sum();
--- a/crates/sender/src/event_loop/shard/migration.rs
+++ b/crates/sender/src/event_loop/shard/migration.rs
@@ -77,7 +77,7 @@
     fn gather_on_first_shard(&mut self) {
         let Some(member) = self.shard.as_ref().filter(|member| member.gathering) else { return };
         let owners = member.group().owners();
-        let of_module = self.policy.known_destinations().into_iter().map(|destination| destination.0);
+        let of_module = self.policy.observed_destinations().into_iter().map(|destination| destination.0);
         let held = self.journal.live().values().map(|live| live.message.destination);
         let all: BTreeSet<u16> = of_module.chain(held).filter(|d| owners.owner(*d) == member.id()).collect();
         if all.into_iter().all(|destination| self.detach_destination(destination, ShardId(0)))
@@ -116,7 +116,7 @@
             return false;
         }
         let Some(member) = &mut self.shard else { return false };
-        let parcel = match self.policy.part(DestinationId(destination)) {
+        let parcel = match self.policy.detach(DestinationId(destination)) {
             Ok(parcel) => parcel,
             Err(stays) => {
                 eprintln!("destination {destination} stays: {stays}");
@@ -136,9 +136,9 @@
             }
         }
         let attempts = numbers.iter().filter_map(|n| Some((*n, self.attempts.remove(n)?))).collect();
-        let connections = member
-            .router
-            .detach(parcel.out().map(|(message, attempt, _)| AttemptId::new(message.0, attempt)));
+        let connections = member.router.detach(
+            parcel.attempts_in_flight().map(|(message, attempt, _)| AttemptId::new(message.0, attempt)),
+        );
         let (calls, messages) = (parcel.calls(), numbers.len());
         {
             let mut room = member.group().quotas();
@@ -197,7 +197,7 @@
         member.router.attach(connections);
         member.attached += 1;
         member.publish_at = 0;
-        self.policy.join(parcel.rename(&ids));
+        self.policy.attach(parcel.rename(&ids));
         self.destination_attached = true;
     }
 }
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -118,7 +118,7 @@
 
 impl Source for SnapshotSource<'_> {
     fn destinations(&self) -> Vec<u16> {
-        let mut all: Vec<_> = self.policy.known_destinations().into_iter().map(|d| d.0).collect();
+        let mut all: Vec<_> = self.policy.observed_destinations().into_iter().map(|d| d.0).collect();
         all.extend(self.directory.destinations());
         all.sort_unstable();
         all.dedup();
@@ -135,7 +135,7 @@
             .collect();
         let routes: Vec<_> = self
             .policy
-            .learnt(id)
+            .route_snapshots(id)
             .into_iter()
             .filter(|(_, learnt)| has_observations(learnt))
             .filter_map(|((_, endpoint), learnt)| match endpoint {
--- a/crates/sender/src/process/journal.rs
+++ b/crates/sender/src/process/journal.rs
@@ -123,7 +123,7 @@
         eprintln!("the settings name other classes, kinds or zones than the process before knows");
         return None;
     }
-    match Policy::taken_over(&state.policy, config.settings.clone(), config.seed, now) {
+    match Policy::from_state(&state.policy, config.settings.clone(), config.seed, now) {
         Ok(policy) => Some(policy),
         Err(e) => {
             eprintln!("{e}");
--- a/crates/sender/src/shards/mailbox.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -8,7 +8,7 @@
 use admin::ejections::Ejections;
 use crossbeam_queue::ArrayQueue;
 use decision::interface::{EndpointId, MessageId, Micros};
-use decision::policy::moving::Parcel;
+use decision::policy::migration::MigratedState;
 use journal::PendingMessage;
 use sharding::{ForeignAttempt, ShardId};
 use tokio::sync::{Notify, oneshot};
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct MigratedDestination {
     /// The decision module's state.
-    pub parcel: Parcel,
+    pub parcel: MigratedState,
     /// The endpoints that it refers to, by the names that all shards know.
     pub names: BTreeMap<EndpointId, Arc<str>>,
     /// Its messages as the journal has them.
