--- a/crates/decision/src/policy/answers.rs
+++ b/crates/decision/src/policy/answers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Policy;
-use crate::interface::*;
+use crate::interface::{Action, DestinationId, Idempotency, MessageId, Micros};
 use crate::message_table::PendingMessage;
 
 impl Policy {
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::dispatch_round::{DispatchRound, StartedCalls, Verdict};
 use crate::estimate::message_rng;
 use crate::health::FEW_SENDERS;
-use crate::interface::*;
+use crate::interface::{Action, DestinationId, EndpointId, Event, MessageId, Micros, Outcome};
 
 /// More destinations that wait for a slot than this are a crowd.
 const CROWD: usize = 256;
--- a/crates/decision/src/policy/events.rs
+++ b/crates/decision/src/policy/events.rs
@@ -5,7 +5,10 @@
 use crate::call_table::CompletedAttempt;
 use crate::estimate::message_rng;
 use crate::health::{RESET_TIMEOUT, Tick};
-use crate::interface::*;
+use crate::interface::{
+    Action, DestinationKind, EndpointEntry, EndpointId, Event, Idempotency, Message, MessageId, Micros,
+    Outcome,
+};
 use crate::message_table::PendingMessage;
 
 /// A message is answered no more than this part of its class's time early.
--- a/crates/decision/src/policy/gossip.rs
+++ b/crates/decision/src/policy/gossip.rs
@@ -5,7 +5,7 @@
 
 use super::Policy;
 use crate::health::{FailureCounts, MAX_FAILURES};
-use crate::interface::*;
+use crate::interface::{Action, DestinationId, Micros, Outcome, RouteId};
 
 /// Notes that are used for nothing are told of so often.
 const COMPLAIN_EVERY: Micros = 10_000_000;
--- a/crates/decision/src/policy/hand_over.rs
+++ b/crates/decision/src/policy/hand_over.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use super::Policy;
-use crate::interface::*;
+use crate::interface::{DestinationId, EndpointId, MessageId, Micros, RouteId, RouteSnapshot, Settings};
 
 /// Another version's state that can't be read: go on as after a kill, with the journal alone.
 #[derive(Debug)]
--- a/crates/decision/src/policy/migration.rs
+++ b/crates/decision/src/policy/migration.rs
@@ -9,7 +9,7 @@
 use crate::call_table::MigratedCall;
 use crate::endpoints::Endpoint;
 use crate::health::RouteHealth;
-use crate::interface::*;
+use crate::interface::{DestinationId, EndpointId, MessageId, Micros, RouteId, RouteSnapshot};
 use crate::message_table::PendingMessage;
 
 /// All that a module knew of a destination. It is in one place at a time: parted from one module, joined to another.
--- a/crates/decision/src/policy/tests/reference_model.rs
+++ b/crates/decision/src/policy/tests/reference_model.rs
@@ -10,7 +10,10 @@
 use std::collections::BTreeMap;
 
 use crate::dispatch_round::{StartedCalls, Verdict};
-use crate::interface::*;
+use crate::interface::{
+    Action, Class, Decay, DestinationId, DestinationKind, EndpointEntry, EndpointId, Event, Idempotency,
+    IdempotencyScope, Listing, Message, MessageId, Micros, Outcome, Rules, Settings, Tenant, Weights,
+};
 use crate::message_table::PendingMessage;
 use crate::policy::Policy;
 use crate::test_support::settings;
--- a/crates/decision/src/policy/timers.rs
+++ b/crates/decision/src/policy/timers.rs
@@ -4,7 +4,7 @@
 use super::{PLACES_FREE, Policy};
 use crate::dispatch_round::DispatchRound;
 use crate::health::CALM_OBJECTIVES;
-use crate::interface::*;
+use crate::interface::{Action, DestinationId, Micros};
 
 /// A ramp is looked at every so many ticks.
 const RAMP_TICKS: Micros = 1;
--- a/crates/decision/src/policy/weights.rs
+++ b/crates/decision/src/policy/weights.rs
@@ -2,7 +2,7 @@
 
 use super::Policy;
 use crate::estimate::remaining_weight;
-use crate::interface::*;
+use crate::interface::{DestinationId, Micros};
 use crate::message_table::PendingMessage;
 
 impl Policy {
