--- a/crates/decision/src/policy/hand_over.rs
+++ b/crates/decision/src/policy/hand_over.rs
@@ -74,7 +74,7 @@
         self.routes.observed_destinations().into_iter().collect()
     }
 
-    /// What was learnt of a destination's routes, awake or not, as [`Event::SnapshotRestored`] tells it to another process.
+    /// What was learnt of a destination's routes, awake or not, as [`Event::SnapshotRestored`](crate::interface::Event::SnapshotRestored) tells it to another process.
     pub fn route_snapshots(&self, destination: DestinationId) -> Vec<(RouteId, RouteSnapshot)> {
         self.routes.snapshots(destination, &self.endpoints, self.now)
     }
