--- a/crates/decision/src/destination_queues.rs
+++ b/crates/decision/src/destination_queues.rs
@@ -29,10 +29,10 @@
 }
 
 /// A class, a tenant, and whether a restart found its messages untried.
-type Of = (usize, usize, bool);
+type QueueKey = (usize, usize, bool);
 
 impl QueueEntry {
-    fn of(&self) -> Of {
+    fn of(&self) -> QueueKey {
         (self.class, self.tenant, self.owed_attempt)
     }
 }
@@ -43,7 +43,7 @@
 /// What waits for one destination.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Cell {
-    queues: BTreeMap<Of, Queue>,
+    queues: BTreeMap<QueueKey, Queue>,
     ends: BTreeSet<(Micros, MessageId)>,
     due: Option<Micros>,
     /// Its place among the destinations that may be tried.
@@ -189,7 +189,7 @@
     ) -> Option<QueuePosition> {
         let queues = &self.destinations.get(&destination)?.queues;
         let first = |late: bool| {
-            let of = |((class, tenant, owed), queue): (&Of, &Queue)| {
+            let of = |((class, tenant, owed), queue): (&QueueKey, &Queue)| {
                 let border = (if *owed { 0 } else { late_before(*class, *tenant) }, MessageId(0));
                 let from = match after {
                     Some((phase, aim, id)) if phase == late => Excluded((aim, id)),
--- a/crates/decision/src/dispatch_round.rs
+++ b/crates/decision/src/dispatch_round.rs
@@ -59,7 +59,7 @@
 pub(crate) struct DispatchRound {
     pub started: StartedCalls,
     /// The message of each destination that was tried last and could not go, though others may.
-    passed: HashMap<DestinationId, QueuePosition>,
+    skip: HashMap<DestinationId, QueuePosition>,
     waiting_for_slot: BTreeMap<DestinationId, bool>,
     /// What waited for each when this tick's sends began.
     backlogs: HashMap<DestinationId, f64>,
@@ -67,12 +67,12 @@
 
 impl DispatchRound {
     pub fn after(&self, destination: DestinationId) -> Option<QueuePosition> {
-        self.passed.get(&destination).copied()
+        self.skip.get(&destination).copied()
     }
 
     /// A message could not go; at another endpoint it lacked nothing but a slot, or not.
     pub fn skipped(&mut self, destination: DestinationId, place: QueuePosition, slot: bool) {
-        self.passed.insert(destination, place);
+        self.skip.insert(destination, place);
         self.wants_slot(destination, slot);
     }
 
@@ -91,7 +91,7 @@
 
     /// Those that were not done with when the slots ran out: they begin with their first message again.
     pub fn unfinished(self, waiting: &DestinationQueues) -> Vec<DestinationId> {
-        let again = self.passed.into_keys().filter(|destination| waiting.ready(*destination).is_some());
+        let again = self.skip.into_keys().filter(|destination| waiting.ready(*destination).is_some());
         again.chain(self.waiting_for_slot.into_iter().filter(|wants| wants.1).map(|wants| wants.0)).collect()
     }
 }
--- a/crates/decision/src/health/outcomes.rs
+++ b/crates/decision/src/health/outcomes.rs
@@ -16,7 +16,7 @@
         let believed = self.quota.believes(limit);
         if believed {
             let lowered = self.set_limit(limit, now);
-            self.quota.record_left(left, lowered, objective, now);
+            self.quota.observe(left, lowered, objective, now);
         }
         believed
     }
--- a/crates/decision/src/health/quota_share.rs
+++ b/crates/decision/src/health/quota_share.rs
@@ -2,14 +2,14 @@
 
 use crate::interface::Micros;
 
-use super::record::{CapacityLeft, EscrowShare};
+use super::record::{EscrowShare, RemainingCapacity};
 use super::{FEW_SENDERS, Tick};
 
 mod state;
 
 /// Smoothed share of a limit left at which its destination has headroom. Within a span the share falls
 /// evenly, so that half is left on average at a destination that is used to its limit.
-const HEADROOM_LEFT: f64 = 0.6;
+const HEADROOM_REMAINING: f64 = 0.6;
 /// Of an even share: ours while the last report shows that nothing is left, so that what went beyond the
 /// limit is made up for.
 const SCARCE_SHARE: f64 = 0.75;
@@ -20,17 +20,17 @@
 /// Growth of our share in a latency objective's time where all is left.
 const SHARE_GROWTH: f64 = 0.8;
 /// Share left from which on ours grows.
-const MUCH_LEFT: f64 = 0.5;
+const AMPLE_REMAINING: f64 = 0.5;
 /// Calls in a latency objective's time that are ours in any case, up to our most, while no shortage is seen.
 const CALLS_IN_AN_OBJECTIVE: f64 = 2.0;
 /// So many latency objectives without a shortage are long.
 pub(crate) const CALM_OBJECTIVES: Micros = 2;
 /// Where less is left, a limit was used up.
-const NOTHING_LEFT: f64 = 0.1;
+const EXHAUSTED_BELOW: f64 = 0.1;
 /// A limit that falls below such a part of the one before was lowered.
 const LOWERED: f64 = 0.75;
 /// Where so much of a limit is left, it is not for the limit that a call is rejected.
-const MOST_LEFT: f64 = 0.75;
+const UNUSED_ABOVE: f64 = 0.75;
 /// A limit further than this factor from the one before takes the send rate along.
 const RATE_FOLLOWS: f64 = 2.0;
 /// Largest and smallest limit to be believed, as multiples of the listed one.
@@ -52,9 +52,9 @@
     /// The same from the list alone.
     listed_limit: f64,
     /// Share of the limit that reports say is left, smoothed.
-    left: f64,
+    remaining: f64,
     /// The same as the last report showed it.
-    last_report: CapacityLeft,
+    last_report: RemainingCapacity,
     /// How far our share was raised, as a logarithm.
     log_boost: f64,
     /// When the limit was last seen used up.
@@ -79,7 +79,7 @@
 
     /// Whether reports say that the senders together leave room below the limit.
     pub(super) fn has_headroom(&self) -> bool {
-        self.limit > 0.0 && self.left >= HEADROOM_LEFT
+        self.limit > 0.0 && self.remaining >= HEADROOM_REMAINING
     }
 
     /// Guards against reports that can't be meant: the list is rough, and limits are lowered for a while, but
@@ -111,18 +111,18 @@
     }
 
     /// A report says what is left of the limit, which it may have lowered.
-    pub(super) fn record_left(&mut self, left: f64, lowered: bool, latency_objective: Micros, now: Micros) {
-        self.left += (left - self.left) / 8.0;
+    pub(super) fn observe(&mut self, left: f64, lowered: bool, latency_objective: Micros, now: Micros) {
+        self.remaining += (left - self.remaining) / 8.0;
         let objective = latency_objective.max(1) as f64;
         let seen = now.saturating_sub(self.last_report.at).min(latency_objective / 2) as f64 / objective;
-        let much = ((left - MUCH_LEFT) / (1.0 - MUCH_LEFT)).max(0.0);
+        let much = ((left - AMPLE_REMAINING) / (1.0 - AMPLE_REMAINING)).max(0.0);
         let most = (MAX_SHARE / NORMAL_SHARE).ln();
         self.log_boost = (self.log_boost + SHARE_GROWTH * seen * much).min(most);
-        if left < NOTHING_LEFT || lowered {
+        if left < EXHAUSTED_BELOW || lowered {
             self.record_shortage(now);
         }
-        (self.last_report, self.restored) = (CapacityLeft { left, at: now }, false);
-        if left < MOST_LEFT {
+        (self.last_report, self.restored) = (RemainingCapacity { share: left, at: now }, false);
+        if left < UNUSED_ABOVE {
             self.used_up_at = now;
         }
     }
@@ -139,7 +139,7 @@
             return Some(even * NORMAL_SHARE);
         }
         let age = now.saturating_sub(self.last_report.at);
-        if age < latency_objective && self.last_report.left < NOTHING_LEFT {
+        if age < latency_objective && self.last_report.share < EXHAUSTED_BELOW {
             return Some(even * SCARCE_SHARE);
         }
         let in_an_objective = even * (latency_objective.max(1) as f64 / 1e6);
@@ -163,7 +163,7 @@
         }
         let any = (CALLS_IN_AN_OBJECTIVE / in_an_objective).clamp(NORMAL_SHARE, MAX_SHARE).max(boosted);
         let long_calm = self.short_at.is_none() || calm > CALM_OBJECTIVES * latency_objective;
-        let plenty = self.last_report.left > MUCH_LEFT || self.last_report.at == 0;
+        let plenty = self.last_report.share > AMPLE_REMAINING || self.last_report.at == 0;
         if long_calm && plenty { any.max(settings.senders as f64 / 4.0) } else { any }
     }
 }
--- a/crates/decision/src/health/quota_share/state.rs
+++ b/crates/decision/src/health/quota_share/state.rs
@@ -1,7 +1,7 @@
 //! How it begins, what it shows, and its stored form: nothing is decided here.
 
 use super::{CALM_OBJECTIVES, QuotaShare};
-use crate::health::record::{CapacityLeft, EscrowShare, RouteHealthRecord};
+use crate::health::record::{EscrowShare, RemainingCapacity, RouteHealthRecord};
 use crate::health::{Demand, Tick};
 use crate::interface::{Micros, Settings};
 
@@ -11,8 +11,8 @@
         Self {
             limit,
             listed_limit: limit,
-            left: 0.0,
-            last_report: CapacityLeft::default(),
+            remaining: 0.0,
+            last_report: RemainingCapacity::default(),
             log_boost: 0.0,
             short_at: None,
             used_up_at: 0,
@@ -91,7 +91,7 @@
         Self {
             limit: record.told,
             listed_limit: record.listed,
-            left: record.left,
+            remaining: record.left,
             last_report: record.left_told,
             log_boost: record.lift,
             short_at: record.short_at,
@@ -103,7 +103,7 @@
     }
 
     pub(in crate::health) fn store(&self, record: &mut RouteHealthRecord) {
-        (record.told, record.listed, record.left) = (self.limit, self.listed_limit, self.left);
+        (record.told, record.listed, record.left) = (self.limit, self.listed_limit, self.remaining);
         (record.left_told, record.lift, record.short_at) = (self.last_report, self.log_boost, self.short_at);
         (record.used_up_at, record.returned) = (self.used_up_at, self.restored);
         (record.drawn, record.share) = (self.first_call_drawn, self.escrow);
--- a/crates/decision/src/health/record.rs
+++ b/crates/decision/src/health/record.rs
@@ -38,7 +38,7 @@
     pub left: f64,
     pub lift: f64,
     pub short_at: Option<Micros>,
-    pub left_told: CapacityLeft,
+    pub left_told: RemainingCapacity,
     pub pace: TokenBucket,
     pub granted: DecayingRate,
     pub cut_at: Micros,
@@ -69,20 +69,21 @@
 /// Share of a limit that a report showed as left, and when; stored as a pair.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
-pub(super) struct CapacityLeft {
+pub(super) struct RemainingCapacity {
     /// From 0 to 1.
-    pub left: f64,
+    #[serde(rename = "left")]
+    pub share: f64,
     pub at: Micros,
 }
 
-impl From<(f64, Micros)> for CapacityLeft {
+impl From<(f64, Micros)> for RemainingCapacity {
     fn from((left, at): (f64, Micros)) -> Self {
-        Self { left, at }
+        Self { share: left, at }
     }
 }
 
-impl From<CapacityLeft> for (f64, Micros) {
-    fn from(CapacityLeft { left, at }: CapacityLeft) -> Self {
+impl From<RemainingCapacity> for (f64, Micros) {
+    fn from(RemainingCapacity { share: left, at }: RemainingCapacity) -> Self {
         (left, at)
     }
 }
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -28,16 +28,16 @@
 pub use state::Policy;
 
 /// What may not be repeated at will keeps its last byte back so long: longer than the way there and back.
-const HOLD: Micros = 5_000;
+const LAST_BYTE_DELAY: Micros = 5_000;
 /// Share of kept connections lost under a further call, of the latest [`KEPT_SEEN`] or so, from which on what
 /// must not run twice gets new ones. One loss is enough for the next thirty.
-const KEPT_LOST: f64 = 0.01;
-const KEPT_SEEN: f64 = 64.0;
+const REUSE_LOSS_LIMIT: f64 = 0.01;
+const REUSE_SAMPLES: f64 = 64.0;
 
 /// Places for connections that come free a second, where a table was full.
-const PLACES_FREE: f64 = 2.0;
+const SLOTS_FREED_PER_SECOND: f64 = 2.0;
 /// Rest before an endpoint that had no place for a connection; twice as long with each further time.
-const CROWDED_REST: Micros = 80_000;
+const CONNECTION_BACKOFF: Micros = 80_000;
 
 /// From the end of a process until the next one repeats what was out, connection and all.
 const RESTART: Micros = 2_000_000;
@@ -54,8 +54,8 @@
     /// Guards what must not run twice against connections that are closed while they stand idle
     /// and lost with the next request, whoever closes them. It hurts where handshakes are dear, or
     /// where new connections are lost as often.
-    pub(super) fn fresh_connection(&self, effect: Idempotency) -> bool {
-        effect == Idempotency::NonIdempotent && self.reuse_loss_rate > KEPT_LOST
+    pub(super) fn needs_new_connection(&self, effect: Idempotency) -> bool {
+        effect == Idempotency::NonIdempotent && self.reuse_loss_rate > REUSE_LOSS_LIMIT
     }
 
     /// Opens the breakers of destinations with several calls out that are silent.
@@ -83,7 +83,7 @@
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.connection_slots.record_rejection(endpoint.in_flight, self.now);
         if endpoint.in_flight == 0 {
-            let rest = CROWDED_REST << endpoint.connection_rejections.min(4);
+            let rest = CONNECTION_BACKOFF << endpoint.connection_rejections.min(4);
             endpoint.backoff_until = self.now + rest / 2 + (rest as f64 * luck) as Micros;
             endpoint.connection_rejections += 1;
         }
@@ -96,7 +96,7 @@
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::Keyed { scope: group, window } => {
-                let margin = margin(&self.settings, window);
+                let margin = arrival_margin(&self.settings, window);
                 let zone = |e: EndpointId| self.endpoints.get(&e).map(|e| e.zone);
                 self.now + margin < first.1 + window
                     && held.may_have_run.iter().all(|a| match group {
@@ -111,18 +111,18 @@
 
 /// Guards endpoints' tables of connections against the idle ones of many senders: the more there are, the
 /// sooner each connection must be used again to be kept. It costs handshakes where the tables are large.
-fn first_keep(settings: &Settings) -> Micros {
+fn initial_idle_limit(settings: &Settings) -> Micros {
     let (few, senders) = (FEW_SENDERS as Micros, settings.senders as Micros);
     if senders > few { settings.idle_timeout / senders * few } else { settings.idle_timeout }
 }
 
 /// A repeat must get there, connection and all, while its key is remembered. A connection may take
 /// longer than that: [`way`] bounds when its bytes leave.
-fn margin(settings: &Settings, window: Micros) -> Micros {
+fn arrival_margin(settings: &Settings, window: Micros) -> Micros {
     settings.connect_timeout.min(window / 4)
 }
 
 /// The way there alone, once the connection is up.
-fn way(settings: &Settings, window: Micros) -> Micros {
-    margin(settings, window) / 4
+fn send_margin(settings: &Settings, window: Micros) -> Micros {
+    arrival_margin(settings, window) / 4
 }
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -3,7 +3,7 @@
 use idle_destinations::ActivationLimiter;
 
 use super::candidate::{Candidate, Refusal};
-use super::{HOLD, PLACES_FREE, Policy, RESTART, way};
+use super::{LAST_BYTE_DELAY, Policy, RESTART, SLOTS_FREED_PER_SECOND, send_margin};
 use crate::dispatch_round::{StartedCalls, Verdict};
 use crate::health::{RouteHealth, Tick};
 use crate::interface::{Action, EndpointId, Idempotency, MessageId, Micros, RouteId};
@@ -74,8 +74,9 @@
         if !endpoint.ready || endpoint.destination != candidate.destination {
             return Err(Refusal::NotListed);
         }
-        let rest_until =
-            endpoint.backoff_until.max(endpoint.connection_slots.allow_at(endpoint.in_flight, PLACES_FREE));
+        let rest_until = endpoint
+            .backoff_until
+            .max(endpoint.connection_slots.allow_at(endpoint.in_flight, SLOTS_FREED_PER_SECOND));
         if self.now < rest_until { Err(Refusal::NoConnection) } else { Ok(()) }
     }
 
@@ -105,7 +106,7 @@
     fn must_leave_by(&self, candidate: &Candidate) -> Micros {
         match candidate.effect {
             Idempotency::Keyed { window, .. } if candidate.first_sent < self.now => {
-                candidate.first_sent + window - way(&self.settings, window)
+                candidate.first_sent + window - send_margin(&self.settings, window)
             }
             _ => Micros::MAX,
         }
@@ -138,8 +139,8 @@
             timeout,
             send_within: timeout.min(self.must_leave_by(candidate).saturating_sub(now)),
             // Safe to repeat: nothing is lost with the connection but time.
-            last_byte_delay: if effect == Idempotency::Idempotent { 0 } else { HOLD },
-            new_connection: self.fresh_connection(effect),
+            last_byte_delay: if effect == Idempotency::Idempotent { 0 } else { LAST_BYTE_DELAY },
+            new_connection: self.needs_new_connection(effect),
         }
     }
 }
--- a/crates/decision/src/policy/answers.rs
+++ b/crates/decision/src/policy/answers.rs
@@ -25,7 +25,7 @@
         let mut over: BTreeMap<MessageId, Micros> = self.messages.expired(now).map(|id| (id, 0)).collect();
         for id in self.messages.take_unsettled() {
             let Some(held) = self.messages.get(&id).filter(|held| held.in_flight == 0) else { continue };
-            if held.attempts >= self.settings.max_attempts || self.stuck(held) {
+            if held.attempts >= self.settings.max_attempts || self.cannot_be_attempted(held) {
                 let trial = self.trial(held.message.destination);
                 over.entry(id).or_insert(trial.saturating_sub(now));
             }
@@ -43,7 +43,7 @@
     }
 
     /// Whether nothing can be tried any more without harm.
-    pub(super) fn stuck(&self, held: &PendingMessage) -> bool {
+    pub(super) fn cannot_be_attempted(&self, held: &PendingMessage) -> bool {
         match held.idempotency {
             Idempotency::NonIdempotent => !held.may_have_run.is_empty(),
             Idempotency::Keyed { .. } if !held.may_have_run.is_empty() => {
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -8,7 +8,7 @@
 use crate::interface::{Action, DestinationId, EndpointId, Event, MessageId, Micros, Outcome};
 
 /// More destinations that wait for a slot than this are a crowd.
-const CROWD: usize = 256;
+const MANY_READY: usize = 256;
 
 impl Policy {
     /// The one path of every send. It looks at the destinations that something happened to, or that wait for
@@ -51,7 +51,7 @@
         let sorted_for = std::mem::replace(&mut self.sorted_under, sort_for);
         let within = sorted_for.1.iter().zip(&self.sorted_under.1).any(|(before, now)| *before && !now);
         if self.sorted_under.0 > sorted_for.0 || within {
-            self.messages.queues.touch_ready(CROWD);
+            self.messages.queues.touch_ready(MANY_READY);
         }
     }
 
--- a/crates/decision/src/policy/events.rs
+++ b/crates/decision/src/policy/events.rs
@@ -1,7 +1,7 @@
 //! Takes events into what is known: messages, outcomes, lists, reports. Nothing is decided here. Where an event calls for a
 //! decision (a breaker that opens, a message that is turned away, a report that can't be meant) the policy's files are asked.
 
-use super::{KEPT_SEEN, Policy, RESTART, margin};
+use super::{Policy, RESTART, REUSE_SAMPLES, arrival_margin};
 use crate::call_table::CompletedAttempt;
 use crate::estimate::message_rng;
 use crate::health::{RESET_TIMEOUT, Tick};
@@ -63,7 +63,8 @@
                     self.poll_at = Some(now + every / 8 + self.rng.u64(0..=every / 8));
                 }
                 Event::ConnectionReused { lost } => {
-                    self.reuse_loss_rate += (f64::from(u8::from(*lost)) - self.reuse_loss_rate) / KEPT_SEEN;
+                    self.reuse_loss_rate +=
+                        (f64::from(u8::from(*lost)) - self.reuse_loss_rate) / REUSE_SAMPLES;
                 }
                 Event::SnapshotRestored { route, snapshot: learnt } => {
                     self.routes.restored(*route, *learnt, &self.endpoints, now);
@@ -132,7 +133,7 @@
         let early = self.settings.rules.answer_slack.min(class.deadline / LEAST_OF_TIME);
         let end = deadline.saturating_sub(early.max(2 * self.settings.period));
         let effect = taken_on_under.map_or(class.idempotency, |before| before.stricter(class.idempotency));
-        let repeats = effect.window().map(|window| window - margin(&self.settings, window));
+        let repeats = effect.window().map(|window| window - arrival_margin(&self.settings, window));
         self.messages.insert(PendingMessage::new(message.clone(), (deadline, aim, end), effect, repeats));
     }
 
--- a/crates/decision/src/policy/state.rs
+++ b/crates/decision/src/policy/state.rs
@@ -6,7 +6,7 @@
 use idle_destinations::ActivationLimiter;
 use serde::{Deserialize, Serialize};
 
-use super::first_keep;
+use super::initial_idle_limit;
 use crate::call_table::CallTable;
 use crate::endpoints::Endpoints;
 use crate::estimate::{AbandonmentAge, DecayingRate};
@@ -95,7 +95,7 @@
             ),
             poll_at: settings.polling_only.then_some(now),
             tenants: vec![DecayingRate { per_second: 0.0, as_of: now }; settings.tenants.len()],
-            idle_connection_limit: first_keep(&settings),
+            idle_connection_limit: initial_idle_limit(&settings),
             abandonment_age: AbandonmentAge(Micros::MAX),
             sorted_under: (Micros::MAX, vec![]),
             reuse_loss_rate: 0.0,
--- a/crates/decision/src/policy/tests/reference_model.rs
+++ b/crates/decision/src/policy/tests/reference_model.rs
@@ -45,7 +45,7 @@
             } else if held.in_flight == 0 {
                 let trial = self.trial(held.message.destination);
                 let limit = held.attempts >= self.settings.max_attempts;
-                if self.stuck(held) || limit || trial > held.end {
+                if self.cannot_be_attempted(held) || limit || trial > held.end {
                     over.push((id, trial.saturating_sub(now)));
                 }
             }
--- a/crates/decision/src/policy/timers.rs
+++ b/crates/decision/src/policy/timers.rs
@@ -1,7 +1,7 @@
 //! When what waits is looked at again, and when the module asks to be woken. Nothing is decided here: a look that comes
 //! too soon finds everything as it was, one that comes too late costs time.
 
-use super::{PLACES_FREE, Policy};
+use super::{Policy, SLOTS_FREED_PER_SECOND};
 use crate::dispatch_round::DispatchRound;
 use crate::health::CALM_OBJECTIVES;
 use crate::interface::{Action, DestinationId, Micros};
@@ -24,8 +24,9 @@
         let (now, rules, aim) = (self.now, &self.settings.rules, self.settings.shortest_latency_objective());
         let often = self.settings.period * (RAMP_TICKS + self.messages.queues.destinations() as Micros / 64);
         let ready = self.endpoints.of(destination).filter(|(_, e)| e.ready);
-        let rests =
-            ready.map(|(_, e)| e.backoff_until.max(e.connection_slots.allow_at(e.in_flight, PLACES_FREE)));
+        let rests = ready.map(|(_, e)| {
+            e.backoff_until.max(e.connection_slots.allow_at(e.in_flight, SLOTS_FREED_PER_SECOND))
+        });
         let chances = self.usable(destination).flat_map(|(_, r)| {
             let ramp = if r.cold_share(rules, now).is_some() { now + often } else { 0 };
             let part = r.short_at().map_or([0, 0], |at| [at + aim, at + CALM_OBJECTIVES * aim]);
--- a/crates/decision/src/route_table.rs
+++ b/crates/decision/src/route_table.rs
@@ -17,7 +17,7 @@
 const SLEEP_AT_ONCE: usize = 64;
 
 /// What is remembered of a route that sleeps.
-pub(crate) type Asleep = (RouteId, RouteSnapshot);
+pub(crate) type IdleRoute = (RouteId, RouteSnapshot);
 
 /// All routes.
 #[derive(Debug, Serialize, Deserialize)]
@@ -32,10 +32,12 @@
     idle: IdleTable<RouteId>,
     /// What an earlier process learnt of routes that nothing has come for since; bounded by what it had.
     #[serde(default)]
-    learnt: HashMap<RouteId, RouteSnapshot>,
+    #[serde(rename = "learnt")]
+    restore: HashMap<RouteId, RouteSnapshot>,
     /// Something that it learnt is lost: who is not known may be ill.
     #[serde(default)]
-    learnt_lost: bool,
+    #[serde(rename = "learnt_lost")]
+    mark_snapshot_lost: bool,
 }
 
 impl RouteTable {
@@ -49,8 +51,8 @@
             routes: BTreeMap::new(),
             active: ActiveSet::new(dormant.map(|d| d.idle_after)),
             idle: IdleTable::new(most, remember, now),
-            learnt: HashMap::new(),
-            learnt_lost: false,
+            restore: HashMap::new(),
+            mark_snapshot_lost: false,
         }
     }
 
@@ -75,20 +77,20 @@
             route.wait_until_at_least(learnt.wait_until);
             return;
         }
-        let before = self.learnt.get(&id).map_or(0, |before| before.wait_until);
+        let before = self.restore.get(&id).map_or(0, |before| before.wait_until);
         let wait_until = learnt.wait_until.max(before);
-        let learnt = match self.learnt.get(&id).filter(|_| !listed) {
+        let learnt = match self.restore.get(&id).filter(|_| !listed) {
             Some(before) => RouteSnapshot { wait_until, ..*before },
             None => RouteSnapshot { wait_until, ..learnt },
         };
         if self.idle_policy.is_none() || self.idle.insert(id, to_retained(&learnt), now).is_err() {
-            self.learnt.insert(id, learnt);
+            self.restore.insert(id, learnt);
         }
     }
 
     /// What an earlier process learnt is lost.
     pub fn snapshot_lost(&mut self) {
-        self.learnt_lost = true;
+        self.mark_snapshot_lost = true;
         self.idle.mark_incomplete();
     }
 
@@ -107,7 +109,7 @@
         asleep.insert((destination, None));
         for id in asleep {
             let remembered =
-                || self.learnt.get(&id).copied().or_else(|| self.idle.peek(id).map(from_retained));
+                || self.restore.get(&id).copied().or_else(|| self.idle.peek(id).map(from_retained));
             if let (false, Some(learnt)) = (known.contains_key(&id), remembered()) {
                 known.insert(id, learnt);
             }
@@ -121,7 +123,7 @@
         destination: DestinationId,
         endpoints: &Endpoints,
         now: Micros,
-    ) -> (Vec<(RouteId, RouteHealth)>, Vec<Asleep>) {
+    ) -> (Vec<(RouteId, RouteHealth)>, Vec<IdleRoute>) {
         let known = self.snapshots(destination, endpoints, now);
         let (mut awake, mut asleep) = (Vec::new(), Vec::new());
         for (id, learnt) in known {
@@ -129,7 +131,7 @@
                 Some(route) => awake.push((id, route)),
                 None => asleep.push((id, learnt)),
             }
-            self.learnt.remove(&id);
+            self.restore.remove(&id);
             self.idle.remove(id);
         }
         self.active.forget(destination);
@@ -141,7 +143,7 @@
         &mut self,
         destination: DestinationId,
         awake: Vec<(RouteId, RouteHealth)>,
-        asleep: Vec<Asleep>,
+        asleep: Vec<IdleRoute>,
         endpoints: &Endpoints,
         now: Micros,
     ) {
@@ -167,7 +169,7 @@
     /// Destinations of which anything is known.
     pub fn observed_destinations(&self) -> BTreeSet<DestinationId> {
         let awake = self.routes.keys().map(|id| id.0);
-        awake.chain(self.learnt.keys().map(|id| id.0)).chain(self.idle.keys().map(|id| id.0)).collect()
+        awake.chain(self.restore.keys().map(|id| id.0)).chain(self.idle.keys().map(|id| id.0)).collect()
     }
 
     /// The rules and the sleep that are so from now on.
@@ -246,10 +248,10 @@
         let common = (id.0, None);
         let wait =
             self.idle.wait_until(common, now).max(self.routes.get(&common).map_or(0, |r| r.wait_until()));
-        let wait = wait.max(self.learnt.get(&common).map_or(0, |learnt| learnt.wait_until));
+        let wait = wait.max(self.restore.get(&common).map_or(0, |learnt| learnt.wait_until));
         let listing = endpoints.listing(id);
-        let lost = self.learnt_lost.then(RouteSnapshot::unknown);
-        let mut route = match self.learnt.remove(&id).or(lost.filter(|_| self.idle_policy.is_none())) {
+        let lost = self.mark_snapshot_lost.then(RouteSnapshot::unknown);
+        let mut route = match self.restore.remove(&id).or(lost.filter(|_| self.idle_policy.is_none())) {
             Some(learnt) => RouteHealth::restored(&learnt, listing, &self.rules, now),
             None => RouteHealth::activated(self.idle.take(id, now), listing, &self.rules, now),
         };
--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -40,9 +40,9 @@
     ("ledger", ledger),
     ("parts", parts),
     ("legacy", legacy),
-    ("known", known_files),
+    ("known", snapshot_files),
     ("generations", generations),
-    ("beside", beside),
+    ("beside", companion_files),
 ];
 
 /// Writes the golden files of this kind into the folder.
@@ -62,7 +62,7 @@
         if folder.join(LOCK).exists() {
             fs::remove_file(folder.join(LOCK))?;
         }
-        fs::write(stored.join(format!("{name}.txt")), told(&folder)?)?;
+        fs::write(stored.join(format!("{name}.txt")), describe(&folder)?)?;
     }
     Ok(())
 }
@@ -98,28 +98,31 @@
 ///
 /// # Errors
 /// Fails when something can't be read.
-pub fn told(folder: &Path) -> io::Result<String> {
+pub fn describe(folder: &Path) -> io::Result<String> {
     let mut text = String::new();
     let seen = inspect(&mut Folder::reader(folder)).map_err(io::Error::other)?;
     for file in &seen.files {
-        say(&mut text, format_args!("file {}: {} bytes, {} records", file.file, file.bytes, file.records));
+        write_line(
+            &mut text,
+            format_args!("file {}: {} bytes, {} records", file.file, file.bytes, file.records),
+        );
     }
-    say(&mut text, format_args!("torn {}, dying {}, used {}", seen.torn, seen.dying, seen.used));
-    say(&mut text, format_args!("damaged {}, suspected {}", seen.damaged.len(), seen.suspected));
+    write_line(&mut text, format_args!("torn {}, dying {}, used {}", seen.torn, seen.dying, seen.used));
+    write_line(&mut text, format_args!("damaged {}, suspected {}", seen.damaged.len(), seen.suspected));
     for (number, live) in &seen.live {
         owed(&mut text, *number, live);
     }
     for LedgerEntry { id, delivered, at } in &seen.ledger {
-        say(&mut text, format_args!("remembered {id}: delivered {delivered} at {at}"));
+        write_line(&mut text, format_args!("remembered {id}: delivered {delivered} at {at}"));
     }
     let files = contents(folder)?;
     if let Some(names) = files.get("held-out") {
         let names = Ejections::read(&String::from_utf8_lossy(names), ROOM);
-        say(&mut text, format_args!("held out: {:?}", names.text()));
+        write_line(&mut text, format_args!("held out: {:?}", names.text()));
     }
     if let Some(classes) = files.get("classes") {
         for (name, of) in serde_json::from_slice::<Classes>(classes)? {
-            say(&mut text, format_args!("class {name}: {}", effect(of)));
+            write_line(&mut text, format_args!("class {name}: {}", effect(of)));
         }
     }
     if files.keys().any(|name| name.starts_with(journal::SNAPSHOT_PREFIX)) {
@@ -128,7 +131,7 @@
     Ok(text)
 }
 
-fn say(text: &mut String, line: std::fmt::Arguments) {
+fn write_line(text: &mut String, line: std::fmt::Arguments) {
     // Writing to a string can't fail.
     let _ = writeln!(text, "{line}");
 }
@@ -137,7 +140,7 @@
     let AcceptedMessage { id, key, class, destination, deadline, body } = &*live.message;
     let size = body.len();
     let sum = body.iter().fold(0u32, |sum, byte| sum.wrapping_mul(31).wrapping_add((*byte).into()));
-    say(
+    write_line(
         text,
         format_args!(
             "message {number}: id {id}, key {key:?}, class {class}, to {destination}, until {deadline}, {size} bytes \
@@ -145,11 +148,13 @@
         ),
     );
     for journal::Attempt { number, endpoint, at, never_ran } in &live.attempts {
-        say(text, format_args!("  attempt {number} to {endpoint} at {at}, never ran {never_ran}"));
+        write_line(text, format_args!("  attempt {number} to {endpoint} at {at}, never ran {never_ran}"));
     }
     match live.abandoned {
-        Some(Abandonment::Deferred(again)) => say(text, format_args!("  given up: deferred by {again}")),
-        Some(Abandonment::Undeliverable) => say(text, format_args!("  given up: undeliverable")),
+        Some(Abandonment::Deferred(again)) => {
+            write_line(text, format_args!("  given up: deferred by {again}"))
+        }
+        Some(Abandonment::Undeliverable) => write_line(text, format_args!("  given up: undeliverable")),
         None => {}
     }
 }
@@ -160,26 +165,26 @@
     let seen = load(&mut disk, &owner)?;
     let Timestamp { wall, boot } = seen.timestamp;
     let boot = boot.map(|Boot { id, at }| (id, at));
-    say(text, format_args!("known of {owner}, at {wall}, since the machine's start {boot:?}"));
+    write_line(text, format_args!("known of {owner}, at {wall}, since the machine's start {boot:?}"));
     let list = seen.list.map(|list| (list.index, list.confirmed_at));
-    say(text, format_args!("list {list:?}, found {}, left out {}", seen.found, seen.omitted));
-    say(text, format_args!("{} troubles, lost {}", seen.faults.len(), seen.is_incomplete()));
+    write_line(text, format_args!("list {list:?}, found {}, left out {}", seen.found, seen.omitted));
+    write_line(text, format_args!("{} troubles, lost {}", seen.faults.len(), seen.is_incomplete()));
     for (destination, DestinationRecord { at, listed, routes }) in &seen.destinations {
-        say(text, format_args!("destination {destination} at {at}"));
+        write_line(text, format_args!("destination {destination} at {at}"));
         for ListedEndpoint { name, address, zone, kind, status, weight } in listed {
             let status = match status {
                 EndpointStatus::Active => "active",
                 EndpointStatus::Draining => "draining",
                 EndpointStatus::Removed => "gone",
             };
-            say(text, format_args!("  endpoint {name} {address} {zone} {kind} {status} {weight}"));
+            write_line(text, format_args!("  endpoint {name} {address} {zone} {kind} {status} {weight}"));
         }
         for RouteRecord { endpoint, snapshot: learnt } in routes {
-            say(text, format_args!("  route {endpoint:?}: {}", observed(learnt)));
+            write_line(text, format_args!("  route {endpoint:?}: {}", observed(learnt)));
         }
     }
     for (RouteKey { destination, endpoint }, until) in &seen.waits {
-        say(text, format_args!("wait of {destination} {endpoint:?} until {until}"));
+        write_line(text, format_args!("wait of {destination} {endpoint:?} until {until}"));
     }
     Ok(())
 }
@@ -216,7 +221,7 @@
     )
 }
 
-fn taken(n: u32, class: &str, size: usize) -> Arc<AcceptedMessage> {
+fn message(n: u32, class: &str, size: usize) -> Arc<AcceptedMessage> {
     Arc::new(AcceptedMessage {
         id: format!("request-{n}"),
         key: (n % 2 == 1).then(|| format!("key-{n}")),
@@ -227,7 +232,7 @@
     })
 }
 
-fn begun(message: u32, attempt: u16) -> Record {
+fn started(message: u32, attempt: u16) -> Record {
     let endpoint = format!("endpoint-{}", message % 3).into();
     Record::AttemptStarted {
         message,
@@ -248,20 +253,20 @@
 /// Every kind of record, in turns of one and of several.
 fn all_records() -> Vec<Vec<Record>> {
     vec![
-        vec![Record::Accepted(1, taken(1, "order", 40)), Record::Accepted(2, taken(2, "note", 0))],
-        vec![begun(1, 0), begun(2, 0), Record::Accepted(3, taken(3, "order", 300))],
+        vec![Record::Accepted(1, message(1, "order", 40)), Record::Accepted(2, message(2, "note", 0))],
+        vec![started(1, 0), started(2, 0), Record::Accepted(3, message(3, "order", 300))],
         vec![Record::AttemptEnded { message: 1, attempt: 0, never_ran: true }],
-        vec![Record::AttemptEnded { message: 2, attempt: 0, never_ran: false }, begun(1, 1)],
+        vec![Record::AttemptEnded { message: 2, attempt: 0, never_ran: false }, started(1, 1)],
         vec![
-            begun(3, 0),
-            Record::Accepted(4, taken(4, "order", 5)),
-            Record::Accepted(5, taken(5, "note", 6)),
+            started(3, 0),
+            Record::Accepted(4, message(4, "order", 5)),
+            Record::Accepted(5, message(5, "note", 6)),
         ],
         vec![
             Record::Abandoned(2, Abandonment::Deferred(2_500_000)),
             Record::Abandoned(5, Abandonment::Undeliverable),
         ],
-        vec![begun(4, 0), remembered(3, true), Record::Completed(3)],
+        vec![started(4, 0), remembered(3, true), Record::Completed(3)],
     ]
 }
 
@@ -286,7 +291,7 @@
     for n in 10..10 + turns {
         let now = START + u64::from(n) * 10_000;
         let class = if n % 2 == 0 { "order" } else { "note" };
-        append(journal, now, vec![Record::Accepted(n, taken(n, class, 200)), begun(n, 0)])?;
+        append(journal, now, vec![Record::Accepted(n, message(n, class, 200)), started(n, 0)])?;
         if n % 16 != 0 {
             let ended = Record::AttemptEnded { message: n, attempt: 0, never_ran: false };
             let mut records = vec![ended];
@@ -323,12 +328,12 @@
     let mut journal = open(folder)?;
     for n in 1..30 {
         let now = START + u64::from(n) * SECOND;
-        append(&mut journal, now, vec![Record::Accepted(n, taken(n, "order", 10)), begun(n, 0)])?;
+        append(&mut journal, now, vec![Record::Accepted(n, message(n, "order", 10)), started(n, 0)])?;
         append(&mut journal, now + 1, vec![remembered(n, n % 3 > 0), Record::Completed(n)])?;
         journal.compact_step(now + 2)?;
     }
     journal.compact_step(START + 605 * SECOND)?;
-    append(&mut journal, START + 606 * SECOND, vec![Record::Accepted(31, taken(31, "order", 10))])
+    append(&mut journal, START + 606 * SECOND, vec![Record::Accepted(31, message(31, "order", 10))])
 }
 
 /// Two cores write to one journal, and a destination goes from one to the other.
@@ -340,7 +345,8 @@
         let number = part.next_message_number()?;
         numbers.push(number);
         // Destinations 1 and 3, or 2 and 4.
-        let mut records = vec![Record::Accepted(number, taken(n as u32 + 3, "order", 20)), begun(number, 0)];
+        let mut records =
+            vec![Record::Accepted(number, message(n as u32 + 3, "order", 20)), started(number, 0)];
         part.append(START + n as u64, &mut records).map_err(io::Error::other)?;
     }
     let moved = parts[0].detach([numbers[0]]);
@@ -424,7 +430,7 @@
 }
 
 /// A whole, and differences behind it.
-fn known_files(folder: &Path) -> io::Result<()> {
+fn snapshot_files(folder: &Path) -> io::Result<()> {
     let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
     let disk = Box::new(Folder::companion(folder));
     let (mut store, _) = Store::open(disk, OWNER, options)?;
@@ -452,7 +458,7 @@
 
 /// A generation that is begun behind one that has grown, and a marker of an earlier loss.
 fn generations(folder: &Path) -> io::Result<()> {
-    known_files(folder)?;
+    snapshot_files(folder)?;
     let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
     let (mut store, _) = Store::open(Box::new(Folder::companion(folder)), OWNER, options)?;
     // More than one slice holds, so that the further generation is not at its end.
@@ -464,7 +470,7 @@
 }
 
 /// Names of endpoints that are held out by hand, and what classes meant.
-fn beside(folder: &Path) -> io::Result<()> {
+fn companion_files(folder: &Path) -> io::Result<()> {
     let mut held_out = Ejections::new(ROOM);
     for name in ["endpoint-2", "endpoint-1", "an\\odd\nname"] {
         held_out.enter(name).map_err(|refused| io::Error::other(refused.text()))?;
--- a/crates/golden/tests/stored.rs
+++ b/crates/golden/tests/stored.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use golden::stored::{CASES, contents, options, told};
+use golden::stored::{CASES, contents, describe, options};
 use journal::Journal;
 use tempfile::TempDir;
 
@@ -34,7 +34,7 @@
     for (case, _) in CASES {
         let (folder, recorded) = copy(case);
         assert!(recorded.lines().count() > 3, "{case}");
-        assert_eq!(told(folder.path()).unwrap(), recorded, "{case}");
+        assert_eq!(describe(folder.path()).unwrap(), recorded, "{case}");
     }
 }
 
@@ -49,7 +49,7 @@
             assert!(report.damaged.is_empty() && report.suspected == 0, "{case}: {report}");
             messages += journal.live().len();
             drop(journal);
-            assert_eq!(owed(&told(folder.path()).unwrap()), owed(&recorded), "{case}");
+            assert_eq!(owed(&describe(folder.path()).unwrap()), owed(&recorded), "{case}");
         }
     }
     assert!(messages > 20, "{messages}");
--- a/crates/sender/src/cli/journal.rs
+++ b/crates/sender/src/cli/journal.rs
@@ -11,7 +11,7 @@
 
 use crate::ports::Clock;
 
-fn look(folder: &Path) -> Result<Inspection, String> {
+fn read_journal(folder: &Path) -> Result<Inspection, String> {
     // Guards against a mistyped name that would pass for a journal without anything in it.
     if !folder.is_dir() {
         return Err(format!("{}: there is no such folder", folder.display()));
@@ -53,7 +53,7 @@
 
 /// `journal verify`
 pub fn verify(folder: &Path) -> Result<(), String> {
-    let seen = look(folder)?;
+    let seen = read_journal(folder)?;
     let files = seen.files.iter().map(|file| {
         format!("{}: {} bytes, {} records, {} live messages", file.file, file.bytes, file.records, file.live)
     });
@@ -91,7 +91,7 @@
 
 /// `journal list`
 pub fn list(folder: &Path) -> Result<(), String> {
-    let seen = look(folder)?;
+    let seen = read_journal(folder)?;
     let now = Clock::new().now();
     print(seen.live.iter().map(|(number, live)| {
         let taken = &live.message;
@@ -130,7 +130,7 @@
 
 /// `journal export`
 pub fn export(folder: &Path) -> Result<(), String> {
-    let seen = look(folder)?;
+    let seen = read_journal(folder)?;
     print(seen.live.iter().map(|(number, live)| exported(*number, live).to_string()))?;
     print(
         seen.ledger.iter().map(|end| {
--- a/crates/sender/src/cli/mod.rs
+++ b/crates/sender/src/cli/mod.rs
@@ -21,9 +21,9 @@
 use crate::stall_detector;
 
 /// What `[dormant]` has where it says no more than `after`.
-const REMEMBER: Micros = 30 * 86_400_000_000;
-const MEMORY: u64 = 8_000_000;
-const WAKES: u32 = 200;
+const DEFAULT_RETENTION: Micros = 30 * 86_400_000_000;
+const DEFAULT_IDLE_BYTES: u64 = 8_000_000;
+const DEFAULT_ACTIVATIONS: u32 = 200;
 
 /// Takes donation messages on over HTTP and delivers them to partners' endpoints.
 ///
@@ -43,12 +43,12 @@
     /// Looks at a journal, from outside: it changes nothing, and may be run beside the sender.
     Journal {
         #[command(subcommand)]
-        command: Look,
+        command: JournalCommand,
     },
     /// Shows what was learnt of partners, and what of it a start now would believe. It changes nothing.
     Known {
         #[command(subcommand)]
-        command: Known,
+        command: SnapshotCommand,
     },
     /// Checks an operators' file and says what is wrong with it, by line.
     Check {
@@ -58,7 +58,7 @@
 }
 
 #[derive(Subcommand)]
-enum Look {
+enum JournalCommand {
     /// Reads every file, and says what is damaged and what it takes up. Fails where something is damaged.
     Verify {
         /// The folder, as NODE_STATE names it.
@@ -77,7 +77,7 @@
 }
 
 #[derive(Subcommand)]
-enum Known {
+enum SnapshotCommand {
     /// A line for each destination, with the age of what is known and the reason why it counts.
     Show {
         /// The folder, as NODE_STATE names it.
@@ -104,13 +104,13 @@
     };
     let done = match arguments.command {
         Some(Task::Journal { command }) => match command {
-            Look::Verify { folder } => journal::verify(&folder),
-            Look::List { folder } => journal::list(&folder),
-            Look::Export { folder } => journal::export(&folder),
+            JournalCommand::Verify { folder } => journal::verify(&folder),
+            JournalCommand::List { folder } => journal::list(&folder),
+            JournalCommand::Export { folder } => journal::export(&folder),
         },
         Some(Task::Known { command }) => match command {
-            Known::Show { folder } => snapshot::show(&folder),
-            Known::Diff { folder, other } => snapshot::diff(&folder, &other),
+            SnapshotCommand::Show { folder } => snapshot::show(&folder),
+            SnapshotCommand::Diff { folder, other } => snapshot::diff(&folder, &other),
         }
         .and_then(journal::print),
         Some(Task::Check { file }) => operators(&file).map(|_| println!("{}: well", file.display())),
@@ -152,12 +152,12 @@
 fn run(operators: Operators) -> Result<(), String> {
     let inherited = inherited()?;
     let mut config = config::read()?;
-    config.settings.idle = dormant(&operators.idle_destinations);
-    config.settings.gossip = shared(&operators.gossip, &config)?;
-    let runtime = stall_detector::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
+    config.settings.idle = idle_policy(&operators.idle_destinations);
+    config.settings.gossip = gossip_config(&operators.gossip, &config)?;
+    let runtime = stall_detector::observe(tokio::runtime::Builder::new_current_thread().enable_all()).build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::task::spawn_local(stall_detector::beat());
+        tokio::task::spawn_local(stall_detector::keep_awake());
         let (inbound, events) = mpsc::unbounded_channel();
         for kind in [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()] {
             let mut asked = signal(kind).map_err(|e| format!("signals: {e}"))?;
@@ -186,7 +186,7 @@
 
 /// What the table says, with what it leaves out.
 /// The gossip configuration, where the operators' file and the platform have it.
-fn shared(table: &GossipTable, config: &Config) -> Result<Option<GossipConfig>, String> {
+fn gossip_config(table: &GossipTable, config: &Config) -> Result<Option<GossipConfig>, String> {
     if !table.on {
         return Ok(None);
     }
@@ -214,16 +214,16 @@
     }))
 }
 
-fn dormant(table: &IdleDestinationsTable) -> Option<IdlePolicy> {
+fn idle_policy(table: &IdleDestinationsTable) -> Option<IdlePolicy> {
     let after = table.after?.micros;
-    let memory = table.memory.map_or(MEMORY, |size| size.bytes);
+    let memory = table.memory.map_or(DEFAULT_IDLE_BYTES, |size| size.bytes);
     let most = usize::try_from(memory / idle_destinations::bytes_per_entry::<RouteId>() as u64)
         .unwrap_or(usize::MAX);
     Some(IdlePolicy {
         idle_after: after,
-        retain_for: table.retain.map_or(REMEMBER, |span| span.micros).max(after),
+        retain_for: table.retain.map_or(DEFAULT_RETENTION, |span| span.micros).max(after),
         max_retained: most.max(1),
         max_active: table.active.map_or(usize::MAX, |active| active as usize),
-        activations_per_second: f64::from(table.activations.unwrap_or(WAKES)),
+        activations_per_second: f64::from(table.activations.unwrap_or(DEFAULT_ACTIVATIONS)),
     })
 }
--- a/crates/sender/src/cli/snapshot.rs
+++ b/crates/sender/src/cli/snapshot.rs
@@ -17,7 +17,7 @@
 /// For how long limits are restored by default.
 const SPAN: Micros = 3_600_000_000;
 /// An aim as the platform's classes have it; answer times depend on it alone.
-const AIM: Micros = 4_000_000;
+const LATENCY_OBJECTIVE: Micros = 4_000_000;
 
 fn read(folder: &Path) -> Result<(Snapshot, RestoredState), String> {
     // Guards against a mistyped name that would pass for a folder in which nothing is known.
@@ -30,7 +30,7 @@
     let snapshot = health_snapshot::store::load(&mut disk, &owner).map_err(told)?;
     let clock = if snapshot.timestamp.boot.is_some() { SnapshotClock::Boot } else { SnapshotClock::Wall };
     let start = RestoreTime { now: Clock::after(snapshot.timestamp.wall).0.now(), timestamp: stamp(clock) };
-    let belief = restore(&snapshot, &start, 0, &Config { span: SPAN, latency_objective: AIM });
+    let belief = restore(&snapshot, &start, 0, &Config { span: SPAN, latency_objective: LATENCY_OBJECTIVE });
     Ok((snapshot, belief))
 }
 
--- a/crates/sender/src/discovery/poll_schedule.rs
+++ b/crates/sender/src/discovery/poll_schedule.rs
@@ -12,7 +12,7 @@
 
 /// How a poll failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum PollFailure {
     /// The connection broke, nothing came in time, or the answer can't be parsed.
     Broken,
     /// Discovery rejected the poll: it has more of them than it can answer.
@@ -54,8 +54,8 @@
     }
 
     /// How long to wait before the next poll.
-    pub fn backoff(&mut self, how: Unanswered) -> Duration {
-        if how == Unanswered::Broken {
+    pub fn backoff(&mut self, how: PollFailure) -> Duration {
+        if how == PollFailure::Broken {
             return BROKEN;
         }
         let times = 1u32.checked_shl(self.turned_away).unwrap_or(u32::MAX);
--- a/crates/sender/src/discovery/poll_schedule/tests.rs
+++ b/crates/sender/src/discovery/poll_schedule/tests.rs
@@ -16,13 +16,13 @@
     let mut again = PollSchedule::new(48, GRACE, 1);
     let mut mean = Duration::from_millis(1_200);
     for _ in 0..40 {
-        let rest = again.backoff(Unanswered::Rejected);
+        let rest = again.backoff(PollFailure::Rejected);
         assert!(rest >= mean / 2 && rest <= mean * 3 / 2, "{rest:?} about {mean:?}");
         mean = (mean * 2).min(LONGEST);
     }
-    assert_eq!(again.backoff(Unanswered::Broken), BROKEN, "the agent itself is asked at once");
+    assert_eq!(again.backoff(PollFailure::Broken), BROKEN, "the agent itself is asked at once");
     again.answered();
-    assert!(again.backoff(Unanswered::Rejected) <= Duration::from_millis(1_800));
+    assert!(again.backoff(PollFailure::Rejected) <= Duration::from_millis(1_800));
 }
 
 #[test]
@@ -51,7 +51,7 @@
             busy_until = busy_until.max(now);
             if busy_until - now > Duration::from_secs(2) {
                 busy_until += LONGEST / 96;
-                let rest = senders[n].backoff(Unanswered::Rejected);
+                let rest = senders[n].backoff(PollFailure::Rejected);
                 at[n] = Some(now + if rests { rest } else { BROKEN });
             } else {
                 busy_until += LONGEST / 48;
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use crate::discovery::endpoint_list::{EndpointList, EndpointUpdate};
-use crate::discovery::poll_schedule::{PollSchedule, Unanswered};
+use crate::discovery::poll_schedule::{PollFailure, PollSchedule};
 use crate::platform_client::ask;
 use crate::ports::Inbound;
 
@@ -72,11 +72,11 @@
             }
         };
         let list = match answer {
-            Ok(Ok((StatusCode::OK, body))) => read_list(body).await.ok_or(Unanswered::Broken),
+            Ok(Ok((StatusCode::OK, body))) => read_list(body).await.ok_or(PollFailure::Broken),
             Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
-                Err(Unanswered::Rejected)
+                Err(PollFailure::Rejected)
             }
-            _ => Err(Unanswered::Broken),
+            _ => Err(PollFailure::Broken),
         };
         let said = match list {
             Ok(list) => {
--- a/crates/sender/src/event_loop/shard/admin_broadcast.rs
+++ b/crates/sender/src/event_loop/shard/admin_broadcast.rs
@@ -69,7 +69,7 @@
         if from == member.id() {
             member.schedule_migration(destination, to, self.clock.now());
         } else {
-            member.handle.send(from, ShardMessage::Depart { destination, to });
+            member.handle.send(from, ShardMessage::MigrateTo { destination, to });
         }
         told(202, "it is told to go; the figures say when it has\n")
     }
--- a/crates/sender/src/event_loop/shard/messages.rs
+++ b/crates/sender/src/event_loop/shard/messages.rs
@@ -9,7 +9,7 @@
 use super::UNLISTED;
 use crate::event_loop::EventLoop;
 use crate::ports::{Answer, AttemptCompleted, Frontend, Inbound};
-use crate::shards::{BUSY_AGAIN, ShardMessage};
+use crate::shards::{RETRY_AFTER_MAILBOX_FULL, ShardMessage};
 
 impl EventLoop {
     /// Receives the other shards' messages. Guards the one owner of each destination by this order, which the
@@ -48,23 +48,23 @@
             ShardMessage::Withdrawn { id, request, destination } => {
                 self.handle_inbound(Inbound::Withdrawn { id, request, destination }, events);
             }
-            ShardMessage::Ended { destination, .. } if !member.owns(destination) => {
+            ShardMessage::AttemptCompleted { destination, .. } if !member.owns(destination) => {
                 member.send_to_owner(destination, say);
             }
-            ShardMessage::Ended { destination, name, mut over } => {
+            ShardMessage::AttemptCompleted { destination, name, mut attempt } => {
                 member.record_work(destination);
-                member.router.foreign_attempt_ended(AttemptId::new(over.message.0, over.attempt));
-                over.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
-                events.push(self.attempt_completed(over));
+                member.router.foreign_attempt_ended(AttemptId::new(attempt.message.0, attempt.attempt));
+                attempt.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
+                events.push(self.attempt_completed(attempt));
             }
-            ShardMessage::Wait { destination, .. } if !member.owns(destination) => {
+            ShardMessage::RetryAfter { destination, .. } if !member.owns(destination) => {
                 member.send_to_owner(destination, say);
             }
-            ShardMessage::Wait { destination, name, wait } => {
+            ShardMessage::RetryAfter { destination, name, wait } => {
                 events.push(self.wait(destination, &name, wait));
             }
             ShardMessage::Migrate(bundle) => self.attach_destination(*bundle),
-            ShardMessage::Depart { destination, to } => {
+            ShardMessage::MigrateTo { destination, to } => {
                 member.schedule_migration(destination, to, self.clock.now());
             }
             ShardMessage::Gather => member.gathering = true,
@@ -78,8 +78,10 @@
             ShardMessage::Cancel(message, attempt) => {
                 self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
-            ShardMessage::Listed(list) => self.handle_inbound(Inbound::EndpointsUpdated(list), events),
-            ShardMessage::ListFailed => events.push(Event::DiscoveryFailed),
+            ShardMessage::EndpointsUpdated(list) => {
+                self.handle_inbound(Inbound::EndpointsUpdated(list), events)
+            }
+            ShardMessage::DiscoveryFailed => events.push(Event::DiscoveryFailed),
             ShardMessage::Ejections(held_out, done) => {
                 events.push(self.directory.apply_ejections(held_out));
                 self.iteration_waiters.push(done);
@@ -126,7 +128,10 @@
             let destination = shard.router.attempt_ended(id);
             if let Some(destination) = destination.filter(|destination| !shard.owns(*destination)) {
                 let name = self.directory.name(attempt.endpoint);
-                shard.send_to_owner(destination, ShardMessage::Ended { destination, name, over: attempt });
+                shard.send_to_owner(
+                    destination,
+                    ShardMessage::AttemptCompleted { destination, name, attempt: attempt },
+                );
                 continue;
             }
             if let Some(destination) = self.directory.destination(attempt.endpoint) {
@@ -147,7 +152,7 @@
                 if let Err(ShardMessage::Submitted(message)) =
                     member.handle.try_send(member.owners.owner(destination), ShardMessage::Submitted(message))
                 {
-                    let _ = message.answer.send(Answer::Rejected(BUSY_AGAIN));
+                    let _ = message.answer.send(Answer::Rejected(RETRY_AFTER_MAILBOX_FULL));
                 }
                 None
             }
@@ -169,7 +174,8 @@
                 match destination.filter(|destination| !member.owns(*destination)) {
                     Some(destination) => {
                         let name = self.directory.name(endpoint);
-                        member.send_to_owner(destination, ShardMessage::Wait { destination, name, wait });
+                        member
+                            .send_to_owner(destination, ShardMessage::RetryAfter { destination, name, wait });
                         None
                     }
                     None => Some(Inbound::Event(Event::RetryAfter { endpoint, wait })),
@@ -177,11 +183,13 @@
             }
             // What the first shard receives for all.
             Inbound::EndpointsUpdated(list) if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.send(core, ShardMessage::Listed(list.clone())));
+                member
+                    .others()
+                    .for_each(|core| member.handle.send(core, ShardMessage::EndpointsUpdated(list.clone())));
                 Some(Inbound::EndpointsUpdated(list))
             }
             Inbound::Event(Event::DiscoveryFailed) if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.send(core, ShardMessage::ListFailed));
+                member.others().for_each(|core| member.handle.send(core, ShardMessage::DiscoveryFailed));
                 Some(Inbound::Event(Event::DiscoveryFailed))
             }
             Inbound::Terminate if member.id() == ShardId(0) => {
--- a/crates/sender/src/event_loop/shard/migration.rs
+++ b/crates/sender/src/event_loop/shard/migration.rs
@@ -32,7 +32,7 @@
             Plan::Migrate(advised) => {
                 planner.migrated(advised);
                 member.imbalance_logged = false;
-                let say = ShardMessage::Depart { destination: advised.destination, to: advised.to };
+                let say = ShardMessage::MigrateTo { destination: advised.destination, to: advised.to };
                 if advised.from == member.handle.id() {
                     member.schedule_migration(advised.destination, advised.to, now);
                 } else {
@@ -145,8 +145,14 @@
             room.calls.transfer(member.id(), to, calls);
             room.messages.transfer(member.id(), to, messages);
         }
-        let bundle =
-            MigratedDestination { parcel, names, messages: lives, requests: held, attempts, connections };
+        let bundle = MigratedDestination {
+            state: parcel,
+            names,
+            messages: lives,
+            requests: held,
+            attempts,
+            connections,
+        };
         match member.handle.send_now(to, ShardMessage::Migrate(Box::new(bundle))) {
             // Behind the migrated state: whoever reads the new owner finds the state there.
             Ok(()) => {
@@ -174,8 +180,14 @@
 
     /// Goes on with a destination that another shard detached.
     pub(super) fn attach_destination(&mut self, bundle: MigratedDestination) {
-        let MigratedDestination { parcel, names, messages: lives, requests: held, attempts, connections } =
-            bundle;
+        let MigratedDestination {
+            state: parcel,
+            names,
+            messages: lives,
+            requests: held,
+            attempts,
+            connections,
+        } = bundle;
         let Some(member) = &mut self.shard else { return };
         let mut ids = BTreeMap::new();
         for (id, name) in names {
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -124,26 +124,26 @@
     /// The time.
     pub clock: Clock,
     /// Clients' connections.
-    pub fronts: Vec<Rc<dyn Frontend>>,
+    pub frontends: Vec<Rc<dyn Frontend>>,
     /// Calls.
-    pub carriers: Vec<Rc<dyn Transport>>,
+    pub transports: Vec<Rc<dyn Transport>>,
     /// Tells the frontends whether clients are admitted.
-    pub door: watch::Sender<AdmissionGate>,
+    pub gate: watch::Sender<AdmissionGate>,
     /// The outcomes so far.
-    pub ends: admin::figures::OutcomeCounts,
+    pub outcome_counts: admin::figures::OutcomeCounts,
 }
 
 impl CarriedConnections {
     fn out(&self) -> usize {
-        self.carriers.iter().map(|carrier| carrier.attempts_in_flight()).sum()
+        self.transports.iter().map(|carrier| carrier.attempts_in_flight()).sum()
     }
 
     fn clients(&self) -> usize {
-        self.fronts.iter().map(|front| front.open_connections()).sum()
+        self.frontends.iter().map(|front| front.open_connections()).sum()
     }
 
     fn cancel(&self, message: MessageId, attempt: u16) {
-        self.carriers.iter().for_each(|carrier| carrier.cancel(message, attempt));
+        self.transports.iter().for_each(|carrier| carrier.cancel(message, attempt));
     }
 }
 
@@ -158,11 +158,11 @@
     events: &mut UnboundedReceiver<Inbound>,
 ) -> Result<(), String> {
     let clock = carried.clock;
-    let ready = carried.door.borrow().ready();
-    carried.door.send_replace(AdmissionGate::Relinquished { since: clock.now(), ready });
+    let ready = carried.gate.borrow().ready();
+    carried.gate.send_replace(AdmissionGate::Relinquished { since: clock.now(), ready });
     let (say, mut heard, writing) = link.split::<ToSuccessor, ToPredecessor>();
     if !understood {
-        let out = carried.carriers.iter().flat_map(|carrier| carrier.outstanding_attempts());
+        let out = carried.transports.iter().flat_map(|carrier| carrier.outstanding_attempts());
         out.collect::<Vec<_>>()
             .into_iter()
             .for_each(|(message, attempt, _)| carried.cancel(message, attempt));
@@ -198,14 +198,14 @@
                         continue;
                     }
                     Some(Inbound::AdminRequest(AdminRequest::Metrics, answer)) => {
-                        let relayed = carried.carriers.iter().map(|carrier| carrier.messages_written()).sum();
+                        let relayed = carried.transports.iter().map(|carrier| carrier.messages_written()).sum();
                         let now = admin::figures::Gauges { relayed, ..Default::default() };
-                        let _ = answer.send(AdminResponse { status: 200, text: carried.ends.text(now) });
+                        let _ = answer.send(AdminResponse { status: 200, text: carried.outcome_counts.text(now) });
                         continue;
                     }
                     Some(Inbound::AdminRequest(call, answer)) => {
-                        let door = *carried.door.borrow();
-                        carried.door.send_replace(match call {
+                        let door = *carried.gate.borrow();
+                        carried.gate.send_replace(match call {
                             AdminRequest::Standby => door.standby(clock.now()),
                             AdminRequest::Active => door.active(),
                             _ => door,
@@ -215,7 +215,7 @@
                     }
                     Some(Inbound::Terminate) => {
                         stopping = stopping.or(Some(clock.now()));
-                        carried.door.send_replace(AdmissionGate::Closing);
+                        carried.gate.send_replace(AdmissionGate::Closing);
                         continue;
                     }
                     Some(_) => continue,
@@ -251,16 +251,16 @@
 
 /// The predecessor, as a transport with calls in flight for its successor.
 pub struct Predecessor {
-    outs: RefCell<OutstandingAttempts>,
-    say: UnboundedSender<ToPredecessor>,
+    outstanding: RefCell<OutstandingAttempts>,
+    messages: UnboundedSender<ToPredecessor>,
     /// It is still running.
-    there: Cell<bool>,
+    running: Cell<bool>,
 }
 
 impl Predecessor {
     /// Whether nothing of the predecessor is left.
     pub fn is_gone(&self) -> bool {
-        !self.there.get()
+        !self.running.get()
     }
 
     /// Follows the predecessor from now on, until it is gone.
@@ -274,17 +274,17 @@
     ) -> Rc<Self> {
         let (say, mut heard, _) = link.split::<ToPredecessor, ToSuccessor>();
         let before = Rc::new(Self {
-            outs: RefCell::new(OutstandingAttempts::new(out.into_iter().map(Into::into))),
-            say,
-            there: Cell::new(true),
+            outstanding: RefCell::new(OutstandingAttempts::new(out.into_iter().map(Into::into))),
+            messages: say,
+            running: Cell::new(true),
         });
         let (followed, began) = (before.clone(), clock.now());
         tokio::task::spawn_local(async move {
             while let Some(message) = heard.recv().await {
-                followed.heard(message, &class, &inbound);
+                followed.handle(message, &class, &inbound);
             }
-            followed.there.set(false);
-            let lost = followed.outs.borrow_mut().reset_all(clock.now().saturating_sub(began));
+            followed.running.set(false);
+            let lost = followed.outstanding.borrow_mut().reset_all(clock.now().saturating_sub(began));
             for over in lost {
                 let _ = inbound.send(Inbound::CallCompleted(vec![over]));
             }
@@ -293,7 +293,7 @@
         before
     }
 
-    fn heard(
+    fn handle(
         &self,
         message: ToSuccessor,
         class: &impl Fn(&str) -> Option<usize>,
@@ -302,7 +302,7 @@
         let event = match message {
             ToSuccessor::Submitted { number, message: taken, request } => {
                 let (answer, answered) = oneshot::channel();
-                let say = self.say.clone();
+                let say = self.messages.clone();
                 tokio::task::spawn_local(async move {
                     let _ = say.send(ToPredecessor::Answer(number, answered.await.unwrap_or(Answer::Failed)));
                 });
@@ -314,7 +314,7 @@
             }
             ToSuccessor::AdminRequest { number, call } => {
                 let (answer, answered) = oneshot::channel();
-                let say = self.say.clone();
+                let say = self.messages.clone();
                 tokio::task::spawn_local(async move {
                     let ending = AdminResponse { status: 503, text: "ending\n".into() };
                     let AdminResponse { status, text } = answered.await.unwrap_or(ending);
@@ -325,7 +325,7 @@
             ToSuccessor::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
             }
-            ToSuccessor::CallCompleted(over) => match self.outs.borrow_mut().complete(over) {
+            ToSuccessor::CallCompleted(over) => match self.outstanding.borrow_mut().complete(over) {
                 over if over.is_empty() => return,
                 over => Inbound::CallCompleted(over),
             },
@@ -352,8 +352,8 @@
     fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
 
     fn cancel(&self, message: MessageId, attempt: u16) {
-        if self.outs.borrow().contains(message, attempt) {
-            let _ = self.say.send(ToPredecessor::Cancel(message, attempt));
+        if self.outstanding.borrow().contains(message, attempt) {
+            let _ = self.messages.send(ToPredecessor::Cancel(message, attempt));
         }
     }
 
@@ -366,7 +366,7 @@
     }
 
     fn attempts_in_flight(&self) -> usize {
-        self.outs.borrow().len()
+        self.outstanding.borrow().len()
     }
 
     fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)> {
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -360,7 +360,7 @@
                 if let Err(ShardMessage::Submitted(message)) =
                     post.try_send(owner, ShardMessage::Submitted(message))
                 {
-                    let _ = message.answer.send(Answer::Rejected(crate::shards::BUSY_AGAIN));
+                    let _ = message.answer.send(Answer::Rejected(crate::shards::RETRY_AFTER_MAILBOX_FULL));
                 }
                 Some(owner)
             }
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -32,7 +32,7 @@
     options: Options,
     clock: SnapshotClock,
     /// How it is restored.
-    pub law: Config,
+    pub restore: Config,
 }
 
 impl SnapshotOptions {
@@ -46,7 +46,7 @@
         Some(Self {
             options: Options { size, sync },
             clock: table.clock,
-            law: Config { span, latency_objective: aim },
+            restore: Config { span, latency_objective: aim },
         })
     }
 }
@@ -101,7 +101,7 @@
     index: u64,
 ) -> RestoredState {
     let start = RestoreTime { now, timestamp: stamp(keeping.clock) };
-    restore::restore(snapshot, &start, index, &keeping.law)
+    restore::restore(snapshot, &start, index, &keeping.restore)
 }
 
 /// What the event loop shows the snapshot of its state.
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -334,10 +334,10 @@
         }
         CarriedConnections {
             clock: self.clock,
-            fronts: frontends,
-            carriers: transports,
-            door: sockets.gate.clone(),
-            ends: outcome_counts,
+            frontends: frontends,
+            transports: transports,
+            gate: sockets.gate.clone(),
+            outcome_counts: outcome_counts,
         }
     }
 
--- a/crates/sender/src/process/shards.rs
+++ b/crates/sender/src/process/shards.rs
@@ -111,10 +111,10 @@
 
     fn run(self) -> Result<(), String> {
         let runtime =
-            stall_detector::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
+            stall_detector::observe(tokio::runtime::Builder::new_current_thread().enable_all()).build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            tokio::task::spawn_local(stall_detector::beat());
+            tokio::task::spawn_local(stall_detector::keep_awake());
             let (inbound, mut events) = tokio::sync::mpsc::unbounded_channel();
             let handle = Rc::new(ShardHandle::new(self.id, self.group));
             let sockets = SocketSides::new(
--- a/crates/sender/src/shards/mailbox.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct MigratedDestination {
     /// The decision module's state.
-    pub parcel: MigratedState,
+    pub state: MigratedState,
     /// The endpoints that it refers to, by the names that all shards know.
     pub names: BTreeMap<EndpointId, Arc<str>>,
     /// Its messages as the journal has them.
@@ -49,16 +49,16 @@
         destination: u16,
     },
     /// An attempt completed on that shard's connection.
-    Ended {
+    AttemptCompleted {
         /// The destination, whose owner has to know.
         destination: u16,
         /// The endpoint's name; its id differs between shards.
         name: Arc<str>,
         /// How it ended.
-        over: AttemptCompleted,
+        attempt: AttemptCompleted,
     },
     /// An endpoint sent that shard a Retry-After.
-    Wait {
+    RetryAfter {
         /// The destination, whose owner has to know.
         destination: u16,
         /// The endpoint's name.
@@ -69,7 +69,7 @@
     /// A destination is this shard's from now on.
     Migrate(Box<MigratedDestination>),
     /// A destination is to migrate to another shard.
-    Depart {
+    MigrateTo {
         /// Which.
         destination: u16,
         /// Where to.
@@ -82,9 +82,9 @@
     /// An attempt on this shard's connection is to be cancelled.
     Cancel(MessageId, u16),
     /// Discovery sent a list, or changes of it.
-    Listed(EndpointUpdate),
+    EndpointsUpdated(EndpointUpdate),
     /// Discovery failed.
-    ListFailed,
+    DiscoveryFailed,
     /// The ejected endpoints, from when it is answered.
     Ejections(Ejections, oneshot::Sender<()>),
     /// A client's connection.
@@ -101,10 +101,10 @@
 pub struct Mailbox {
     queue: ArrayQueue<ShardMessage>,
     /// The shard was notified of what is in the queue, and has not drained it yet.
-    told: AtomicBool,
+    notified: AtomicBool,
     wake: Notify,
-    wakes: AtomicU64,
-    said: AtomicU64,
+    notifications: AtomicU64,
+    sent: AtomicU64,
 }
 
 impl Mailbox {
@@ -112,17 +112,17 @@
     pub fn new(room: usize) -> Self {
         Self {
             queue: ArrayQueue::new(room.max(8)),
-            told: AtomicBool::new(false),
+            notified: AtomicBool::new(false),
             wake: Notify::new(),
-            wakes: AtomicU64::new(0),
-            said: AtomicU64::new(0),
+            notifications: AtomicU64::new(0),
+            sent: AtomicU64::new(0),
         }
     }
 
     /// Notifies its shard, once for all that arrives until it drains the mailbox.
     pub fn wake(&self) {
-        if !self.told.swap(true, Ordering::AcqRel) {
-            self.wakes.fetch_add(1, Ordering::Relaxed);
+        if !self.notified.swap(true, Ordering::AcqRel) {
+            self.notifications.fetch_add(1, Ordering::Relaxed);
             self.wake.notify_one();
         }
     }
@@ -135,19 +135,19 @@
     /// Takes all messages.
     pub fn drain(&self) -> Vec<ShardMessage> {
         // Before it drains: what arrives from now on notifies it again.
-        self.told.store(false, Ordering::Release);
+        self.notified.store(false, Ordering::Release);
         let most = self.queue.len();
         (0..most).map_while(|_| self.queue.pop()).collect()
     }
 
     /// How many messages were sent to it, and how often it was notified.
     pub fn figures(&self) -> (u64, u64) {
-        (self.said.load(Ordering::Relaxed), self.wakes.load(Ordering::Relaxed))
+        (self.sent.load(Ordering::Relaxed), self.notifications.load(Ordering::Relaxed))
     }
 
     fn push(&self, say: ShardMessage) -> Result<(), ShardMessage> {
         self.queue.push(say)?;
-        self.said.fetch_add(1, Ordering::Relaxed);
+        self.sent.fetch_add(1, Ordering::Relaxed);
         self.wake();
         Ok(())
     }
--- a/crates/sender/src/shards/mod.rs
+++ b/crates/sender/src/shards/mod.rs
@@ -9,6 +9,6 @@
 pub use mailbox::{MigratedDestination, ShardHandle, ShardMessage};
 pub use remote::RemoteShards;
 /// Retry-After in microseconds for clients whose destination's shard has a full mailbox.
-pub const BUSY_AGAIN: u64 = 250_000;
+pub const RETRY_AFTER_MAILBOX_FULL: u64 = 250_000;
 
 pub use group::{Figures, ShardGroup, ShardQuotas};
--- a/crates/sender/src/shards/remote.rs
+++ b/crates/sender/src/shards/remote.rs
@@ -56,12 +56,13 @@
             ShardMessage::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
             }
-            ShardMessage::Ended { name, mut over, .. } => {
-                let known = self.outs.borrow_mut().remove(&(over.message, over.attempt));
-                over.endpoint = known.map(|known| known.1).or_else(|| id(&name)).unwrap_or(over.endpoint);
-                Inbound::CallCompleted(vec![over])
+            ShardMessage::AttemptCompleted { name, mut attempt, .. } => {
+                let known = self.outs.borrow_mut().remove(&(attempt.message, attempt.attempt));
+                attempt.endpoint =
+                    known.map(|known| known.1).or_else(|| id(&name)).unwrap_or(attempt.endpoint);
+                Inbound::CallCompleted(vec![attempt])
             }
-            ShardMessage::Wait { name, wait, .. } => {
+            ShardMessage::RetryAfter { name, wait, .. } => {
                 Inbound::Event(Event::RetryAfter { endpoint: id(&name)?, wait })
             }
             _ => return None,
--- a/crates/sender/src/stall_detector.rs
+++ b/crates/sender/src/stall_detector.rs
@@ -20,7 +20,7 @@
 
 /// What a thread's runtime does between what it reads.
 #[derive(Debug, Clone, Copy, Default)]
-struct Pulse {
+struct ReadTimes {
     /// When it began to wait, and when it went on.
     waits: Option<Instant>,
     woke: Option<Instant>,
@@ -30,7 +30,7 @@
     still: Option<(Instant, Instant)>,
 }
 
-impl Pulse {
+impl ReadTimes {
     fn waits(self, now: Instant) -> Self {
         Self { waits: Some(now), ..self }
     }
@@ -50,24 +50,24 @@
         Self { woke: Some(now), since, still, ..self }
     }
 
-    fn behind(self, now: Instant) -> Duration {
+    fn read_delay(self, now: Instant) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 }
 
 thread_local! {
-    static PULSE: Cell<Pulse> = const { Cell::new(Pulse { waits: None, woke: None, since: None, still: None }) };
+    static READ_TIMES: Cell<ReadTimes> = const { Cell::new(ReadTimes { waits: None, woke: None, since: None, still: None }) };
 }
 
 /// Has a runtime's thread note when it waits.
-pub fn notes(runtime: &mut Builder) -> &mut Builder {
+pub fn observe(runtime: &mut Builder) -> &mut Builder {
     runtime
-        .on_thread_park(|| PULSE.set(PULSE.get().waits(Instant::now())))
-        .on_thread_unpark(|| PULSE.set(PULSE.get().wakes(Instant::now())))
+        .on_thread_park(|| READ_TIMES.set(READ_TIMES.get().waits(Instant::now())))
+        .on_thread_unpark(|| READ_TIMES.set(READ_TIMES.get().wakes(Instant::now())))
 }
 
 /// Makes the runtime's waits end, for as long as the process runs.
-pub async fn beat() {
+pub async fn keep_awake() {
     loop {
         tokio::time::sleep(BEAT).await;
     }
@@ -75,7 +75,7 @@
 
 /// How long ago what is read now arrived, at most.
 pub fn behind() -> Duration {
-    PULSE.get().behind(Instant::now())
+    READ_TIMES.get().read_delay(Instant::now())
 }
 
 #[cfg(test)]
