--- /dev/null
+++ b/crates/admin/tests/admin.rs
@@ -0,0 +1,112 @@
+//! Requests, metrics, ejections and the admission gate, without a sender.
+
+use admin::call::{AdminRequest, ID_LIMIT, InvalidRequest, read};
+use admin::ejections::{EjectError, Ejections, RetiredNames};
+use admin::figures::{FinalOutcome, Gauges, OutcomeCounts};
+use admin::gate::{AdmissionGate, LINGER};
+use proptest::prelude::*;
+
+#[test]
+fn requests_are_parsed_and_validated() {
+    let enter = |id: &str| Ok(AdminRequest::Eject(id.to_owned()));
+    let long = "x".repeat(ID_LIMIT + 1);
+    let too_long = format!("target={long}");
+    for (method, path, query, expected) in [
+        ("GET", "/status", None, Ok(AdminRequest::Status)),
+        ("GET", "/status/metrics", Some("x=1"), Ok(AdminRequest::Metrics)),
+        ("POST", "/standby", None, Ok(AdminRequest::Standby)),
+        ("POST", "/active", None, Ok(AdminRequest::Active)),
+        ("POST", "/maintenance/enter", Some("target=s-5be2a07c"), enter("s-5be2a07c")),
+        ("POST", "/maintenance/enter", Some("a=b&target=a%20b%2Fc"), enter("a b/c")),
+        ("POST", "/maintenance/exit", Some("target=e"), Ok(AdminRequest::Reinstate("e".into()))),
+        ("POST", "/maintenance/exit", Some("target="), Err(InvalidRequest::Target)),
+        ("POST", "/maintenance/enter", Some("target=a&target=b"), Err(InvalidRequest::Target)),
+        ("POST", "/maintenance/enter", Some(&too_long), Err(InvalidRequest::Target)),
+        ("POST", "/maintenance/enter", None, Err(InvalidRequest::Target)),
+        ("POST", "/status", None, Err(InvalidRequest::Method)),
+        ("GET", "/standby", None, Err(InvalidRequest::Method)),
+        ("GET", "/ready", None, Err(InvalidRequest::Path)),
+        ("GET", "/status/", None, Err(InvalidRequest::Path)),
+    ] {
+        assert_eq!(read(method, path, query), expected, "{method} {path} {query:?}");
+    }
+}
+
+#[test]
+fn standby_is_reversible_and_closing_is_not() {
+    let standby = AdmissionGate::Open.standby(5);
+    assert_eq!(standby.standby(9), standby, "a second time has no effect");
+    assert_eq!((standby.ready(), standby.last_answer()), (false, true));
+    assert_eq!(standby.close_idle_at(), Some(5 + LINGER));
+    assert_eq!(standby.active(), AdmissionGate::Open);
+    assert_eq!(AdmissionGate::Open.close_idle_at(), None);
+    assert_eq!(
+        (AdmissionGate::Closing.standby(1), AdmissionGate::Closing.active()),
+        (AdmissionGate::Closing, AdmissionGate::Closing)
+    );
+}
+
+#[test]
+fn metrics_name_each_class_and_its_counts() {
+    let mut counts = OutcomeCounts::new(["a".to_owned(), "quo\"te".to_owned()]);
+    counts.count("a", FinalOutcome::Fulfilled);
+    counts.count("a", FinalOutcome::Fulfilled);
+    counts.count("quo\"te", FinalOutcome::Faulted);
+    counts.count("none", FinalOutcome::Throttled);
+    let text = counts.text(Gauges { relayed: 3, open: 4, listed: 5, out_of_rotation: 6 });
+    assert_eq!(
+        text.lines().collect::<Vec<_>>(),
+        [
+            "svc_operations{priority=\"a\",status=\"fulfilled\"} 2",
+            "svc_operations{priority=\"a\",status=\"throttled\"} 0",
+            "svc_operations{priority=\"a\",status=\"faulted\"} 0",
+            "svc_operations{priority=\"quo\\\"te\",status=\"fulfilled\"} 0",
+            "svc_operations{priority=\"quo\\\"te\",status=\"throttled\"} 0",
+            "svc_operations{priority=\"quo\\\"te\",status=\"faulted\"} 1",
+            "svc_relayed 3",
+            "svc_open_requests 4",
+            "svc_registry_entries 5",
+            "svc_out_of_rotation 6",
+        ]
+    );
+}
+
+#[test]
+fn an_ejection_beyond_the_limit_fails_without_effect() {
+    let mut ejections = Ejections::new(8);
+    assert_eq!(ejections.enter("abc"), Ok(true));
+    assert_eq!(ejections.enter("abc"), Ok(false));
+    assert_eq!(ejections.enter("defg"), Err(EjectError::LimitReached));
+    assert_eq!(ejections.enter("def"), Ok(true));
+    assert!(ejections.exit("abc") && !ejections.exit("abc"));
+    assert_eq!(ejections.text(), "def\n");
+}
+
+#[test]
+fn retired_names_are_forgotten_oldest_first() {
+    let mut retired = RetiredNames::default();
+    (0..5_000).for_each(|n| retired.insert(&n.to_string()));
+    (0..10).for_each(|_| retired.insert("4999"));
+    assert!(retired.contains("4999") && retired.contains("1000") && !retired.contains("0"));
+}
+
+proptest! {
+    /// Names survive a restart whatever characters they hold.
+    #[test]
+    fn ejections_round_trip(names in prop::collection::btree_set("(?s).{1,12}", 0..12)) {
+        let mut ejections = Ejections::new(10_000);
+        for name in &names {
+            prop_assert_eq!(ejections.enter(name), Ok(true));
+        }
+        let text = ejections.text();
+        prop_assert_eq!(text.lines().count(), names.len());
+        prop_assert_eq!(Ejections::read(&text, 10_000), ejections);
+    }
+
+    /// Any text is parsed as some names.
+    #[test]
+    fn any_text_can_be_parsed(text in "(?s).{0,200}") {
+        let read = Ejections::read(&text, 10_000);
+        prop_assert_eq!(Ejections::read(&read.text(), 10_000), read);
+    }
+}
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -5,21 +5,44 @@
 use serde::{Deserialize, Serialize};
 
 use crate::estimate::Places;
-use crate::interface::{DestinationId, EndpointId, Entry, Kind, Listing, Micros, Outcome, RouteId};
+use crate::interface::{
+    DestinationId, DestinationKind, EndpointEntry, EndpointId, Listing, Micros, Outcome, RouteId,
+};
+
+/// What the endpoint list promises of a route; stored as a pair.
+#[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
+pub(crate) struct ListedLimit {
+    /// Calls a second from all senders; 0 where none are promised.
+    pub calls_per_second: f64,
+    /// When it was first listed.
+    pub since: Micros,
+}
+
+impl From<(f64, Micros)> for ListedLimit {
+    fn from((calls_per_second, since): (f64, Micros)) -> Self {
+        Self { calls_per_second, since }
+    }
+}
+
+impl From<ListedLimit> for (f64, Micros) {
+    fn from(listed: ListedLimit) -> Self {
+        (listed.calls_per_second, listed.since)
+    }
+}
 
 /// An endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Endpoint {
     pub destination: DestinationId,
     pub zone: u16,
-    pub kind: Kind,
+    pub kind: DestinationKind,
     pub ready: bool,
     /// No list names it any more.
     gone: bool,
     /// The last whole list that named it, or change since.
     named: u64,
-    /// Calls a second that its listing promises, and when it was first listed.
-    listed: (f64, Micros),
+    listed: ListedLimit,
     pub out: usize,
     pub bad_run: u32,
     /// Connections of ours that there were places for.
@@ -45,8 +68,8 @@
             Outcome::Delivered => (self.bad_run, self.lost, self.crowded) = (0, false, 0),
             // Turned away only where it happens again: one connection is not the endpoint.
             Outcome::Reset | Outcome::ConnectFailed if first && !self.lost => self.lost = true,
-            Outcome::Full(_) | Outcome::Crowded => {}
-            Outcome::Spoilt | Outcome::Cancelled | Outcome::Moot { .. } => {}
+            Outcome::Rejected(_) | Outcome::ConnectionRejected => {}
+            Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent { .. } => {}
             _ => self.bad_run += u32::from(first),
         }
     }
@@ -56,7 +79,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Cell {
     ids: BTreeSet<EndpointId>,
-    listed: (f64, Micros),
+    listed: ListedLimit,
 }
 
 /// All that lists named and that something refers to.
@@ -92,7 +115,13 @@
     }
 
     /// What a list says of an endpoint, with the calls a second that its weight promises. Tells the route that leads to it.
-    pub fn listed(&mut self, entry: &Entry, kind: Kind, calls: f64, now: Micros) -> RouteId {
+    pub fn listed(
+        &mut self,
+        entry: &EndpointEntry,
+        kind: DestinationKind,
+        calls: f64,
+        now: Micros,
+    ) -> RouteId {
         let endpoint = self.all.entry(entry.endpoint).or_insert(Endpoint {
             destination: entry.destination,
             zone: entry.zone,
@@ -100,7 +129,7 @@
             ready: false,
             gone: false,
             named: 0,
-            listed: (calls, now),
+            listed: ListedLimit { calls_per_second: calls, since: now },
             out: 0,
             bad_run: 0,
             places: Places::default(),
@@ -112,19 +141,20 @@
         });
         (endpoint.ready, endpoint.gone) = (entry.listing == Listing::Ready, entry.listing == Listing::Gone);
         endpoint.named = self.lists;
-        endpoint.listed.0 = calls;
+        endpoint.listed.calls_per_second = calls;
         if endpoint.gone {
             self.gone.insert(entry.endpoint)
         } else {
             self.gone.remove(&entry.endpoint)
         };
-        let new = || Cell { ids: BTreeSet::new(), listed: (calls, now) };
+        let listed = ListedLimit { calls_per_second: calls, since: now };
+        let new = || Cell { ids: BTreeSet::new(), listed };
         let cell = self.cells.entry(endpoint.destination).or_insert_with(new);
         cell.ids.insert(entry.endpoint);
-        if !kind.routes_apart {
-            cell.listed.0 = calls;
+        if !kind.separate_routes {
+            cell.listed.calls_per_second = calls;
         }
-        (entry.destination, kind.routes_apart.then_some(entry.endpoint))
+        (entry.destination, kind.separate_routes.then_some(entry.endpoint))
     }
 
     /// Endpoints of a destination, in any state.
@@ -136,11 +166,11 @@
     /// The route that leads to an endpoint.
     pub fn route(&self, id: EndpointId) -> Option<RouteId> {
         let e = self.all.get(&id)?;
-        Some((e.destination, e.kind.routes_apart.then_some(id)))
+        Some((e.destination, e.kind.separate_routes.then_some(id)))
     }
 
     /// Calls a second that the listing of a route promises, and since when it is listed.
-    pub fn listing(&self, route: RouteId) -> (f64, Micros) {
+    pub fn listing(&self, route: RouteId) -> ListedLimit {
         let listed = match route.1 {
             Some(endpoint) => self.all.get(&endpoint).map(|e| e.listed),
             None => self.cells.get(&route.0).map(|cell| cell.listed),
@@ -182,7 +212,7 @@
                     ready: ours.ready,
                     gone: ours.gone,
                     named: ours.named,
-                    listed: (ours.listed.0, ours.listed.1.min(theirs.listed.1)),
+                    listed: ListedLimit { since: ours.listed.since.min(theirs.listed.since), ..ours.listed },
                     ..theirs
                 };
                 continue;
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -1,11 +1,13 @@
 //! The one path of every send, and when to look again.
 
-use super::route::{BUNDLE_WEIGHT, State};
-use super::{FEW_SENDERS, HOLD, PLACES_FREE, Policy, RESTART, way};
+use super::{HOLD, PLACES_FREE, Policy, RESTART, way};
 use crate::estimate::chance;
+use crate::health::{FEW_SENDERS, Tick};
 use crate::interface::*;
 use crate::round::{Begun, Round, Verdict};
 
+/// What each further message adds to the weight of a call at a cold destination.
+const BATCHED_WEIGHT: f64 = 0.25;
 /// More destinations that wait for a slot than this are a crowd.
 const CROWD: usize = 256;
 
@@ -27,7 +29,7 @@
         }
         let mut round = Round::default();
         loop {
-            let (full, waiting) = (self.calls.len() >= self.settings.slots, &self.book.waiting);
+            let (full, waiting) = (self.calls.len() >= self.settings.max_calls, &self.book.waiting);
             // With no slot left a message may still travel along with a call of this tick.
             let joining = || round.begun.first_joining(&self.endpoints, waiting);
             let Some((place, destination)) = (if full { joining() } else { waiting.first_ready() }) else {
@@ -61,7 +63,7 @@
     /// waits for it any more. It hurts those that wait longer than others.
     pub(super) fn late_before(&self) -> impl Fn(usize, usize) -> Micros + use<> {
         let (now, given_up_from) = (self.now, self.given_up_from.0);
-        let aims: Vec<_> = self.settings.classes.iter().map(|class| class.aim).collect();
+        let aims: Vec<_> = self.settings.classes.iter().map(|class| class.latency_objective).collect();
         let beyond = self.beyond();
         move |class, tenant| match beyond.get(tenant) {
             Some(true) => Micros::MAX,
@@ -109,9 +111,9 @@
             .of(destination)
             .filter(|(_, e)| e.ready)
             .map(|(endpoint, e)| {
-                let joins = begun.open(endpoint, e.kind.bundle).is_some();
-                let toll = self.settings.tolls.get(e.zone as usize).copied().unwrap_or(0.0);
-                let toll = if e.kind.routes_apart { (toll * 1e6) as u64 } else { 0 };
+                let joins = begun.open(endpoint, e.kind.max_batch).is_some();
+                let toll = self.settings.zone_fees.get(e.zone as usize).copied().unwrap_or(0.0);
+                let toll = if e.kind.separate_routes { (toll * 1e6) as u64 } else { 0 };
                 let luck = chance(self.seed, self.now, id, endpoint).usize(0..256);
                 (!joins, e.bad_run, toll, e.out * 256 + luck, endpoint)
             })
@@ -137,7 +139,7 @@
         let (class, effect) = (&self.settings.classes[held.message.class], held.effect);
         let worth = self.worth_at(held, now) * backlog;
         // No message lost, nothing after its end; drains kept; never two attempts at once.
-        if now >= held.end || held.attempts >= self.settings.try_limit || held.out > 0 {
+        if now >= held.end || held.attempts >= self.settings.max_attempts || held.out > 0 {
             return Verdict::Passed { slot: false };
         }
         if !endpoint.ready || endpoint.destination != held.message.destination {
@@ -155,84 +157,86 @@
         if key.is_some_and(|key| !self.lines.allows(key, id, now)) {
             return Verdict::Passed { slot: false };
         }
-        let route_id = (endpoint.destination, endpoint.kind.routes_apart.then_some(endpoint_id));
+        let route_id = (endpoint.destination, endpoint.kind.separate_routes.then_some(endpoint_id));
         let Some(route) = self.routes.get_mut(&route_id) else { return Verdict::Closed };
         // Nothing may be out at the end of the process that the next one must not repeat.
         let first = held.may_have_run.iter().map(|a| a.1).min().unwrap_or(now);
         let binds = |end: &Micros| match effect {
-            Effect::Repeatable => false,
-            Effect::Once => true,
-            Effect::Keyed { window, .. } => end + RESTART >= first + window,
+            Idempotency::Idempotent => false,
+            Idempotency::NonIdempotent => true,
+            Idempotency::Keyed { window, .. } => end + RESTART >= first + window,
         };
         let until = self.stop_at.filter(binds).unwrap_or(Micros::MAX);
         // Nor may a repeat leave, once its connection is up, so late that its key may be forgotten by there.
         let leave = match effect {
-            Effect::Keyed { window, .. } if first < now => first + window - way(&self.settings, window),
+            Idempotency::Keyed { window, .. } if first < now => first + window - way(&self.settings, window),
             _ => Micros::MAX,
         };
-        if now.saturating_add(route.patience(class.aim)) > until {
+        if now.saturating_add(route.patience(class.latency_objective)) > until {
             return Verdict::Passed { slot: false };
         }
-        let joined = begun.open(endpoint_id, endpoint.kind.bundle);
-        route.pace.refill(now);
+        let joined = begun.open(endpoint_id, endpoint.kind.max_batch);
+        let tick =
+            Tick { settings: &self.settings, now, latency_objective: class.latency_objective, jitter: luck };
+        route.refill_tokens(now);
         // What is lent and borrowed of the limit; a sender that has more to send than its part asks for more.
         if let (Some(shared), None) = (&mut self.shared, route_id.1) {
-            route.share.0 = shared.part(route_id.0.0, now);
-            let (needs, short) = route.needs(&self.settings, now, class.aim, backlog);
-            shared.needs(route_id.0.0, needs, short, now);
+            route.set_escrow(shared.quota_share(route_id.0.0, now));
+            let demand = route.demand(&tick, backlog);
+            shared.report_demand(route_id.0.0, demand.shares, demand.is_short, now);
         }
-        if let Some(part) = route.part(&self.settings, now, class.aim, backlog / endpoint.kind.bundle as f64)
-        {
-            route.pace.rate = part;
-            route.come_back_apart(luck);
-        }
-        if joined.is_none() && route.pace.credit < 1.0 {
+        let queued_calls = backlog / endpoint.kind.max_batch as f64;
+        route.apply_quota(&tick, queued_calls);
+        if joined.is_none() && !route.has_token() {
             return Verdict::Closed;
         }
         // Waits heeded; our own pauses, and one call at a time until a refusing destination accepts.
-        if now < route.wait_until || (route.fulls > 0 && route.out > 0) {
+        if now < route.wait_until() || (route.is_rejecting() && route.in_flight() > 0) {
             return Verdict::Closed;
         }
         // The ramp after an outage.
-        let weight = if joined.is_some() { BUNDLE_WEIGHT } else { 1.0 };
-        if !route.ramp_allows(&self.settings, now, weight, backlog, luck) {
+        let weight = if joined.is_some() { BATCHED_WEIGHT } else { 1.0 };
+        if !route.slow_start_allows(&tick, weight, backlog) {
             return Verdict::Closed;
         }
         if joined.is_none() {
             // Slots: all of them, and the destination's share.
-            let slots = self.settings.slots;
-            let share = if route.failing() { slots / 2 } else { slots * 3 / 4 }.max(1);
-            if route.out >= share {
+            let slots = self.settings.max_calls;
+            let share = if route.is_failing() { slots / 2 } else { slots * 3 / 4 }.max(1);
+            if route.in_flight() >= share {
                 return Verdict::Closed;
             }
             if self.calls.len() >= slots {
                 return Verdict::NoSlot;
             }
-        } else if route.breaker.state != State::Closed {
+        } else if !route.is_breaker_closed() {
             return Verdict::Closed;
         }
         // Those that wake begin with one call each, so many a second, the fullest worth first. Guards
         // descriptors, slots and the busy against a crowd. One that wakes with much to send loses a call's
         // time by it.
-        if joined.is_none() && route.waking && (route.out > 0 || !self.waking.allows(route_id, worth, now)) {
+        if joined.is_none()
+            && route.is_activating()
+            && (route.in_flight() > 0 || !self.waking.allows(route_id, worth, now))
+        {
             return Verdict::Closed;
         }
         // The breaker decides last, since it counts what it admits.
-        if joined.is_none() && !route.breaker.allows(now) {
+        if joined.is_none() && !route.breaker_allows(now) {
             return Verdict::Closed;
         }
         let call = joined.unwrap_or(self.calls.next());
-        let well = route.fulls == 0 && route.cold_share(&self.settings.rules, now).is_none();
-        let patience = if well { (2 * route.patience(class.aim)).min(class.aim) } else { class.aim };
-        route.sent.push(now, weight);
+        let well = !route.is_rejecting() && route.cold_share(&self.settings.rules, now).is_none();
+        let patience = if well {
+            (2 * route.patience(class.latency_objective)).min(class.latency_objective)
+        } else {
+            class.latency_objective
+        };
+        route.record_sent(weight, now);
         if joined.is_none() {
-            route.out += 1;
-            route.pace.credit -= 1.0;
-            if route.breaker.state == State::HalfOpen {
-                route.breaker.trial = Some(call);
-            }
-            if route.waking {
-                self.waking.begun(call);
+            route.call_started(call);
+            if route.is_activating() {
+                self.waking.call_started(call);
             }
             self.calls.begin(route_id, endpoint_id, now);
         }
@@ -250,13 +254,21 @@
             // What may be repeated is called off once its answer would be most unusual. Guards the slots, and
             // the message's time, against calls that hang or lose their answers one by one. It costs repeats
             // where answer times jump; a destination that is cold or turns calls away gets the aim's time.
-            let patience = if effect == Effect::Once { class.aim } else { patience };
+            let patience =
+                if effect == Idempotency::NonIdempotent { class.latency_objective } else { patience };
             let timeout = patience.min(last_call - now).min(until - now).max(1);
             // Safe to repeat: nothing is lost with the connection but time.
-            let hold = if effect == Effect::Repeatable { 0 } else { HOLD };
+            let hold = if effect == Idempotency::Idempotent { 0 } else { HOLD };
             let fresh = self.fresh_connection(effect);
             let (endpoint, leave_within) = (endpoint_id, timeout.min(leave.saturating_sub(now)));
-            actions.push(Action::Attempt { message: id, endpoint, timeout, leave_within, hold, fresh });
+            actions.push(Action::Attempt {
+                message: id,
+                endpoint,
+                timeout,
+                send_within: leave_within,
+                last_byte_delay: hold,
+                new_connection: fresh,
+            });
         }
         Verdict::Sent
     }
@@ -264,18 +276,18 @@
     /// Guards an endpoint's table of connections against idle ones: closes what is not used again before it
     /// closes by itself; a failed connect, or one that found no place, halves what is kept. Costs handshakes.
     pub(super) fn close_idle(&mut self, events: &[Event], actions: &mut Vec<Action>) {
-        let (longest, few) = (self.settings.idle_close, FEW_SENDERS as Micros);
+        let (longest, few) = (self.settings.idle_timeout, FEW_SENDERS as Micros);
         let senders = self.settings.senders.max(1) as Micros;
         for event in events {
-            let Event::Ended { endpoint: id, outcome, .. } = event else { continue };
-            if matches!(outcome, Outcome::ConnectFailed | Outcome::Crowded) {
+            let Event::AttemptCompleted { endpoint: id, outcome, .. } = event else { continue };
+            if matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionRejected) {
                 self.keep = (self.keep / 2).max(longest / (senders * senders) * few * few).min(longest);
             } else if *outcome == Outcome::Delivered {
                 let more = self.keep / 32 * few / senders.max(few) + 1;
                 self.keep = self.keep.saturating_add(more).min(longest);
             }
             if self.endpoints.get(id).is_some_and(|e| e.out == 0 && e.gap > self.keep) {
-                actions.push(Action::CloseIdle(*id));
+                actions.push(Action::CloseIdleConnections(*id));
             }
         }
     }
--- a/crates/decision/src/policy/hearsay.rs
+++ b/crates/decision/src/policy/hearsay.rs
@@ -1,10 +1,10 @@
 //! What this sender tells others of what it sees, and what it hears from them, put into the module's terms. Nothing is decided
-//! here: what hearsay counts for stands in `route.rs`, beside the guards that it adds to.
+//! here: what gossip counts for stands in `health`, beside the guards that it adds to.
 
-use shared::{Kind, Seen, Shared};
+use gossip::{FailureKind, Gossip, Observation};
 
 use super::Policy;
-use super::route::MAX_FAILURES;
+use crate::health::{FailureCounts, MAX_FAILURES};
 use crate::interface::*;
 
 /// Notes that are used for nothing are told of so often.
@@ -12,7 +12,7 @@
 
 impl Policy {
     /// What is shared is by destination; routes apart are a sender's own.
-    fn shared_of(&mut self, route: RouteId) -> Option<(&mut Shared, u16)> {
+    fn shared_of(&mut self, route: RouteId) -> Option<(&mut Gossip, u16)> {
         let (destination, None) = route else { return None };
         Some((self.shared.as_mut()?, destination.0))
     }
@@ -23,25 +23,30 @@
         route: RouteId,
         sent: Micros,
         outcome: Outcome,
-        before: (u32, u32),
-        after: (u32, u32),
+        before: FailureCounts,
+        after: FailureCounts,
     ) {
         let now = self.now;
-        let failed = after.0 > before.0;
+        let failed = after.failures > before.failures;
         let seen = match outcome {
-            Outcome::Delivered => Seen::Well(sent),
+            Outcome::Delivered => Observation::Success(sent),
             // One that is a limit's, or no more than one lost connection, is no evidence.
-            Outcome::Full(_) if after.1 > before.1 && after.1 >= MAX_FAILURES => {
-                Seen::Bad(Kind::Shut, after.1)
+            Outcome::Rejected(_)
+                if after.unattributed_rejections > before.unattributed_rejections
+                    && after.unattributed_rejections >= MAX_FAILURES =>
+            {
+                Observation::Failure(FailureKind::Shut, after.unattributed_rejections)
+            }
+            Outcome::Rejected(_) => Observation::Rejected,
+            Outcome::Error if failed => Observation::Failure(FailureKind::Failing, after.failures),
+            Outcome::TimedOut if failed => Observation::Failure(FailureKind::Silent, after.failures),
+            Outcome::ConnectFailed | Outcome::Reset if failed => {
+                Observation::Failure(FailureKind::Unreachable, after.failures)
             }
-            Outcome::Full(_) => Seen::Refused,
-            Outcome::Error if failed => Seen::Bad(Kind::Failing, after.0),
-            Outcome::TimedOut if failed => Seen::Bad(Kind::Silent, after.0),
-            Outcome::ConnectFailed | Outcome::Reset if failed => Seen::Bad(Kind::Unreachable, after.0),
             _ => return,
         };
         if let Some((shared, destination)) = self.shared_of(route) {
-            shared.saw(destination, seen, now);
+            shared.observe(destination, seen, now);
         }
     }
 
@@ -49,7 +54,7 @@
     pub(super) fn share_limit(&mut self, route: RouteId, limit: f64) {
         let now = self.now;
         if let Some((shared, destination)) = self.shared_of(route) {
-            shared.saw_limit(destination, limit as f32, now);
+            shared.observe_limit(destination, limit as f32, now);
         }
     }
 
@@ -57,18 +62,18 @@
     pub(super) fn share_wait(&mut self, route: RouteId, until: Micros) {
         let now = self.now;
         if let Some((shared, destination)) = self.shared_of(route) {
-            shared.saw_wait(destination, until, now);
+            shared.observe_wait(destination, until, now);
         }
     }
 
     /// A note came.
     pub(super) fn hear(&mut self, from: u16, content: &[u8], actions: &mut Vec<Action>) {
         let Some(shared) = &mut self.shared else { return };
-        if let Err(why) = shared.hear(from, content, self.now)
+        if let Err(why) = shared.receive(from, content, self.now)
             && self.now >= self.complain_at
         {
             self.complain_at = self.now + COMPLAIN_EVERY;
-            let (_, rejected) = shared.traffic();
+            let rejected = shared.traffic().rejected_messages;
             let line = format!("a note from sender {from} is used for nothing ({rejected} so far): {why}");
             actions.push(Action::Log(line));
         }
@@ -80,18 +85,20 @@
             return;
         };
         let belief = shared.belief(destination.0, self.now);
-        if belief.ill.is_some() && !route.heard_ill || belief.wait_until > route.wait_until {
-            route.heard(&belief, self.now);
+        if belief.unhealthy.is_some() && !route.is_reported_unhealthy()
+            || belief.wait_until > route.wait_until()
+        {
+            route.record_gossip(&belief, self.now);
         }
     }
 
     /// Routes hear what is believed otherwise now.
     pub(super) fn heed(&mut self, now: Micros) {
         let Some(shared) = &mut self.shared else { return };
-        for (destination, belief) in shared.changed(now) {
+        for (destination, belief) in shared.take_changes(now) {
             let id = (DestinationId(destination), None);
             if let Some(route) = self.routes.get_mut(&id) {
-                route.heard(&belief, now);
+                route.record_gossip(&belief, now);
                 self.book.waiting.touch(id.0);
             }
         }
@@ -104,14 +111,16 @@
             if let Action::Attempt { message, .. } = action
                 && let Some(held) = self.book.get(message).filter(|held| held.attempts > 1)
             {
-                shared.repeats(held.message.destination.0, now);
+                shared.count_retry(held.message.destination.0, now);
             }
         }
-        actions.extend(shared.speak(now).into_iter().map(|(to, content)| Action::Tell { to, content }));
+        actions.extend(
+            shared.publish(now).into_iter().map(|m| Action::SendGossip { to: m.to, content: m.content }),
+        );
     }
 
     /// What is shared, for operators.
-    pub fn shared(&self) -> Option<&Shared> {
+    pub fn shared(&self) -> Option<&Gossip> {
         self.shared.as_ref()
     }
 }
--- a/crates/decision/src/policy/moving.rs
+++ b/crates/decision/src/policy/moving.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::Policy;
-use super::route::Route;
 use crate::book::Held;
 use crate::calls::Moved;
 use crate::endpoints::Endpoint;
+use crate::health::RouteHealth;
 use crate::interface::*;
 
 /// All that a module knew of a destination. It is in one place at a time: parted from one module, joined to another.
@@ -20,8 +20,8 @@
     /// When it was parted, on the clock of the events.
     at: Micros,
     messages: Vec<Held>,
-    routes: Vec<(RouteId, Route)>,
-    asleep: Vec<(RouteId, Learnt)>,
+    routes: Vec<(RouteId, RouteHealth)>,
+    asleep: Vec<(RouteId, RouteSnapshot)>,
     endpoints: Vec<(EndpointId, Endpoint)>,
     calls: Vec<Moved>,
 }
@@ -116,7 +116,7 @@
         }
         let (routes, asleep) = self.routes.part(destination, &self.endpoints, self.now);
         let mut calls = self.calls.part(destination);
-        calls.iter_mut().for_each(|moved| moved.waking = self.waking.ended(moved.number));
+        calls.iter_mut().for_each(|moved| moved.waking = self.waking.call_completed(moved.number));
         Ok(Parcel {
             destination,
             at: self.now,
@@ -137,7 +137,7 @@
         self.routes.join(destination, routes, asleep, &self.endpoints, self.now);
         for moved in calls {
             if moved.waking {
-                self.waking.begun(moved.number);
+                self.waking.call_started(moved.number);
             }
             self.calls.join(moved);
         }
--- a/crates/decision/src/routes.rs
+++ b/crates/decision/src/routes.rs
@@ -1,33 +1,35 @@
 //! The routes of destinations that are awake, and what is remembered of those that sleep. It keeps and forgets; what a
-//! route may do, woken or not, is decided in `policy/route.rs`.
+//! route may do, woken or not, is decided in `health`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use dormant::{Awake, Facts, Memory};
+use idle_destinations::{ActiveSet, IdleTable, RetainedHealth};
 
 use serde::{Deserialize, Serialize};
 
 use crate::endpoints::Endpoints;
-use crate::interface::{DestinationId, Dormant, EndpointId, Learnt, Micros, RouteId, Rules, Settings, Worst};
-use crate::policy::route::Route;
+use crate::health::{RouteHealth, from_retained, to_retained};
+use crate::interface::{
+    DestinationId, EndpointId, IdlePolicy, Micros, RouteId, RouteSnapshot, Rules, Settings,
+};
 
 /// So many destinations may fall asleep in a tick.
 const SLEEP_AT_ONCE: usize = 64;
 
 /// What is remembered of a route that sleeps.
-pub(crate) type Asleep = (RouteId, Learnt);
+pub(crate) type Asleep = (RouteId, RouteSnapshot);
 
 /// All routes.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Routes {
-    dormant: Option<Dormant>,
+    dormant: Option<IdlePolicy>,
     rules: Rules,
-    routes: BTreeMap<RouteId, Route>,
-    awake: Awake<DestinationId>,
-    memory: Memory<RouteId>,
+    routes: BTreeMap<RouteId, RouteHealth>,
+    awake: ActiveSet<DestinationId>,
+    memory: IdleTable<RouteId>,
     /// What an earlier process learnt of routes that nothing has come for since; bounded by what it had.
     #[serde(default)]
-    learnt: HashMap<RouteId, Learnt>,
+    learnt: HashMap<RouteId, RouteSnapshot>,
     /// Something that it learnt is lost: who is not known may be ill.
     #[serde(default)]
     learnt_lost: bool,
@@ -36,14 +38,14 @@
 impl Routes {
     /// None is known.
     pub fn new(settings: &Settings, now: Micros) -> Self {
-        let dormant = settings.dormant;
-        let (most, remember) = dormant.map_or((0, 0), |d| (d.most, d.remember));
+        let dormant = settings.idle;
+        let (most, remember) = dormant.map_or((0, 0), |d| (d.max_retained, d.retain_for));
         Self {
             dormant,
             rules: settings.rules.clone(),
             routes: BTreeMap::new(),
-            awake: Awake::new(dormant.map(|d| d.after)),
-            memory: Memory::new(most, remember, now),
+            awake: ActiveSet::new(dormant.map(|d| d.idle_after)),
+            memory: IdleTable::new(most, remember, now),
             learnt: HashMap::new(),
             learnt_lost: false,
         }
@@ -51,9 +53,9 @@
 
     /// An earlier process learnt that of a route. Where destinations sleep it is remembered as of one that does, so that
     /// the bound on what sleeps counts for it too.
-    pub fn learnt(&mut self, id: RouteId, learnt: Learnt, endpoints: &Endpoints, now: Micros) {
+    pub fn learnt(&mut self, id: RouteId, learnt: RouteSnapshot, endpoints: &Endpoints, now: Micros) {
         if let Some(route) = self.routes.get_mut(&id) {
-            route.wait_until = route.wait_until.max(learnt.wait_until);
+            route.wait_until_at_least(learnt.wait_until);
             return;
         }
         // Guards a wait against a destination that is back under other endpoints.
@@ -61,22 +63,22 @@
         let (id, learnt) = if listed {
             (id, learnt)
         } else {
-            ((id.0, None), Learnt { wait_until: learnt.wait_until, ..Learnt::default() })
+            ((id.0, None), RouteSnapshot { wait_until: learnt.wait_until, ..RouteSnapshot::default() })
         };
         if !listed && learnt.wait_until <= now {
             return;
         }
         if let Some(route) = self.routes.get_mut(&id).filter(|_| !listed) {
-            route.wait_until = route.wait_until.max(learnt.wait_until);
+            route.wait_until_at_least(learnt.wait_until);
             return;
         }
         let before = self.learnt.get(&id).map_or(0, |before| before.wait_until);
         let wait_until = learnt.wait_until.max(before);
         let learnt = match self.learnt.get(&id).filter(|_| !listed) {
-            Some(before) => Learnt { wait_until, ..*before },
-            None => Learnt { wait_until, ..learnt },
+            Some(before) => RouteSnapshot { wait_until, ..*before },
+            None => RouteSnapshot { wait_until, ..learnt },
         };
-        if self.dormant.is_none() || self.memory.keep(id, packed(&learnt), now).is_err() {
+        if self.dormant.is_none() || self.memory.insert(id, to_retained(&learnt), now).is_err() {
             self.learnt.insert(id, learnt);
         }
     }
@@ -84,7 +86,7 @@
     /// What an earlier process learnt is lost.
     pub fn learnt_lost(&mut self) {
         self.learnt_lost = true;
-        self.memory.lost();
+        self.memory.mark_incomplete();
     }
 
     /// What is known of a destination's routes, awake or not, for another process.
@@ -93,15 +95,16 @@
         destination: DestinationId,
         endpoints: &Endpoints,
         now: Micros,
-    ) -> Vec<(RouteId, Learnt)> {
+    ) -> Vec<(RouteId, RouteSnapshot)> {
         let all = (destination, None)..=(destination, Some(EndpointId([u8::MAX; 6])));
-        let mut known: BTreeMap<RouteId, Learnt> =
-            self.routes.range(all).map(|(id, route)| (*id, learnt(route, &self.rules, now))).collect();
+        let mut known: BTreeMap<RouteId, RouteSnapshot> =
+            self.routes.range(all).map(|(id, route)| (*id, route.snapshot(&self.rules, now))).collect();
         let mut asleep: BTreeSet<RouteId> =
             endpoints.of(destination).filter_map(|(id, _)| endpoints.route(id)).collect();
         asleep.insert((destination, None));
         for id in asleep {
-            let remembered = || self.learnt.get(&id).copied().or_else(|| self.memory.peek(id).map(unpacked));
+            let remembered =
+                || self.learnt.get(&id).copied().or_else(|| self.memory.peek(id).map(from_retained));
             if let (false, Some(learnt)) = (known.contains_key(&id), remembered()) {
                 known.insert(id, learnt);
             }
@@ -115,7 +118,7 @@
         destination: DestinationId,
         endpoints: &Endpoints,
         now: Micros,
-    ) -> (Vec<(RouteId, Route)>, Vec<Asleep>) {
+    ) -> (Vec<(RouteId, RouteHealth)>, Vec<Asleep>) {
         let known = self.known(destination, endpoints, now);
         let (mut awake, mut asleep) = (Vec::new(), Vec::new());
         for (id, learnt) in known {
@@ -124,7 +127,7 @@
                 None => asleep.push((id, learnt)),
             }
             self.learnt.remove(&id);
-            self.memory.forget(id);
+            self.memory.remove(id);
         }
         self.awake.forget(destination);
         (awake, asleep)
@@ -134,7 +137,7 @@
     pub fn join(
         &mut self,
         destination: DestinationId,
-        awake: Vec<(RouteId, Route)>,
+        awake: Vec<(RouteId, RouteHealth)>,
         asleep: Vec<Asleep>,
         endpoints: &Endpoints,
         now: Micros,
@@ -146,12 +149,12 @@
             return;
         }
         for (id, mut route) in awake {
-            let ours = self.routes.get(&id).map_or(0, |ours| ours.wait_until);
-            route.wait_until = route.wait_until.max(ours);
-            let listed = endpoints.listing(id).0;
+            let ours = self.routes.get(&id).map_or(0, |ours| ours.wait_until());
+            route.wait_until_at_least(ours);
+            let listed = endpoints.listing(id).calls_per_second;
             // A list that this module heard alone.
-            if listed > 0.0 && listed != route.listed {
-                (route.listed, route.told) = (listed, listed);
+            if listed > 0.0 {
+                route.list_limit(listed);
             }
             self.routes.insert(id, route);
         }
@@ -166,19 +169,19 @@
 
     /// The rules and the sleep that are so from now on.
     pub fn settle_under(&mut self, settings: &Settings) {
-        (self.dormant, self.rules) = (settings.dormant, settings.rules.clone());
+        (self.dormant, self.rules) = (settings.idle, settings.rules.clone());
     }
 
-    pub fn get(&self, id: &RouteId) -> Option<&Route> {
+    pub fn get(&self, id: &RouteId) -> Option<&RouteHealth> {
         self.routes.get(id)
     }
 
-    pub fn get_mut(&mut self, id: &RouteId) -> Option<&mut Route> {
+    pub fn get_mut(&mut self, id: &RouteId) -> Option<&mut RouteHealth> {
         self.routes.get_mut(id)
     }
 
     /// Those that are awake, in order.
-    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, &Route)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&RouteId, &RouteHealth)> {
         self.routes.iter()
     }
 
@@ -189,7 +192,7 @@
 
     /// In how long there may be room for a destination to wake, if it sleeps and there is none now.
     pub fn no_room(&self, destination: DestinationId, now: Micros) -> Option<Micros> {
-        let full = self.dormant.is_some_and(|d| self.awake.len() >= d.awake);
+        let full = self.dormant.is_some_and(|d| self.awake.len() >= d.max_active);
         let next = || self.awake.next_due().map_or(0, |at| at.saturating_sub(now));
         (full && !self.awake.contains(destination)).then(next)
     }
@@ -197,7 +200,7 @@
     /// Something comes for a destination: it is awake from now on.
     pub fn wake(&mut self, destination: DestinationId, endpoints: &Endpoints, now: Micros) {
         if !self.awake.contains(destination) {
-            self.awake.wake(destination, now);
+            self.awake.activate(destination, now);
             for id in endpoints.of(destination).filter_map(|(id, _)| endpoints.route(id)) {
                 self.rouse(id, endpoints, now);
             }
@@ -208,7 +211,7 @@
     /// before.
     pub fn listed(&mut self, id: RouteId, calls: f64, endpoints: &Endpoints, now: Micros) {
         match self.routes.get_mut(&id) {
-            Some(route) if calls != route.listed => (route.listed, route.told) = (calls, calls),
+            Some(route) => route.list_limit(calls),
             None if self.awake.contains(id.0) => self.rouse(id, endpoints, now),
             _ => {}
         }
@@ -218,16 +221,18 @@
     /// destination that is back under other endpoints.
     pub fn left(&mut self, destination: DestinationId, endpoint: EndpointId, now: Micros) {
         let id = (destination, Some(endpoint));
-        let asleep = self.memory.wait(id, now);
-        let wait = self.routes.remove(&id).map_or(asleep, |route| route.wait_until);
-        self.memory.forget(id);
-        let facts = Facts { wait_until: wait, ..Facts::default() };
-        if self.dormant.is_none() || wait <= now || self.memory.keep((destination, None), facts, now).is_ok()
+        let asleep = self.memory.wait_until(id, now);
+        let wait = self.routes.remove(&id).map_or(asleep, |route| route.wait_until());
+        self.memory.remove(id);
+        let facts = RetainedHealth { wait_until: wait, ..RetainedHealth::default() };
+        if self.dormant.is_none()
+            || wait <= now
+            || self.memory.insert((destination, None), facts, now).is_ok()
         {
             return;
         }
-        let route = self.routes.entry((destination, None)).or_insert_with(|| Route::new(now));
-        route.wait_until = route.wait_until.max(wait);
+        let route = self.routes.entry((destination, None)).or_insert_with(|| RouteHealth::new(now));
+        route.wait_until_at_least(wait);
     }
 
     /// Gives a route back what is remembered of it, and the wait of its destination.
@@ -236,15 +241,17 @@
             return;
         }
         let common = (id.0, None);
-        let wait = self.memory.wait(common, now).max(self.routes.get(&common).map_or(0, |r| r.wait_until));
+        let wait =
+            self.memory.wait_until(common, now).max(self.routes.get(&common).map_or(0, |r| r.wait_until()));
         let wait = wait.max(self.learnt.get(&common).map_or(0, |learnt| learnt.wait_until));
         let listing = endpoints.listing(id);
-        let lost = self.learnt_lost.then(Learnt::lost);
+        let lost = self.learnt_lost.then(RouteSnapshot::unknown);
         let mut route = match self.learnt.remove(&id).or(lost.filter(|_| self.dormant.is_none())) {
-            Some(learnt) => Route::learnt(&learnt, listing, &self.rules, now),
-            None => Route::woken(self.memory.take(id, now), listing, &self.rules, now),
+            Some(learnt) => RouteHealth::restored(&learnt, listing, &self.rules, now),
+            None => RouteHealth::activated(self.memory.take(id, now), listing, &self.rules, now),
         };
-        (route.wait_until, route.waking) = (route.wait_until.max(wait), self.dormant.is_some());
+        route.wait_until_at_least(wait);
+        route.begin_activation(self.dormant.is_some());
         self.routes.insert(id, route);
     }
 
@@ -256,16 +263,16 @@
             let Some(destination) = self.awake.take_due(now) else { return };
             let all = (destination, None)..=(destination, Some(EndpointId([u8::MAX; 6])));
             let facts = self.routes.range(all).map(|(id, route)| {
-                let idle = route.out == 0 && route.turn_at + dormant.after <= now;
-                idle.then(|| (*id, facts(route, &self.rules, now)))
+                let idle = route.in_flight() == 0 && route.checked_at() + dormant.idle_after <= now;
+                idle.then(|| (*id, route.retained(&self.rules, now)))
             });
             let facts = facts.collect::<Option<Vec<_>>>().filter(|_| !waits(destination));
             let memory = &mut self.memory;
             match facts {
-                Some(facts) if facts.iter().all(|f| memory.keep(f.0, f.1, now).is_ok()) => {
+                Some(facts) if facts.iter().all(|f| memory.insert(f.0, f.1, now).is_ok()) => {
                     facts.iter().for_each(|f| drop(self.routes.remove(&f.0)));
                 }
-                _ => self.awake.wake(destination, now),
+                _ => self.awake.activate(destination, now),
             }
         }
     }
@@ -275,108 +282,3 @@
         Some(self.awake.next_due()?.max(next_tick))
     }
 }
-
-/// What is remembered of a route that sleeps, of what was learnt of it.
-pub(crate) fn packed(learnt: &Learnt) -> Facts {
-    Facts {
-        wait_until: learnt.wait_until,
-        ill_since: learnt.ill_since,
-        cold_since: learnt.cold_since,
-        well_at: learnt.well_at,
-        limit: learnt.limit,
-        rate: learnt.rate,
-        pace: learnt.pace,
-        worst: learnt.worst,
-    }
-}
-
-fn unpacked(facts: Facts) -> Learnt {
-    Learnt {
-        wait_until: facts.wait_until,
-        ill_since: facts.ill_since,
-        cold_since: facts.cold_since,
-        well_at: facts.well_at,
-        limit: facts.limit,
-        rate: facts.rate,
-        pace: facts.pace,
-        worst: facts.worst,
-        ..Learnt::default()
-    }
-}
-
-/// All that is to be known of a route after the end of the process.
-fn learnt(route: &Route, rules: &Rules, now: Micros) -> Learnt {
-    let facts = facts(route, rules, now);
-    let due = route.breaker.due();
-    // One that goes on at once is no further than it was: a failure or two are no outage. One that sleeps is asked first.
-    let down = route.down(rules, now);
-    let worst = match facts.worst {
-        Worst::Failed if !down && route.fulls > 0 => Worst::Full,
-        Worst::Failed if !down => Worst::Well,
-        worst => worst,
-    };
-    Learnt {
-        worst,
-        failures: if down { 0 } else { route.bad_run },
-        ill_since: facts.ill_since.filter(|_| down),
-        short_at: route.short_at,
-        trial: (due > 0).then_some((due, route.breaker.reset)),
-        spent: route.sent.of_late(rules.overload_for, now),
-        answers: route.usual.mean_and_deviation(),
-        ..unpacked(facts)
-    }
-}
-
-/// What is to be remembered of a route.
-fn facts(route: &Route, rules: &Rules, now: Micros) -> Facts {
-    let ill = route.ill(rules, now);
-    let refused = if route.fulls > 0 { Worst::Full } else { Worst::Well };
-    Facts {
-        wait_until: route.wait_until,
-        ill_since: ill.then_some(route.bad_since),
-        cold_since: route.cold_since,
-        well_at: route.delivered_at,
-        limit: route.told,
-        rate: route.usual_rate(rules),
-        pace: if route.pace.rate.is_finite() { route.pace.rate } else { 0.0 },
-        worst: if ill { Worst::Failed } else { refused },
-    }
-}
-
-#[cfg(test)]
-use crate::interface::*;
-#[cfg(test)]
-#[path = "../tests/common/settings.rs"]
-pub(crate) mod settings;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::policy::route::{MAX_FAILURES, State};
-
-    /// A route that was refused so often, half a second apart, before a refusal at the limit that is told, and then served.
-    fn served_after(refusals: u32, told: bool) -> Route {
-        let settings = settings::settings();
-        let mut now = settings::SECOND;
-        let mut route = Route::new(now);
-        for call in 0..u64::from(refusals) + 1 {
-            now += settings::SECOND / 2;
-            if told || call == u64::from(refusals) {
-                route.used_up_at = now;
-            }
-            route.record(&settings, call, now - 1_000, Outcome::Full(None), now, 0.5);
-        }
-        now += settings::SECOND;
-        route.record(&settings, u64::MAX, now - 1_000, Outcome::Delivered, now, 0.5);
-        assert_eq!(route.breaker.state, State::Closed);
-        route
-    }
-
-    /// Guards a destination that was shut: that it refuses at its usual limit again does not make it warm.
-    #[test]
-    fn a_refusal_at_the_limit_does_not_undo_an_outage() {
-        assert!(served_after(MAX_FAILURES + 3, false).cold_since.is_some());
-        assert!(served_after(MAX_FAILURES + 3, true).cold_since.is_none(), "its limit alone is no outage");
-        assert!(served_after(1, false).cold_since.is_none());
-    }
-}
--- a/crates/fleet/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -3,13 +3,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use decision::interface::*;
+use decision::interface::{
+    Action, Class, Decay, DestinationId, DestinationKind, EndpointEntry, EndpointId, Event, GossipConfig,
+    Idempotency, IdempotencyScope, Listing, Message, MessageId, Micros, Outcome, RouteSnapshot, Rules,
+    Settings, Weights,
+};
 use decision::policy::Policy;
 
-use known::Kept;
-use known::belief::{Law, Start, believe};
-use known::replay::Snapshot;
-use known::stamp::Stamp;
+use health_snapshot::replay::Snapshot;
+use health_snapshot::restore::{Config, RestoreTime, restore};
+use health_snapshot::timestamp::Timestamp;
+use health_snapshot::{DestinationRecord, RouteKey, RouteRecord};
 
 use crate::partner::{Count, Partner};
 
@@ -17,39 +21,39 @@
 
 /// What happens to a sender.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
+enum SimEvent {
     /// A client hands in a message for that partner, to a sender that is drawn then.
-    Handed(usize),
+    Submitted(usize),
     /// The same, to that sender while it is up.
-    HandedTo(usize),
+    SubmittedTo(usize),
     /// A call arrives at its partner with these messages and attempts.
     Arrives(usize, Vec<(u32, u16)>),
     /// The answers to them arrive: delivered, refused with what is left and the limit, or not connected.
     Answered(usize, Vec<(u32, u16)>, Answer),
     /// A reminder that the module asked for.
-    Reminder(u64),
+    TimerFired(u64),
     /// Its process is killed.
     Killed,
     /// A new process begins with what is owed to messages, and the list.
-    Back,
+    Restarted,
     /// A note of that sender comes to this one.
-    Note(u16, Vec<u8>),
+    Gossip(u16, Vec<u8>),
 }
 
 /// The world begins then, by the clock on the wall that snapshots are kept by.
 const WALL: Micros = 1_000_000 * SECOND;
 
 /// What was learnt, with its times on the wall's clock.
-fn on_the_wall(learnt: Learnt) -> Learnt {
+fn on_the_wall(learnt: RouteSnapshot) -> RouteSnapshot {
     let at = |at: Micros| if at > 0 { WALL + at } else { 0 };
-    Learnt {
+    RouteSnapshot {
         wait_until: at(learnt.wait_until),
-        short_at: learnt.short_at.map(at),
-        ill_since: learnt.ill_since.map(at),
+        shortage_at: learnt.shortage_at.map(at),
+        unhealthy_since: learnt.unhealthy_since.map(at),
         cold_since: learnt.cold_since.map(at),
-        well_at: at(learnt.well_at),
+        last_success_at: at(learnt.last_success_at),
         trial: learnt.trial.map(|(due, reset)| (at(due), reset)),
-        spent: (learnt.spent.0, at(learnt.spent.1)),
+        recent_calls: (learnt.recent_calls.0, at(learnt.recent_calls.1)),
         ..learnt
     }
 }
@@ -60,34 +64,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Answer {
     Delivered,
-    Full,
+    Rejected,
     Failed,
 }
 
 /// A message that a sender has in hand.
 #[derive(Debug)]
-struct Held {
+struct PendingMessage {
     partner: usize,
     class: usize,
     end: Micros,
-    aim: Micros,
+    objective_at: Micros,
     /// When the call that is out began.
-    out: Option<Micros>,
+    in_flight_since: Option<Micros>,
     /// When the first call took effect that its sender does not know of.
     ran: Option<Micros>,
     /// Calls that were out when a process ended: when they began.
     unclear: Vec<Micros>,
-    tries: u16,
+    attempts: u16,
 }
 
-impl Held {
+impl PendingMessage {
     /// Whether a further call, or advice to come again, could do harm.
     fn harmed_by_more(&self, settings: &Settings, now: Micros) -> bool {
         let Some(ran) = self.ran else { return false };
-        match settings.classes[self.class].effect {
-            Effect::Repeatable => false,
-            Effect::Keyed { window, .. } => now > ran + window,
-            Effect::Once => true,
+        match settings.classes[self.class].idempotency {
+            Idempotency::Idempotent => false,
+            Idempotency::Keyed { window, .. } => now > ran + window,
+            Idempotency::NonIdempotent => true,
         }
     }
 }
@@ -98,12 +102,12 @@
     /// Messages with no final answer when their time was up.
     pub lost: u32,
     /// Messages with two attempts at once, or sent or refused again after one that had run.
-    pub twice: u32,
+    pub duplicates: u32,
 }
 
 struct Node {
     policy: Policy,
-    held: BTreeMap<u32, Held>,
+    pending: BTreeMap<u32, PendingMessage>,
     next: u32,
     /// Processes so far.
     process: u32,
@@ -118,15 +122,15 @@
 
 /// What senders say to one another.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Notes {
+pub struct GossipFaults {
     /// The part of the notes that is lost.
     pub lost: f64,
     /// Parts of limits are lent.
-    pub lends: bool,
+    pub quota_transfer: bool,
 }
 
 /// What happens when, with its number, and to which process of which sender; the earliest first.
-type Due = Reverse<(Micros, u64, usize, u32, Happening)>;
+type Due = Reverse<(Micros, u64, usize, u32, SimEvent)>;
 
 /// Senders and partners on one clock.
 pub struct World {
@@ -135,16 +139,16 @@
     /// What broke a rule.
     pub verdicts: Verdicts,
     /// Messages that were handed back, or failed.
-    pub given_up: u32,
+    pub abandoned: u32,
     /// Whether processes that end leave what they learnt to the next.
-    pub keeps: bool,
+    pub keeps_snapshots: bool,
     /// Senders send one another notes; none without it.
-    shares: Option<Notes>,
+    shares: Option<GossipFaults>,
     /// Bytes of notes that came.
     pub bytes: u64,
     nodes: Vec<Node>,
     settings: Settings,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     queue: BinaryHeap<Due>,
     reports: BTreeMap<u64, Vec<f32>>,
     made: u64,
@@ -155,73 +159,91 @@
 /// Settings of a large fleet: two kinds of destination, the second of which takes five messages in a call.
 pub fn settings(senders: usize) -> Settings {
     let class = |effect, worth| Class {
-        effect,
-        aim: 4 * SECOND,
+        idempotency: effect,
+        latency_objective: 4 * SECOND,
         deadline: 12 * SECOND,
-        worth,
-        late_worth: 0.3,
+        priority_weight: worth,
+        late_weight: 0.3,
         in_order: false,
     };
-    let keyed = Effect::Keyed { group: Group::All, window: 3 * SECOND };
+    let keyed = Idempotency::Keyed { scope: IdempotencyScope::All, window: 3 * SECOND };
     Settings {
-        classes: vec![class(keyed, 2.0), class(Effect::Once, 1.0)],
+        classes: vec![class(keyed, 2.0), class(Idempotency::NonIdempotent, 1.0)],
         tenants: vec![],
-        kinds: vec![Kind { routes_apart: false, bundle: 1 }, Kind { routes_apart: false, bundle: 5 }],
-        tolls: vec![0.0],
-        decay: Decay::Halves,
-        slots: 5,
-        max_open: 64,
-        try_limit: 6,
-        second_copies: false,
-        cancelling: true,
-        probing: true,
-        probe_price: 0.01,
-        refused_price: 0.1,
+        kinds: vec![
+            DestinationKind { separate_routes: false, max_batch: 1 },
+            DestinationKind { separate_routes: false, max_batch: 5 },
+        ],
+        zone_fees: vec![0.0],
+        decay: Decay::Halving,
+        max_calls: 5,
+        max_messages: 64,
+        max_attempts: 6,
+        hedging: false,
+        cancellation: true,
+        health_checks: true,
+        health_check_price: 0.01,
+        rejection_price: 0.1,
         connect_timeout: SECOND,
-        idle_close: 5 * SECOND,
+        idle_timeout: 5 * SECOND,
         max_retry_after: 3 * SECOND,
-        must_ask: false,
+        polling_only: false,
         weights: Weights::Rough,
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         report: (Some(0), Some(1)),
         senders,
         period: 1_000,
-        dormant: None,
-        shared: None,
+        idle: None,
+        gossip: None,
         rules: Rules {
             answer_slack: 5_000,
-            ask_every: None,
+            poll_interval: None,
             cold_share: 0.18,
             warm_within: 14 * SECOND,
-            fall_multiple: 2.0,
+            overload_multiple: 2.0,
             overload_for: 3 * SECOND,
-            drain_grace: 2 * SECOND,
-            order_pause: 0,
+            drain_timeout: 2 * SECOND,
+            ordering_pause: 0,
         },
     }
 }
 
 /// What a sender of that rank is told.
-fn settings_of(me: usize, senders: usize, notes: Option<Notes>) -> Settings {
+fn settings_of(me: usize, senders: usize, notes: Option<GossipFaults>) -> Settings {
     let (me, all) = (me as u16, senders as u16);
-    let bytes = (25.0, 100.0);
-    let law =
-        |notes: Notes| SharedLaw { me, run: 1, senders: all, broadcast: true, bytes, lends: notes.lends };
-    Settings { shared: notes.map(law), ..settings(senders) }
+    let byte_budget = (25.0, 100.0).into();
+    let law = |notes: GossipFaults| GossipConfig {
+        member: me,
+        incarnation: 1,
+        senders: all,
+        broadcast: true,
+        byte_budget,
+        quota_transfer: notes.quota_transfer,
+    };
+    Settings { gossip: notes.map(law), ..settings(senders) }
 }
 
-fn new_held(partner: usize, class: usize, end: Micros, aim: Micros) -> Held {
-    Held { partner, class, end, aim, out: None, ran: None, unclear: vec![], tries: 0 }
+fn new_held(partner: usize, class: usize, end: Micros, aim: Micros) -> PendingMessage {
+    PendingMessage {
+        partner,
+        class,
+        end,
+        objective_at: aim,
+        in_flight_since: None,
+        ran: None,
+        unclear: vec![],
+        attempts: 0,
+    }
 }
 
 /// A message as it is handed in, or picked up again.
-fn message(id: u32, held: &Held, now: Micros) -> Message {
+fn message(id: u32, held: &PendingMessage, now: Micros) -> Message {
     Message {
         id: MessageId(id),
         class: held.class,
         tenant: 0,
         key: None,
-        time_left: held.end.saturating_sub(now),
+        remaining_time: held.end.saturating_sub(now),
         hint: None,
         destination: DestinationId(held.partner as u16),
     }
@@ -238,23 +260,28 @@
     }
 
     /// The same with notes between them.
-    pub fn with_notes(senders: usize, partners: Vec<Partner>, seed: u64, shares: Option<Notes>) -> Self {
+    pub fn with_notes(
+        senders: usize,
+        partners: Vec<Partner>,
+        seed: u64,
+        shares: Option<GossipFaults>,
+    ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let entries: Vec<_> = partners
             .iter()
             .enumerate()
-            .map(|(at, partner)| Entry {
+            .map(|(at, partner)| EndpointEntry {
                 endpoint: endpoint(at),
                 destination: DestinationId(at as u16),
                 zone: 0,
-                kind: usize::from(partner.bundle > 1),
+                kind: usize::from(partner.max_batch > 1),
                 weight: partner.limit * partner.listed,
                 listing: Listing::Ready,
             })
             .collect();
         let node = |me| Node {
             policy: Policy::new(settings_of(me, senders, shares), rng.u64(..), 0),
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next: 0,
             process: 0,
             up: true,
@@ -266,8 +293,8 @@
         let mut world = Self {
             partners,
             verdicts: Verdicts::default(),
-            given_up: 0,
-            keeps: false,
+            abandoned: 0,
+            keeps_snapshots: false,
             shares,
             bytes: 0,
             nodes,
@@ -280,7 +307,7 @@
             rng,
         };
         for sender in 0..senders {
-            let list = Event::List(world.entries.clone());
+            let list = Event::EndpointList(world.entries.clone());
             world.tell(sender, &[list]);
         }
         world
@@ -307,13 +334,13 @@
                 if at >= until as f64 {
                     break;
                 }
-                self.later(at as Micros, 0, Happening::Handed(partner));
+                self.later(at as Micros, 0, SimEvent::Submitted(partner));
             }
         }
         while self.queue.peek().is_some_and(|next| next.0.0 <= until) {
             let Some(Reverse((at, number, sender, process, what))) = self.queue.pop() else { break };
             self.now = at;
-            self.happens(number, sender, process, what);
+            self.handle(number, sender, process, what);
         }
         self.now = until;
     }
@@ -323,8 +350,8 @@
     pub fn release(&mut self, killed: usize, seconds: f64, kept: usize) {
         for sender in 0..killed {
             let at = self.now + (self.rng.f64() * seconds * SECOND as f64) as Micros;
-            self.later(at, sender, Happening::Killed);
-            self.later(at + RESTART, sender, Happening::Back);
+            self.later(at, sender, SimEvent::Killed);
+            self.later(at + RESTART, sender, SimEvent::Restarted);
             self.nodes[sender].traffic = f64::from(u8::from(sender % kept == 0));
         }
     }
@@ -339,7 +366,7 @@
         let sender = self.rng.usize(..self.nodes.len());
         for _ in 0..count {
             let at = self.now as f64 + (at + self.rng.f64() * seconds) * SECOND as f64;
-            self.later(at as Micros, sender, Happening::HandedTo(partner));
+            self.later(at as Micros, sender, SimEvent::SubmittedTo(partner));
         }
     }
 
@@ -353,37 +380,37 @@
         })
     }
 
-    fn later(&mut self, at: Micros, sender: usize, what: Happening) -> u64 {
+    fn later(&mut self, at: Micros, sender: usize, what: SimEvent) -> u64 {
         self.made += 1;
         let process = self.nodes[sender].process;
         self.queue.push(Reverse((at, self.made, sender, process, what)));
         self.made
     }
 
-    fn happens(&mut self, number: u64, sender: usize, process: u32, what: Happening) {
+    fn handle(&mut self, number: u64, sender: usize, process: u32, what: SimEvent) {
         let now = self.now;
         match what {
-            Happening::Handed(partner) => {
+            SimEvent::Submitted(partner) => {
                 if let Some(sender) = self.draw_sender() {
                     self.hand_in(sender, partner);
                 }
             }
-            Happening::HandedTo(partner) => {
+            SimEvent::SubmittedTo(partner) => {
                 let sender = if self.nodes[sender].up { Some(sender) } else { self.draw_sender() };
                 if let Some(sender) = sender {
                     self.hand_in(sender, partner);
                 }
             }
-            Happening::Arrives(partner, parts) => {
+            SimEvent::Arrives(partner, parts) => {
                 let (outcome, report) = self.partners[partner].call(now);
-                let takes = self.partners[partner].takes * (0.5 + self.rng.f64());
+                let takes = self.partners[partner].call_seconds * (0.5 + self.rng.f64());
                 let (answer, takes) = match outcome {
                     Outcome::Delivered => (Answer::Delivered, takes),
-                    Outcome::Full(_) => (Answer::Full, 0.0),
+                    Outcome::Rejected(_) => (Answer::Rejected, 0.0),
                     _ => (Answer::Failed, 0.0),
                 };
                 for (id, _) in parts.iter().filter(|_| answer == Answer::Delivered) {
-                    if let Some(held) = self.nodes[sender].held.get_mut(id) {
+                    if let Some(held) = self.nodes[sender].pending.get_mut(id) {
                         held.ran.get_or_insert(now);
                     }
                 }
@@ -394,11 +421,11 @@
                     self.made,
                     sender,
                     process,
-                    Happening::Answered(partner, parts, answer),
+                    SimEvent::Answered(partner, parts, answer),
                 )));
                 self.reports.insert(self.made, report);
             }
-            Happening::Answered(partner, parts, answer) => {
+            SimEvent::Answered(partner, parts, answer) => {
                 let report = self.reports.remove(&number).unwrap_or_default();
                 if process != self.nodes[sender].process {
                     return;
@@ -409,26 +436,26 @@
                     .collect();
                 self.tell(sender, &events);
             }
-            Happening::Reminder(token) if process == self.nodes[sender].process => {
-                self.tell(sender, &[Event::Reminder(token)]);
+            SimEvent::TimerFired(token) if process == self.nodes[sender].process => {
+                self.tell(sender, &[Event::TimerFired(token)]);
             }
-            Happening::Reminder(_) => {}
-            Happening::Killed => {
-                if self.keeps {
+            SimEvent::TimerFired(_) => {}
+            SimEvent::Killed => {
+                if self.keeps_snapshots {
                     self.keep(sender);
                 }
                 let node = &mut self.nodes[sender];
                 (node.up, node.process) = (false, node.process + 1);
-                for held in node.held.values_mut() {
-                    held.unclear.extend(held.out.take());
+                for held in node.pending.values_mut() {
+                    held.unclear.extend(held.in_flight_since.take());
                 }
             }
-            Happening::Back => self.back(sender),
-            Happening::Note(from, content) if self.nodes[sender].up => {
+            SimEvent::Restarted => self.back(sender),
+            SimEvent::Gossip(from, content) if self.nodes[sender].up => {
                 self.bytes += content.len() as u64;
-                self.tell(sender, &[Event::Note { from, content }]);
+                self.tell(sender, &[Event::GossipReceived { from, content }]);
             }
-            Happening::Note(..) => {}
+            SimEvent::Gossip(..) => {}
         }
     }
 
@@ -439,14 +466,18 @@
 
     fn keep(&mut self, sender: usize) {
         let node = &mut self.nodes[sender];
-        let stamp = Stamp { wall: WALL + self.now, boot: None };
-        let mut snapshot = Snapshot { stamp, found: true, ..Snapshot::default() };
+        let timestamp = Timestamp { wall: WALL + self.now, boot: None };
+        let mut snapshot = Snapshot { timestamp, found: true, ..Snapshot::default() };
         for destination in node.policy.known_destinations() {
-            let routes =
-                node.policy.learnt(destination).into_iter().map(|(_, learnt)| (None, on_the_wall(learnt)));
-            let kept = Kept { at: stamp.wall, listed: vec![], routes: routes.collect() };
-            for (_, learnt) in kept.routes.iter().filter(|route| route.1.wait_until > stamp.wall) {
-                snapshot.waits.insert((destination.0, None), learnt.wait_until);
+            let routes = node
+                .policy
+                .learnt(destination)
+                .into_iter()
+                .map(|(_, learnt)| RouteRecord { endpoint: None, snapshot: on_the_wall(learnt) });
+            let kept = DestinationRecord { at: timestamp.wall, listed: vec![], routes: routes.collect() };
+            for route in kept.routes.iter().filter(|route| route.snapshot.wait_until > timestamp.wall) {
+                let key = RouteKey { destination: destination.0, endpoint: None };
+                snapshot.waits.insert(key, route.snapshot.wait_until);
             }
             snapshot.destinations.insert(destination.0, kept);
         }
@@ -456,12 +487,12 @@
     /// What a sender believes that comes back now.
     fn believed(&self, sender: usize) -> Vec<Event> {
         let Some(snapshot) = &self.nodes[sender].snapshot else { return vec![] };
-        let stamp = Stamp { wall: WALL + self.now, boot: None };
-        let law = Law { span: 3_600 * SECOND, aim: 4 * SECOND };
-        let belief = believe(snapshot, &Start { now: self.now, stamp }, 0, &law);
-        let told = |believed: known::belief::Believed| Event::Learnt {
+        let timestamp = Timestamp { wall: WALL + self.now, boot: None };
+        let law = Config { span: 3_600 * SECOND, latency_objective: 4 * SECOND };
+        let belief = restore(snapshot, &RestoreTime { now: self.now, timestamp }, 0, &law);
+        let told = |believed: health_snapshot::restore::RestoredRoute| Event::SnapshotRestored {
             route: (DestinationId(believed.destination), None),
-            learnt: believed.learnt,
+            snapshot: believed.snapshot,
         };
         belief.routes.into_iter().map(told).collect()
     }
@@ -473,9 +504,9 @@
         let node = &mut self.nodes[sender];
         node.next += 1;
         let (id, end, aim) = (node.next, now + 12 * SECOND, now + 4 * SECOND);
-        node.held.insert(id, new_held(partner, class, end, aim));
+        node.pending.insert(id, new_held(partner, class, end, aim));
         self.partners[partner].count(now, |count| count.offered += 1);
-        let message = message(id, &self.nodes[sender].held[&id], now);
+        let message = message(id, &self.nodes[sender].pending[&id], now);
         self.tell(sender, &[Event::Accepted(message)]);
     }
 
@@ -486,13 +517,13 @@
         let believed = self.believed(sender);
         let node = &mut self.nodes[sender];
         (node.up, node.since, node.policy) = (true, now, Policy::new(settings, seed, now));
-        let mut events = vec![Event::List(self.entries.clone())];
+        let mut events = vec![Event::EndpointList(self.entries.clone())];
         events.extend(believed);
-        events.extend(node.held.iter().map(|(id, held)| Event::Resumed {
+        events.extend(node.pending.iter().map(|(id, held)| Event::Recovered {
             message: message(*id, held, now),
-            attempts: held.tries.into(),
+            attempts: held.attempts.into(),
             may_have_run: held.unclear.iter().map(|began| (now - began, endpoint(held.partner))).collect(),
-            effect: None,
+            idempotency: None,
         }));
         self.tell(sender, &events);
     }
@@ -508,25 +539,25 @@
     ) -> Event {
         let now = self.now;
         let delivered = answer == Answer::Delivered;
-        let held = self.nodes[sender].held.get_mut(&id);
+        let held = self.nodes[sender].pending.get_mut(&id);
         if let Some(held) = held {
-            held.out = None;
+            held.in_flight_since = None;
             if delivered {
-                let in_time = now <= held.aim;
-                self.nodes[sender].held.remove(&id);
+                let in_time = now <= held.objective_at;
+                self.nodes[sender].pending.remove(&id);
                 self.partners[partner].count(now, |count| {
                     count.delivered += 1;
                     count.in_time += u32::from(in_time);
                 });
             }
         }
-        Event::Ended {
+        Event::AttemptCompleted {
             message: MessageId(id),
             attempt,
             endpoint: endpoint(partner),
             outcome: match answer {
                 Answer::Delivered => Outcome::Delivered,
-                Answer::Full => Outcome::Full(None),
+                Answer::Rejected => Outcome::Rejected(None),
                 Answer::Failed => Outcome::ConnectFailed,
             },
             terminal: delivered,
@@ -537,13 +568,13 @@
 
     /// A note goes to one, or to all, late or not at all.
     fn send_note(&mut self, sender: usize, to: Option<u16>, content: &[u8]) {
-        let Some(Notes { lost, .. }) = self.shares else { return };
+        let Some(GossipFaults { lost, .. }) = self.shares else { return };
         let all =
             (0..self.nodes.len()).filter(|other| to.map_or(*other != sender, |to| *other == usize::from(to)));
         for other in all.collect::<Vec<_>>() {
             if self.rng.f64() >= lost {
                 let at = self.now + self.rng.u64(4_200..32_000);
-                let what = Happening::Note(sender as u16, content.to_vec());
+                let what = SimEvent::Gossip(sender as u16, content.to_vec());
                 self.made += 1;
                 self.queue.push(Reverse((at, self.made, other, 0, what)));
             }
@@ -557,40 +588,40 @@
         for action in actions {
             match action {
                 Action::Attempt { message: MessageId(id), .. } => {
-                    let Some(held) = self.nodes[sender].held.get_mut(&id) else {
-                        self.verdicts.twice += 1;
+                    let Some(held) = self.nodes[sender].pending.get_mut(&id) else {
+                        self.verdicts.duplicates += 1;
                         continue;
                     };
-                    let harm = held.out.is_some() || held.harmed_by_more(&self.settings, now);
-                    self.verdicts.twice += u32::from(harm);
+                    let harm = held.in_flight_since.is_some() || held.harmed_by_more(&self.settings, now);
+                    self.verdicts.duplicates += u32::from(harm);
                     self.verdicts.lost += u32::from(now > held.end);
-                    held.out = Some(now);
-                    held.tries += 1;
-                    calls.entry(held.partner).or_default().push((id, held.tries - 1));
+                    held.in_flight_since = Some(now);
+                    held.attempts += 1;
+                    calls.entry(held.partner).or_default().push((id, held.attempts - 1));
                 }
-                Action::Refuse { message: MessageId(id), .. } | Action::Fail(MessageId(id)) => {
-                    if let Some(held) = self.nodes[sender].held.remove(&id) {
-                        let refused = matches!(action, Action::Refuse { .. });
+                Action::Reject { message: MessageId(id), .. } | Action::Fail(MessageId(id)) => {
+                    if let Some(held) = self.nodes[sender].pending.remove(&id) {
+                        let refused = matches!(action, Action::Reject { .. });
                         let harm = refused && held.harmed_by_more(&self.settings, now);
-                        self.verdicts.twice += u32::from(harm);
+                        self.verdicts.duplicates += u32::from(harm);
                         // No end is overdue until so long after its sender is back.
                         let restarted = self.nodes[sender].since + if process > 0 { 1_500_000 } else { 0 };
                         self.verdicts.lost += u32::from(now > held.end.max(restarted) + 5_000);
-                        self.given_up += 1;
+                        self.abandoned += 1;
                     }
                 }
-                Action::Tell { to, content } => self.send_note(sender, to, &content),
-                Action::Remind { at, token } => {
-                    self.later(at.max(now + 1), sender, Happening::Reminder(token));
+                Action::SendGossip { to, content } => self.send_note(sender, to, &content),
+                Action::SetTimer { at, token } => {
+                    self.later(at.max(now + 1), sender, SimEvent::TimerFired(token));
                 }
                 _ => {}
             }
         }
         for (partner, parts) in calls {
-            let bundle = self.partners[partner].bundle;
+            let bundle = self.partners[partner].max_batch;
             for call in parts.chunks(bundle) {
                 let at = now + self.rng.u64(4_000..15_000);
-                self.later(at, sender, Happening::Arrives(partner, call.to_vec()));
+                self.later(at, sender, SimEvent::Arrives(partner, call.to_vec()));
             }
         }
     }
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -1,15 +1,18 @@
-//! What the journal's tests share.
+//! Helpers that the journal's tests share.
 #![allow(dead_code)]
 
 use std::sync::Arc;
 
 use journal::sim::SimDisk;
-use journal::{Damage, Journal, Micros, OpenError, Options, Record, Remembered, Report, Retain, Taken};
+use journal::{
+    AcceptedMessage, Damage, Journal, LedgerEntry, LedgerOptions, Micros, OpenError, OpenReport, Options,
+    Record,
+};
 
 pub const LIMIT: u64 = 200_000;
 
-pub fn taken(id: &str, size: usize) -> Arc<Taken> {
-    Arc::new(Taken {
+pub fn message(id: &str, size: usize) -> Arc<AcceptedMessage> {
+    Arc::new(AcceptedMessage {
         id: id.into(),
         key: Some("key".into()),
         class: "order".into(),
@@ -19,16 +22,16 @@
     })
 }
 
-pub fn begun(message: u32, attempt: u16) -> Record {
-    Record::Begun { message, attempt, endpoint: "e1".into(), at: 5 }
+pub fn started(message: u32, attempt: u16) -> Record {
+    Record::AttemptStarted { message, attempt, endpoint: "e1".into(), at: 5 }
 }
 
 pub fn ended(message: u32, attempt: u16, never_ran: bool) -> Record {
-    Record::Ended { message, attempt, never_ran }
+    Record::AttemptEnded { message, attempt, never_ran }
 }
 
-pub fn remembered(id: &str, at: Micros) -> Record {
-    Record::Remembered(Remembered { id: id.into(), delivered: true, at })
+pub fn ledger_entry_record(id: &str, at: Micros) -> Record {
+    Record::LedgerEntry(LedgerEntry { id: id.into(), delivered: true, at })
 }
 
 pub fn options(limit: u64) -> Options {
@@ -39,11 +42,11 @@
     Options { sync: true, ..options(limit) }
 }
 
-pub fn retaining(limit: u64, bytes: u64, span: Micros) -> Options {
-    Options { retain: Some(Retain { span, bytes, classes: vec!["order".into()] }), ..options(limit) }
+pub fn with_ledger(limit: u64, bytes: u64, span: Micros) -> Options {
+    Options { retain: Some(LedgerOptions { span, bytes, classes: vec!["order".into()] }), ..options(limit) }
 }
 
-pub fn try_open(disk: &SimDisk, options: &Options) -> Result<(Journal, Report), OpenError> {
+pub fn try_open(disk: &SimDisk, options: &Options) -> Result<(Journal, OpenReport), OpenError> {
     Journal::open_on(Box::new(disk.clone()), options.clone(), 1)
 }
 
@@ -57,8 +60,8 @@
     journal.append(1, &mut records.into_iter().collect()).unwrap();
 }
 
-/// The messages that are owed their end.
-pub fn numbers(journal: &Journal) -> Vec<u32> {
+/// Numbers of the pending messages, in order.
+pub fn pending_numbers(journal: &Journal) -> Vec<u32> {
     let mut numbers: Vec<_> = journal.live().keys().copied().collect();
     numbers.sort_unstable();
     numbers
@@ -73,16 +76,16 @@
     names
 }
 
-/// Appends and takes back messages until compaction has been done with so many segments.
+/// Accepts and completes messages until compaction has emptied this many more segments.
 pub fn churn(journal: &mut Journal, from: u32, compacted: u64) -> u32 {
     let until = journal.figures().compacted + compacted;
     let mut n = from;
     while journal.figures().compacted < until {
-        append(journal, [Record::Taken(n, taken(&format!("m{n}"), 300)), begun(n, 0)]);
-        append(journal, [Record::Over(n)]);
-        journal.tidy(1).unwrap();
+        append(journal, [Record::Accepted(n, message(&format!("m{n}"), 300)), started(n, 0)]);
+        append(journal, [Record::Completed(n)]);
+        journal.compact_step(1).unwrap();
         n += 1;
-        assert!(n < from + 100_000, "compaction comes to an end");
+        assert!(n < from + 100_000, "compaction makes progress");
     }
     n
 }
--- a/crates/rig/src/known_cost.rs
+++ b/crates/loadtest/src/known_cost.rs
@@ -4,13 +4,13 @@
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-use decision::interface::Learnt;
+use decision::interface::RouteSnapshot;
+use health_snapshot::store::{Options as Keep, Source, Store};
+use health_snapshot::timestamp::Timestamp;
+use health_snapshot::{DestinationRecord, EndpointStatus, ListVersion, ListedEndpoint, Micros, RouteRecord};
 use journal::Journal;
 use journal::disk::Folder;
-use known::stamp::Stamp;
-use known::store::{Options as Keep, Source, Store};
-use known::{Kept, Listed, Micros, Status};
-use standins::Platform;
+use test_doubles::Platform;
 
 use crate::scenario::{Options, Scenario, program};
 use crate::stream::{Stream, Times};
@@ -41,35 +41,39 @@
         (0..self.count).collect()
     }
 
-    fn kept(&self, destination: u16) -> Option<Kept> {
+    fn record(&self, destination: u16) -> Option<DestinationRecord> {
         let now = *self.now.borrow();
-        let learnt = Learnt {
+        let learnt = RouteSnapshot {
             limit: 5.0 + f64::from(destination),
-            rate: (now % 1_000) as f64,
+            success_rate: (now % 1_000) as f64,
             cold_since: destination.is_multiple_of(10).then_some(START + now % 7),
-            well_at: now,
-            ..Learnt::default()
+            last_success_at: now,
+            ..RouteSnapshot::default()
         };
-        let listed = Listed {
+        let listed = ListedEndpoint {
             name: format!("s-{destination:08x}"),
             address: format!("10.1.0.18:{destination}"),
             zone: "cph-1".into(),
             kind: "bulk".into(),
-            status: Status::Active,
+            status: EndpointStatus::Active,
             weight: 1.0,
         };
-        Some(Kept { at: now, listed: vec![listed], routes: vec![(None, learnt)] })
+        Some(DestinationRecord {
+            at: now,
+            listed: vec![listed],
+            routes: vec![RouteRecord { endpoint: None, snapshot: learnt }],
+        })
     }
 
-    fn list(&self) -> (u64, Micros) {
-        (41, *self.now.borrow())
+    fn list(&self) -> ListVersion {
+        ListVersion { index: 41, confirmed_at: *self.now.borrow() }
     }
 }
 
 /// Times of slices while a whole of so many destinations is written and ten of them change in each turn of 5 ms; and bytes.
 fn slices(count: u16, turns: u64) -> Result<(Times, u64), String> {
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let disk = Box::new(Folder::beside(folder.path()));
+    let disk = Box::new(Folder::companion(folder.path()));
     let options = Keep { size: 64 << 20, sync: false };
     let (mut store, _) = Store::open(disk, "n1", options).map_err(|e| e.to_string())?;
     let world = World { count, now: RefCell::new(START) };
@@ -78,10 +82,12 @@
         let now = START + turn * 5_000;
         *world.now.borrow_mut() = now;
         for n in 0..10 {
-            store.touched(((turn * 37 + n * 11) % u64::from(count)) as u16, now);
+            store.mark_changed(((turn * 37 + n * 11) % u64::from(count)) as u16, now);
         }
         let began = Instant::now();
-        store.slice(&Stamp { wall: now, boot: None }, u64::MAX, &world).map_err(|e| e.to_string())?;
+        store
+            .write_slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world)
+            .map_err(|e| e.to_string())?;
         times.push(began.elapsed());
     }
     Ok((Times::new(times), store.written()))
@@ -93,7 +99,7 @@
     let kept = journal::Options { limit: 3_000_000, ..journal::Options::default() };
     let (mut journal, _) = Journal::open(folder.path(), kept, 1).map_err(|e| e.to_string())?;
     let options = Keep { size: 375_000, sync: false };
-    let disk = Box::new(Folder::beside(folder.path()));
+    let disk = Box::new(Folder::companion(folder.path()));
     let mut store = Store::open(disk, "n1", options).map_err(|e| e.to_string())?.0;
     let world = World { count: 60, now: RefCell::new(START) };
     let (mut stream, mut records) = (Stream::new(seed, 200), Vec::new());
@@ -106,13 +112,15 @@
         journal.append(now, &mut records).map_err(|e| e.to_string())?;
         append.push(began.elapsed());
         let began = Instant::now();
-        journal.tidy(now).map_err(|e| e.to_string())?;
+        journal.compact_step(now).map_err(|e| e.to_string())?;
         pause.push(began.elapsed());
         if known {
-            (0..10).for_each(|n| store.touched(((turn * 37 + n * 11) % 60) as u16, now));
-            let room = journal.room_beside();
-            store.slice(&Stamp { wall: now, boot: None }, room, &world).map_err(|e| e.to_string())?;
-            journal.set_beside(store.used());
+            (0..10).for_each(|n| store.mark_changed(((turn * 37 + n * 11) % 60) as u16, now));
+            let room = journal.free_reserved_bytes();
+            store
+                .write_slice(&Timestamp { wall: now, boot: None }, room, &world)
+                .map_err(|e| e.to_string())?;
+            journal.set_reserved_bytes(store.used());
         }
     }
     Ok((Times::new(append), Times::new(pause)))
--- a/crates/rig/src/limited.rs
+++ b/crates/loadtest/src/limited.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use decision::interface::Outcome;
-use fleet::Partner;
+use fleet_sim::Partner;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
@@ -109,7 +109,7 @@
         let now = state.begun.elapsed().as_micros() as u64;
         let partner = &mut state.partners[number];
         let (outcome, report) = partner.call(now);
-        (outcome, report, Duration::from_secs_f64(partner.takes))
+        (outcome, report, Duration::from_secs_f64(partner.call_seconds))
     }
 
     async fn serve(self, number: usize, stream: TcpStream) {
@@ -162,7 +162,7 @@
                     ids.iter().map(|id| serde_json::json!({"id": id, "state": "ok"})).collect();
                 answer(200, if batch { Value::from(ends).to_string() } else { String::new() })
             }
-            Outcome::Full(_) => answer(503, String::new()),
+            Outcome::Rejected(_) => answer(503, String::new()),
             // It went down with the connection open.
             _ => Err("down".to_owned()),
         }
--- a/crates/rig/src/scenario.rs
+++ b/crates/loadtest/src/scenario.rs
@@ -1,12 +1,13 @@
 //! What scenarios have in common.
 
 use std::collections::HashMap;
+use std::path::PathBuf;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-use standins::{Effects, HandedIn, Heard, Program};
+use test_doubles::{ClientAnswer, Effects, Program, Submission};
 
-/// The first argument with which the rig is the sender.
+/// The first argument with which the program is the sender.
 pub const SENDER: &str = "run-as-sender";
 
 /// What the command line says.
@@ -33,6 +34,9 @@
     /// How many senders there are.
     #[arg(long)]
     pub senders: Option<usize>,
+    /// The program that is the sender, in place of this one: another version, or one that runs several by turns.
+    #[arg(long, value_name = "FILE")]
+    pub sender: Option<PathBuf>,
     #[arg(skip)]
     drawn: OnceLock<u64>,
 }
@@ -54,9 +58,15 @@
     pub run: fn(&Options) -> Result<String, String>,
 }
 
-/// The sender that the rig was built with.
+/// The program that is the sender, where it is not this one.
+pub static OTHER_SENDER: OnceLock<PathBuf> = OnceLock::new();
+
+/// The sender that the program was built with, or the one that the command line names.
 pub fn program() -> Program {
-    Program::new(std::env::current_exe().expect("the rig's own file")).arg(SENDER)
+    if let Some(other) = OTHER_SENDER.get() {
+        return Program::new(other);
+    }
+    Program::new(std::env::current_exe().expect("the program's own file")).arg(SENDER)
 }
 
 /// How the messages of a run ended.
@@ -86,7 +96,7 @@
 
     /// Holds what clients heard against what partners did and what the platform was told.
     pub fn of(
-        said: &HashMap<String, HandedIn>,
+        said: &HashMap<String, Submission>,
         effects: &HashMap<String, Effects>,
         notices: &HashMap<String, Vec<String>>,
     ) -> Self {
@@ -97,7 +107,7 @@
             if message.class == "order" && of.ran > 1 {
                 ends.twice.push(id.clone());
             }
-            if message.heard == Heard::Taken {
+            if message.answer == ClientAnswer::Accepted {
                 match (of.answered > 0, notices.contains_key(id)) {
                     (true, _) => ends.delivered += 1,
                     (false, true) => ends.noticed += 1,
--- /dev/null
+++ b/crates/operator-config/src/lib.rs
@@ -0,0 +1,66 @@
+//! The operators' file: what an installation switches on beyond the platform's own configuration.
+//!
+//! The file is TOML, read and checked as a whole: with anything in it that is not understood, nothing starts. Tables and
+//! keys that were renamed are accepted under their old names, with a [`Warning`] for each.
+//!
+//! The crate does no I/O and does not know what its tables are used for.
+
+mod checks;
+mod error;
+mod renamed;
+mod tables;
+mod units;
+
+pub use error::{ConfigError, Reason, Warning};
+pub use tables::{
+    BYTES_EACH, CoresTable, Damage, GossipTable, HealthSnapshotTable, IdleDestinationsTable, JournalTable,
+    MAX_CORES, Operators, SnapshotClock, StatusTable, Sync,
+};
+pub use units::{Size, Span, UnitError};
+
+use serde::Deserialize;
+use toml::de::{DeTable, Deserializer};
+
+/// Longest file that is read, in bytes.
+pub const MAX_FILE_LENGTH: usize = 1 << 20;
+
+impl Operators {
+    /// Parses and checks the file's text.
+    ///
+    /// # Errors
+    /// Returns the first thing that is wrong: invalid TOML, a table or key that does not exist, a value of another type,
+    /// a number without its unit, a name that is given in its old and its new form, or settings that contradict one
+    /// another.
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
+        if text.len() > MAX_FILE_LENGTH {
+            return Err(ConfigError { line: 1, reason: Reason::FileTooLong });
+        }
+        let lines = Lines(text);
+        let syntax = |error: toml::de::Error| lines.error(&error);
+        let mut document = DeTable::parse(text).map_err(syntax)?;
+        let warnings = renamed::replace_old_names(document.get_mut(), lines)?;
+        let positions = checks::Positions::of(document.get_ref(), lines);
+        let mut operators = Self::deserialize(Deserializer::from(document)).map_err(syntax)?;
+        operators.warnings = warnings;
+        checks::check(&operators, &positions)?;
+        Ok(operators)
+    }
+}
+
+/// Finds line numbers in the file's text.
+#[derive(Clone, Copy)]
+struct Lines<'a>(&'a str);
+
+impl Lines<'_> {
+    /// The line of a byte, from 1.
+    fn at(self, offset: usize) -> usize {
+        let before = &self.0.as_bytes()[..offset.min(self.0.len())];
+        before.iter().filter(|byte| **byte == b'\n').count() + 1
+    }
+
+    /// What the TOML library found, with its line.
+    fn error(self, error: &toml::de::Error) -> ConfigError {
+        let offset = error.span().map_or(0, |span| span.start);
+        ConfigError { line: self.at(offset), reason: Reason::Toml(error.clone()) }
+    }
+}
--- a/crates/sender/src/program.rs
+++ b/crates/sender/src/cli/mod.rs
@@ -7,17 +7,18 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::{Parser, Subcommand};
-use decision::interface::{Dormant, Micros, RouteId, SharedLaw};
-use operators::{BYTES_EACH, DormantTable, Operators, SharedTable};
+use decision::interface::{GossipConfig, IdlePolicy, Micros, RouteId};
+use operator_config::{BYTES_EACH, GossipTable, IdleDestinationsTable, Operators};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
+mod journal;
+mod snapshot;
+
 use crate::config::{self, Config};
-use crate::look;
 use crate::ports::Inbound;
 use crate::process;
-use crate::pulse;
-use crate::show_known;
+use crate::stall_detector;
 
 /// What `[dormant]` has where it says no more than `after`.
 const REMEMBER: Micros = 30 * 86_400_000_000;
@@ -103,15 +104,15 @@
     };
     let done = match arguments.command {
         Some(Task::Journal { command }) => match command {
-            Look::Verify { folder } => look::verify(&folder),
-            Look::List { folder } => look::list(&folder),
-            Look::Export { folder } => look::export(&folder),
+            Look::Verify { folder } => journal::verify(&folder),
+            Look::List { folder } => journal::list(&folder),
+            Look::Export { folder } => journal::export(&folder),
         },
         Some(Task::Known { command }) => match command {
-            Known::Show { folder } => show_known::show(&folder),
-            Known::Diff { folder, other } => show_known::diff(&folder, &other),
+            Known::Show { folder } => snapshot::show(&folder),
+            Known::Diff { folder, other } => snapshot::diff(&folder, &other),
         }
-        .and_then(look::print),
+        .and_then(journal::print),
         Some(Task::Check { file }) => operators(&file).map(|_| println!("{}: well", file.display())),
         None => {
             arguments.operators.as_deref().map_or_else(|| Ok(Operators::default()), operators).and_then(run)
@@ -128,7 +129,9 @@
 
 fn operators(file: &Path) -> Result<Operators, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Operators::parse(&text).map_err(|e| format!("{}:{e}", file.display()))
+    let operators = Operators::parse(&text).map_err(|e| format!("{}:{e}", file.display()))?;
+    operators.warnings.iter().for_each(|warning| eprintln!("myrtleyard: {}:{warning}", file.display()));
+    Ok(operators)
 }
 
 /// The listening socket that the platform holds for all processes of this sender, if it does: its descriptor's number
@@ -149,12 +152,12 @@
 fn run(operators: Operators) -> Result<(), String> {
     let inherited = inherited()?;
     let mut config = config::read()?;
-    config.settings.dormant = dormant(&operators.dormant);
-    config.settings.shared = shared(&operators.shared, &config)?;
-    let runtime = pulse::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
+    config.settings.idle = dormant(&operators.idle_destinations);
+    config.settings.gossip = shared(&operators.gossip, &config)?;
+    let runtime = stall_detector::notes(tokio::runtime::Builder::new_current_thread().enable_all()).build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::task::spawn_local(pulse::beat());
+        tokio::task::spawn_local(stall_detector::beat());
         let (inbound, events) = mpsc::unbounded_channel();
         for kind in [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()] {
             let mut asked = signal(kind).map_err(|e| format!("signals: {e}"))?;
@@ -182,8 +185,8 @@
 }
 
 /// What the table says, with what it leaves out.
-/// What senders tell one another, where the operators' file and the platform have it.
-fn shared(table: &SharedTable, config: &Config) -> Result<Option<SharedLaw>, String> {
+/// The gossip configuration, where the operators' file and the platform have it.
+fn shared(table: &GossipTable, config: &Config) -> Result<Option<GossipConfig>, String> {
     if !table.on {
         return Ok(None);
     }
@@ -197,22 +200,30 @@
     };
     let senders =
         u16::try_from(config.settings.senders).map_err(|_| "[shared] on = true: too many senders")?;
-    // Higher than that of a process before, unless the clock was set back: then others raise it.
+    // Higher than an earlier process's, unless the clock was set back: then others raise it.
     let run = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as u32);
-    let bytes = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64));
-    let (broadcast, lends) = (config.peers_all.is_some(), table.lends);
-    Ok(Some(SharedLaw { me, run, senders, broadcast, bytes, lends }))
+    let byte_budget = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64)).into();
+    let (broadcast, lends) = (config.peers_all.is_some(), table.transfers);
+    Ok(Some(GossipConfig {
+        member: me,
+        incarnation: run,
+        senders,
+        broadcast,
+        byte_budget,
+        quota_transfer: lends,
+    }))
 }
 
-fn dormant(table: &DormantTable) -> Option<Dormant> {
+fn dormant(table: &IdleDestinationsTable) -> Option<IdlePolicy> {
     let after = table.after?.micros;
     let memory = table.memory.map_or(MEMORY, |size| size.bytes);
-    let most = usize::try_from(memory / dormant::bytes_each::<RouteId>() as u64).unwrap_or(usize::MAX);
-    Some(Dormant {
-        after,
-        remember: table.remember.map_or(REMEMBER, |span| span.micros).max(after),
-        most: most.max(1),
-        awake: table.awake.map_or(usize::MAX, |awake| awake as usize),
-        wakes: f64::from(table.wakes.unwrap_or(WAKES)),
+    let most = usize::try_from(memory / idle_destinations::bytes_per_entry::<RouteId>() as u64)
+        .unwrap_or(usize::MAX);
+    Some(IdlePolicy {
+        idle_after: after,
+        retain_for: table.retain.map_or(REMEMBER, |span| span.micros).max(after),
+        max_retained: most.max(1),
+        max_active: table.active.map_or(usize::MAX, |active| active as usize),
+        activations_per_second: f64::from(table.activations.unwrap_or(WAKES)),
     })
 }
--- a/crates/sender/src/show_known.rs
+++ b/crates/sender/src/cli/snapshot.rs
@@ -1,47 +1,47 @@
-//! What is known, for a person: what a start now would believe, and what two folders differ in.
+//! The `known` subcommands: what a start now would restore, and what differs between two folders.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::Path;
 
+use health_snapshot::replay::Snapshot;
+use health_snapshot::restore::{Config, Reason, RestoreTime, RestoredRoute, RestoredState, restore};
+use health_snapshot::{EndpointStatus, Micros};
 use journal::disk::Folder;
-use known::belief::{Belief, Believed, Law, Reason, Start, believe};
-use known::replay::Snapshot;
-use known::{Micros, Status};
-use operators::KnownClock;
+use operator_config::SnapshotClock;
 
-use crate::known::stamp;
-use crate::look::{printed, seconds};
+use crate::cli::journal::{printed, seconds};
+use crate::persistence::snapshot::stamp;
 use crate::ports::Clock;
 
-/// What is believed for as long as the operators' file has it, unless it is told.
+/// For how long limits are restored by default.
 const SPAN: Micros = 3_600_000_000;
 /// An aim as the platform's classes have it; answer times depend on it alone.
 const AIM: Micros = 4_000_000;
 
-fn read(folder: &Path) -> Result<(Snapshot, Belief), String> {
+fn read(folder: &Path) -> Result<(Snapshot, RestoredState), String> {
     // Guards against a mistyped name that would pass for a folder in which nothing is known.
     if !folder.is_dir() {
         return Err(format!("{}: there is no such folder", folder.display()));
     }
     let mut disk = Folder::reader(folder);
     let told = |e: std::io::Error| format!("{}: {e}", folder.display());
-    let owner = known::store::owner(&mut disk).map_err(told)?.unwrap_or_default();
-    let snapshot = known::store::load(&mut disk, &owner).map_err(told)?;
-    let clock = if snapshot.stamp.boot.is_some() { KnownClock::Boot } else { KnownClock::Wall };
-    let start = Start { now: Clock::after(snapshot.stamp.wall).0.now(), stamp: stamp(clock) };
-    let belief = believe(&snapshot, &start, 0, &Law { span: SPAN, aim: AIM });
+    let owner = health_snapshot::store::owner(&mut disk).map_err(told)?.unwrap_or_default();
+    let snapshot = health_snapshot::store::load(&mut disk, &owner).map_err(told)?;
+    let clock = if snapshot.timestamp.boot.is_some() { SnapshotClock::Boot } else { SnapshotClock::Wall };
+    let start = RestoreTime { now: Clock::after(snapshot.timestamp.wall).0.now(), timestamp: stamp(clock) };
+    let belief = restore(&snapshot, &start, 0, &Config { span: SPAN, latency_objective: AIM });
     Ok((snapshot, belief))
 }
 
-fn place(believed: &Believed) -> String {
+fn place(believed: &RestoredRoute) -> String {
     match &believed.endpoint {
         Some(endpoint) => format!("destination {} at {}", believed.destination, printed(endpoint)),
         None => format!("destination {}", believed.destination),
     }
 }
 
-fn age(believed: &Believed) -> String {
+fn age(believed: &RestoredRoute) -> String {
     believed.age.map_or_else(|| "of an age not known".to_owned(), |age| format!("{} s old", seconds(age)))
 }
 
@@ -55,7 +55,7 @@
 /// `known show`
 pub fn show(folder: &Path) -> Result<Vec<String>, String> {
     let (snapshot, belief) = read(folder)?;
-    let mut lines: Vec<_> = belief.told.iter().map(|told| printed(told)).collect();
+    let mut lines: Vec<_> = belief.warnings.iter().map(|told| printed(told)).collect();
     if !snapshot.found {
         lines.push("nothing is known: a start now begins with what the list says".to_owned());
         return Ok(lines);
@@ -64,9 +64,9 @@
         lines.push(format!("{}, {}: {}", place(believed), age(believed), because(&believed.reasons)));
     }
     let endpoints = snapshot.destinations.values().flat_map(|kept| &kept.listed);
-    let drains: Vec<_> = endpoints.clone().filter(|listed| listed.status != Status::Active).collect();
+    let drains: Vec<_> = endpoints.clone().filter(|listed| listed.status != EndpointStatus::Active).collect();
     let mut list = match snapshot.list {
-        Some((index, _)) => format!("the list at version {index}"),
+        Some(list) => format!("the list at version {}", list.index),
         None => "the list at no version that is sure".to_owned(),
     };
     let _ = write!(list, ": {} endpoints, {} of them draining or gone", endpoints.count(), drains.len());
@@ -75,15 +75,15 @@
     }
     lines.push(list);
     lines.extend(drains.iter().map(|listed| format!("{}: {:?}", printed(&listed.name), listed.status)));
-    if snapshot.left_out > 0 {
-        lines.push(format!("{} destinations had no room: [known] size", snapshot.left_out));
+    if snapshot.omitted > 0 {
+        lines.push(format!("{} destinations had no room: [known] size", snapshot.omitted));
     }
     Ok(lines)
 }
 
 /// `known diff`
 pub fn diff(folder: &Path, other: &Path) -> Result<Vec<String>, String> {
-    let by_place = |belief: &Belief| -> BTreeMap<_, _> {
+    let by_place = |belief: &RestoredState| -> BTreeMap<_, _> {
         let all = belief.routes.iter().map(|believed| {
             let key = (believed.destination, believed.endpoint.clone());
             (key, (place(believed), because(&believed.reasons)))
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,4 +1,4 @@
-//! What a sender is told at its start: the environment and the configuration file.
+//! What a sender is configured with at its start: the environment and the configuration file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,38 +6,38 @@
 use decision::interface::Settings;
 use serde::Deserialize;
 
-use crate::list::ListBody;
+use crate::discovery::endpoint_list::EndpointList;
 
-/// All that the sender is told.
+/// The configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Its name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where on-call staff call, if anywhere.
+    /// The administrative address, if any.
     pub ops: Option<SocketAddr>,
     /// Discovery.
     pub discovery: SocketAddr,
-    /// The folder that lasts.
+    /// `NODE_STATE`, the folder that outlasts the process.
     pub state: PathBuf,
-    /// For random numbers.
+    /// Seeds random numbers.
     pub seed: u64,
-    /// File descriptors that may be held.
+    /// File descriptors that may be open.
     pub sockets: usize,
-    /// Bytes that the folder that lasts may hold.
+    /// Bytes that `NODE_STATE` may take.
     pub disk: u64,
-    /// Where notes arrive, if there are any.
+    /// Where gossip arrives, if there is any.
     pub peer_listen: Option<SocketAddr>,
     /// The senders' addresses by their numbers.
     pub peers: Vec<SocketAddr>,
     /// Reaches all senders.
     pub peers_all: Option<SocketAddr>,
-    /// The list of endpoints as last known.
-    pub known: ListBody,
-    /// Its place among the senders of its tier, where the settings tell it.
+    /// The endpoint list as last known.
+    pub initial_list: EndpointList,
+    /// Its index among the senders of its tier, where the settings tell it.
     pub rank: Option<u16>,
-    /// The module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
     /// Names of classes, kinds and zones, in the settings' order.
     pub names: Names,
@@ -83,7 +83,7 @@
     #[serde(default)]
     peers_all: Option<SocketAddr>,
     #[serde(default)]
-    known: ListBody,
+    known: EndpointList,
     settings: serde_json::Value,
 }
 
@@ -124,12 +124,12 @@
     })
 }
 
-/// Reads the configuration again and tells where discovery is by now; what the environment said at the start
-/// is no longer so.
+/// Reads the configuration again and returns discovery's address; what the environment said at the start is
+/// no longer valid.
 ///
 /// # Errors
 /// Fails, in one line, when the configuration cannot be read.
-pub fn discovery_again() -> Result<SocketAddr, String> {
+pub fn reload_discovery() -> Result<SocketAddr, String> {
     let path = variable("NODE_CONFIG")?.ok_or("NODE_CONFIG is not set")?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     Ok(parse(&text).map_err(|e| format!("{path}: {e}"))?.discovery)
@@ -138,7 +138,7 @@
 fn parse(text: &[u8]) -> Result<Config, String> {
     let raw: Raw = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let settings = serde_json::to_vec(&raw.settings).map_err(|e| e.to_string())?;
-    let settings = wire::settings(&settings).map_err(|e| e.to_string())?;
+    let settings = simulator_adapter::settings(&settings).map_err(|e| e.to_string())?;
     let texts = |list: &serde_json::Value, field: Option<&str>| {
         let entries = list.as_array().map(Vec::as_slice).unwrap_or_default();
         let name = |e: &serde_json::Value| {
@@ -172,7 +172,7 @@
         peer_listen: raw.peer_listen,
         peers: raw.peers,
         peers_all: raw.peers_all,
-        known: raw.known,
+        initial_list: raw.known,
         rank: s["rank"].as_u64().and_then(|rank| u16::try_from(rank).ok()),
         settings,
         names,
--- a/crates/sender/src/peers.rs
+++ b/crates/sender/src/gossip_socket.rs
@@ -1,4 +1,4 @@
-//! Notes between senders: datagrams that may be lost.
+//! Gossip between senders: datagrams that may be lost.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,19 +12,19 @@
 use crate::config::Config;
 use crate::ports::Inbound;
 
-/// A longer note is not sent.
-const NOTE_LIMIT: usize = 256;
+/// A longer message is not sent.
+const MAX_MESSAGE_BYTES: usize = 256;
 
-/// The way to the other senders.
-pub struct Peers {
+/// The socket to the other senders.
+pub struct GossipSocket {
     socket: Rc<UdpSocket>,
     peers: Vec<SocketAddr>,
     all: Option<SocketAddr>,
     receiving: JoinHandle<()>,
 }
 
-impl Peers {
-    /// Listens for notes, where the deployment has them.
+impl GossipSocket {
+    /// Binds the socket, where the deployment has one.
     ///
     /// # Errors
     /// Fails when the address cannot be listened on.
@@ -33,7 +33,7 @@
         let socket = Rc::new(UdpSocket::bind(listen).await?);
         let (receiving, peers) = (socket.clone(), config.peers.clone());
         let task = tokio::task::spawn_local(async move {
-            let mut note = [0; NOTE_LIMIT + 1];
+            let mut note = [0; MAX_MESSAGE_BYTES + 1];
             loop {
                 // An error here is an earlier note's that did not arrive.
                 let Ok((size, from)) = receiving.recv_from(&mut note).await else {
@@ -41,11 +41,12 @@
                     continue;
                 };
                 let rank = peers.iter().position(|peer| *peer == from);
-                let (Some(rank), true) = (rank.and_then(|r| u16::try_from(r).ok()), size <= NOTE_LIMIT)
+                let (Some(rank), true) =
+                    (rank.and_then(|r| u16::try_from(r).ok()), size <= MAX_MESSAGE_BYTES)
                 else {
                     continue;
                 };
-                let event = Event::Note { from: rank, content: note[..size].to_vec() };
+                let event = Event::GossipReceived { from: rank, content: note[..size].to_vec() };
                 if inbound.send(Inbound::Event(event)).is_err() {
                     return;
                 }
@@ -54,19 +55,19 @@
         Ok(Some(Self { socket, peers: config.peers.clone(), all: config.peers_all, receiving: task }))
     }
 
-    /// Gives the address up; it is free once this returns.
+    /// Closes the socket; its address is free once this returns.
     pub async fn close(self) {
         self.receiving.abort();
         let _ = self.receiving.await;
     }
 
-    /// Sends a note to one sender, or to all; it may be lost.
-    pub fn tell(&self, to: Option<u16>, content: &[u8]) {
+    /// Sends a message to one sender, or to all; it may be lost.
+    pub fn send(&self, to: Option<u16>, content: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.get(usize::from(rank)).copied(),
             None => self.all,
         };
-        if let (Some(address), true) = (address, content.len() <= NOTE_LIMIT) {
+        if let (Some(address), true) = (address, content.len() <= MAX_MESSAGE_BYTES) {
             let _ = self.socket.try_send_to(content, address);
         }
     }
--- a/crates/sender/src/http/intake.rs
+++ b/crates/sender/src/http/server.rs
@@ -25,12 +25,12 @@
 use tokio::sync::{Notify, mpsc::UnboundedSender, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
-use journal::Taken;
-use ops::door::Door;
+use admin::gate::AdmissionGate;
+use journal::AcceptedMessage;
 
-use crate::cores::{Post, Say};
-use crate::ports::{Answer, BODY_LIMIT, Clock, Front, HandedIn, Inbound};
-use crate::pulse;
+use crate::ports::{Answer, Clock, Frontend, Inbound, MAX_BODY_BYTES, Submission};
+use crate::shards::{ShardHandle, ShardMessage};
+use crate::stall_detector;
 
 /// Guards the places for clients: a connection that brings no request for so long is closed.
 const HEAD_WITHIN: Duration = Duration::from_millis(2200);
@@ -41,7 +41,7 @@
 /// A head of more bytes is not read to its end.
 const HEAD_LIMIT: usize = 16 * 1024;
 /// How long one waits for the rest of a request on a connection that is to be closed, before one looks again.
-const LOOK_AGAIN: Micros = 50_000;
+const POLL_INTERVAL: Micros = 50_000;
 /// How long one looks for a place before one looks again.
 const PLACE_WITHIN: Duration = Duration::from_millis(5);
 /// A deadline is told in whole milliseconds: it may be so much longer than its class's.
@@ -63,7 +63,7 @@
 }
 
 /// What all client connections share.
-pub struct Intake {
+pub struct HttpFrontend {
     address: SocketAddr,
     /// Connections at a time.
     most: Cell<usize>,
@@ -72,8 +72,8 @@
     classes: Vec<(Arc<str>, Micros)>,
     inbound: UnboundedSender<Inbound>,
     /// The way to other cores, which get their part of the connections and what is theirs of the messages.
-    post: Option<Rc<Post>>,
-    door: watch::Receiver<Door>,
+    post: Option<Rc<ShardHandle>>,
+    door: watch::Receiver<AdmissionGate>,
     /// The platform's own listening socket, until it is listened on.
     inherited: Cell<Option<std::net::TcpListener>>,
     places: RefCell<HashMap<u64, Rc<Place>>>,
@@ -136,8 +136,8 @@
     request: u64,
     destination: u16,
     /// Whom the message was handed to: guards a withdrawal against overtaking its message.
-    to: Option<cores::Core>,
-    intake: &'a Intake,
+    to: Option<sharding::ShardId>,
+    intake: &'a HttpFrontend,
 }
 
 impl Drop for Withdrawal<'_> {
@@ -145,7 +145,7 @@
         let Some(id) = self.id.take() else { return };
         let (request, destination) = (self.request, self.destination);
         match (self.to, &self.intake.post) {
-            (Some(to), Some(post)) => post.say(to, Say::Withdrawn { id, request, destination }),
+            (Some(to), Some(post)) => post.send(to, ShardMessage::Withdrawn { id, request, destination }),
             _ => drop(self.intake.inbound.send(Inbound::Withdrawn { id, request, destination })),
         }
     }
@@ -199,8 +199,8 @@
     headers.get(name)?.to_str().ok().map(str::trim).filter(|text| !text.is_empty())
 }
 
-impl Front for Intake {
-    fn begin(self: Rc<Self>) -> io::Result<SocketAddr> {
+impl Frontend for HttpFrontend {
+    fn start(self: Rc<Self>) -> io::Result<SocketAddr> {
         if let Some(listener) = self.inherited.take() {
             listener.set_nonblocking(true)?;
             let listener = TcpListener::from_std(listener)?;
@@ -221,11 +221,11 @@
         self.requests.get()
     }
 
-    fn open(&self) -> usize {
+    fn open_connections(&self) -> usize {
         self.places.borrow().len()
     }
 
-    fn set_places(&self, most: usize) {
+    fn set_max_clients(&self, most: usize) {
         self.set_most(most);
     }
 
@@ -233,7 +233,7 @@
         match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
             Ok(stream) => {
                 // As where it is listened: one that is idle makes way.
-                if self.open() >= self.most.get() {
+                if self.open_connections() >= self.most.get() {
                     self.free_place();
                 }
                 self.place(stream);
@@ -243,7 +243,7 @@
     }
 }
 
-impl Intake {
+impl HttpFrontend {
     /// A front that is to listen on that address, or on a socket that listens there already, with so many connections
     /// at a time; it does not take any yet.
     pub fn new(
@@ -251,8 +251,8 @@
         clock: Clock,
         classes: Vec<(Arc<str>, Micros)>,
         inbound: UnboundedSender<Inbound>,
-        post: Option<Rc<Post>>,
-        door: watch::Receiver<Door>,
+        post: Option<Rc<ShardHandle>>,
+        door: watch::Receiver<AdmissionGate>,
     ) -> Self {
         let (places, freed) = (RefCell::default(), Notify::new());
         let (connections, requests) = (Cell::new(0), Cell::new(0));
@@ -276,7 +276,7 @@
     /// So many connections at a time, from now on; of those there are too many, idle ones are closed.
     pub fn set_most(&self, most: usize) {
         self.most.set(most);
-        (most..self.open()).for_each(|_| self.free_place());
+        (most..self.open_connections()).for_each(|_| self.free_place());
     }
 
     /// Requests are counted on from there.
@@ -288,7 +288,7 @@
     async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut door = self.door.clone();
         loop {
-            while self.open() >= self.most.get() {
+            while self.open_connections() >= self.most.get() {
                 self.free_place();
                 let _ = timeout(PLACE_WITHIN, self.freed.notified()).await;
             }
@@ -310,16 +310,16 @@
     /// Gives a connection to the core that has the fewest, which may be this one: then it is told.
     fn deal(&self, stream: TcpStream) -> Option<TcpStream> {
         let Some(post) = &self.post else { return Some(stream) };
-        let to = post.team().deal();
-        if to == post.me() {
+        let to = post.group().deal();
+        if to == post.id() {
             return Some(stream);
         }
         let dealt = stream.into_std().map_err(drop).and_then(|stream| {
             // A core that takes nothing in gets no clients: they come again.
-            post.try_say(to, Say::Client(stream)).map_err(drop)
+            post.try_send(to, ShardMessage::Client(stream)).map_err(drop)
         });
         if dealt.is_err() {
-            post.team().client_gone(to);
+            post.group().client_gone(to);
         }
         None
     }
@@ -327,7 +327,7 @@
     /// A client's connection is gone.
     fn gone(&self) {
         if let Some(post) = &self.post {
-            post.team().client_gone(post.me());
+            post.group().client_gone(post.id());
         }
         self.freed.notify_one();
     }
@@ -353,17 +353,19 @@
     }
 
     /// Hands a message to the core that owns its destination, as the owners are now; tells which, if it is another.
-    fn hand_on(&self, message: HandedIn) -> Option<cores::Core> {
-        let other = self.post.as_ref().map(|post| (post, post.team().owner(message.taken.destination)));
-        match other.filter(|(post, owner)| *owner != post.me()) {
+    fn hand_on(&self, message: Submission) -> Option<sharding::ShardId> {
+        let other = self.post.as_ref().map(|post| (post, post.group().owner(message.message.destination)));
+        match other.filter(|(post, owner)| *owner != post.id()) {
             Some((post, owner)) => {
-                if let Err(Say::HandedIn(message)) = post.try_say(owner, Say::HandedIn(message)) {
-                    let _ = message.answer.send(Answer::Refused(crate::cores::BUSY_AGAIN));
+                if let Err(ShardMessage::Submitted(message)) =
+                    post.try_send(owner, ShardMessage::Submitted(message))
+                {
+                    let _ = message.answer.send(Answer::Rejected(crate::shards::BUSY_AGAIN));
                 }
                 Some(owner)
             }
             None => {
-                let _ = self.inbound.send(Inbound::HandedIn(message));
+                let _ = self.inbound.send(Inbound::Submitted(message));
                 None
             }
         }
@@ -412,12 +414,12 @@
                     let asked = place.asking.get() || place.answered.get() > 0 && !half_read;
                     // A connection that comes late has its moment too: while clients are sent away a new one gets one
                     // answer, for they need the time to go elsewhere.
-                    idle_until = now.close_idle_at().map(|at| at.max(came + ops::door::LINGER));
+                    idle_until = now.close_idle_at().map(|at| at.max(came + admin::gate::LINGER));
                     match now {
-                        Door::Closing if asked => connection.as_mut().graceful_shutdown(),
+                        AdmissionGate::Closing if asked => connection.as_mut().graceful_shutdown(),
                         // Guards the first request on a new connection, which may be on its way or lie unread, and one of
                         // which a part was read: the library would close those without a look. Its answer is the last.
-                        Door::Closing => idle_until = Some(self.clock.now() + ops::door::LINGER),
+                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + admin::gate::LINGER),
                         _ => {}
                     }
                 }
@@ -426,7 +428,7 @@
                         return;
                     }
                     // Its answer is the last; of one that is not read whole yet it may never come.
-                    idle_until = (!place.asking.get()).then(|| self.clock.now() + LOOK_AGAIN);
+                    idle_until = (!place.asking.get()).then(|| self.clock.now() + POLL_INTERVAL);
                 }
             }
         }
@@ -454,7 +456,7 @@
 
     /// Guards against anything that a client may write: what can't be meant as a message gets 400.
     async fn hand_in(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let came = self.clock.now().saturating_sub(pulse::behind().as_micros() as Micros);
+        let came = self.clock.now().saturating_sub(stall_detector::behind().as_micros() as Micros);
         let (head, body) = request.into_parts();
         let bad = |what| told_off(StatusCode::BAD_REQUEST, what);
         // Guards against a second request hidden in the body: beside it the library drops a Content-Length, or
@@ -462,7 +464,7 @@
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return bad("a body comes with Content-Length alone\n");
         }
-        if body.size_hint().lower() > BODY_LIMIT as u64 {
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return told_off(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
         }
         let Some(id) = text(&head.headers, "req-id") else { return bad("Req-Id is missing\n") };
@@ -489,23 +491,24 @@
             None => None,
         };
         let id = id.to_owned();
-        let Ok(Ok(body)) = timeout(BODY_WITHIN, Limited::new(body, BODY_LIMIT).collect()).await else {
+        let Ok(Ok(body)) = timeout(BODY_WITHIN, Limited::new(body, MAX_BODY_BYTES).collect()).await else {
             return bad("the body can't be read, or not in time\n");
         };
         let deadline = came + left;
         let class_name = self.classes[class].0.clone();
         let body = body.to_bytes();
-        let taken = Arc::new(Taken { id: id.clone(), key, class: class_name, destination, deadline, body });
+        let taken =
+            Arc::new(AcceptedMessage { id: id.clone(), key, class: class_name, destination, deadline, body });
         let request = next(&self.requests);
         let (answer, answered) = oneshot::channel();
-        let to = self.hand_on(HandedIn { taken, class, request, answer });
+        let to = self.hand_on(Submission { message: taken, class, request, answer });
         let mut withdrawal = Withdrawal { id: Some(id), request, destination, to, intake: self };
         let answered = answered.await;
         withdrawal.id = None;
         match answered {
-            Ok(Answer::Taken) => plain(StatusCode::ACCEPTED, ""),
+            Ok(Answer::Accepted) => plain(StatusCode::ACCEPTED, ""),
             Ok(Answer::Delivered) => plain(StatusCode::OK, ""),
-            Ok(Answer::Refused(again)) => {
+            Ok(Answer::Rejected(again)) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
                 if again > 0 {
                     let seconds = format!("{:.3}", again as f64 / 1e6);
--- /dev/null
+++ b/crates/sender/src/persistence/journal.rs
@@ -0,0 +1,95 @@
+//! The journal as an event loop uses it: all of it, or one shard's part.
+
+use std::io;
+
+use decision::interface::Micros;
+use journal::{
+    AcceptedMessage, AppendError, ByNumber, Journal, JournalPart, LedgerEntry, PendingMessage, Record,
+};
+
+/// Where an event loop's messages are recorded.
+pub enum JournalStore {
+    /// The sender has one event loop.
+    Exclusive(Box<Journal>),
+    /// One shard's part.
+    Sharded(JournalPart),
+}
+
+impl JournalStore {
+    /// The pending messages, by number, in no order.
+    pub fn live(&self) -> &ByNumber<PendingMessage> {
+        match self {
+            Self::Exclusive(journal) => journal.live(),
+            Self::Sharded(part) => part.live(),
+        }
+    }
+
+    /// As [`Journal::append`].
+    ///
+    /// # Errors
+    /// As [`Journal::append`].
+    pub fn append(&mut self, now: Micros, records: &mut Vec<Record>) -> Result<(), AppendError> {
+        match self {
+            Self::Exclusive(journal) => journal.append(now, records),
+            Self::Sharded(part) => part.append(now, records),
+        }
+    }
+
+    /// As [`Journal::has_capacity`].
+    pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
+        match self {
+            Self::Exclusive(journal) => journal.has_capacity(taken, pending),
+            Self::Sharded(part) => part.has_capacity(taken, pending),
+        }
+    }
+
+    /// As [`Journal::space_needed`].
+    pub fn space_needed(&self, taken: &AcceptedMessage) -> u64 {
+        match self {
+            Self::Exclusive(journal) => journal.space_needed(taken),
+            Self::Sharded(part) => part.space_needed(taken),
+        }
+    }
+
+    /// As [`Journal::retains`].
+    pub fn retains(&self, class: &str) -> bool {
+        match self {
+            Self::Exclusive(journal) => journal.retains(class),
+            Self::Sharded(part) => part.retains(class),
+        }
+    }
+
+    /// As [`Journal::ledger_entry`].
+    pub fn ledger_entry(&self, id: &str, now: Micros) -> Option<LedgerEntry> {
+        match self {
+            Self::Exclusive(journal) => journal.ledger_entry(id, now).cloned(),
+            Self::Sharded(part) => part.ledger_entry(id, now),
+        }
+    }
+
+    /// As [`Journal::compact_step`].
+    ///
+    /// # Errors
+    /// As [`Journal::compact_step`].
+    pub fn compact_step(&mut self, now: Micros) -> io::Result<()> {
+        match self {
+            Self::Exclusive(journal) => journal.compact_step(now),
+            Self::Sharded(part) => part.compact_step(now),
+        }
+    }
+
+    /// As [`Journal::free_reserved_bytes`]; a shared journal reserves nothing.
+    pub fn free_reserved_bytes(&self) -> u64 {
+        match self {
+            Self::Exclusive(journal) => journal.free_reserved_bytes(),
+            Self::Sharded(_) => 0,
+        }
+    }
+
+    /// As [`Journal::set_reserved_bytes`].
+    pub fn set_reserved_bytes(&mut self, bytes: u64) {
+        if let Self::Exclusive(journal) = self {
+            journal.set_reserved_bytes(bytes);
+        }
+    }
+}
--- /dev/null
+++ b/crates/sharding/src/lib.rs
@@ -0,0 +1,27 @@
+//! Sharding of one process over several threads: which shard owns which destination, how shared capacity is leased to shards,
+//! and who receives what while destinations migrate. `docs/sharding.md` explains what is partitioned and what is shared.
+//!
+//! - [`OwnershipMap`]: each destination's one owner, as an immutable value that is replaced atomically.
+//! - [`AttemptRouter`]: a shard's view of attempts on its connections that other shards own, and vice versa.
+//! - [`LeasePool`]: capacity of the whole process (call slots, messages, descriptors), leased to shards.
+//! - [`Planner`]: when it is worth it to migrate a destination.
+//!
+//! The package must not do I/O, read a clock or decide on a message.
+#![forbid(unsafe_code)]
+#![warn(missing_docs)]
+
+mod ownership;
+mod planner;
+mod pool;
+mod router;
+
+pub use ownership::{OwnershipMap, ShardId};
+pub use planner::{DestinationLoad, Migration, Plan, Planner};
+pub use pool::{LeasePool, LeaseUpdate};
+pub use router::{AttemptId, AttemptRouter, ForeignAttempt};
+
+/// A point in time or a span, in microseconds.
+pub type Micros = u64;
+
+/// Shards of one process at most.
+pub const MAX_SHARDS: usize = 64;
