--- a/crates/decision/tests/limits.rs
+++ b/crates/decision/tests/limits.rs
@@ -32,13 +32,14 @@
     let beside = [
         // They hold state, show it, hand it over, take events and gossip in, say when to look again, estimate.
         "policy/state.rs",
-        "policy/view.rs",
-        "policy/takeover.rs",
-        "policy/moving.rs",
-        "policy/fold.rs",
-        "policy/due.rs",
-        "policy/worth.rs",
-        "policy/hearsay.rs",
+        "policy/candidate.rs",
+        "policy/inspection.rs",
+        "policy/hand_over.rs",
+        "policy/migration.rs",
+        "policy/events.rs",
+        "policy/timers.rs",
+        "policy/weights.rs",
+        "policy/gossip.rs",
         // They hold state, show it and store it.
         "health/mod.rs",
         "health/record.rs",
