--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -152,7 +152,7 @@
     }
     match live.abandoned {
         Some(Abandonment::Deferred(again)) => {
-            write_line(text, format_args!("  given up: deferred by {again}"))
+            write_line(text, format_args!("  given up: deferred by {again}"));
         }
         Some(Abandonment::Undeliverable) => write_line(text, format_args!("  given up: undeliverable")),
         None => {}
--- a/crates/sender/src/event_loop/shard/messages.rs
+++ b/crates/sender/src/event_loop/shard/messages.rs
@@ -79,7 +79,7 @@
                 self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
             ShardMessage::EndpointsUpdated(list) => {
-                self.handle_inbound(Inbound::EndpointsUpdated(list), events)
+                self.handle_inbound(Inbound::EndpointsUpdated(list), events);
             }
             ShardMessage::DiscoveryFailed => events.push(Event::DiscoveryFailed),
             ShardMessage::Ejections(held_out, done) => {
@@ -130,7 +130,7 @@
                 let name = self.directory.name(attempt.endpoint);
                 shard.send_to_owner(
                     destination,
-                    ShardMessage::AttemptCompleted { destination, name, attempt: attempt },
+                    ShardMessage::AttemptCompleted { destination, name, attempt },
                 );
                 continue;
             }
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -334,10 +334,10 @@
         }
         CarriedConnections {
             clock: self.clock,
-            frontends: frontends,
-            transports: transports,
+            frontends,
+            transports,
             gate: sockets.gate.clone(),
-            outcome_counts: outcome_counts,
+            outcome_counts,
         }
     }
 
