--- a/crates/sender/src/http/active_waits.rs
+++ b/crates/sender/src/http/active_waits.rs
@@ -1,6 +1,6 @@
-//! Waits that destinations told, as far as calls that are about to leave are concerned. The module knows of a wait from
-//! its next turn on and sends nothing then; what it sent before may still stand here, because its connection took long to
-//! come up or because the process stood still. No clock is asked: the time is handed in.
+//! Active Retry-After waits, checked right before a call is sent. The decision module learns of a wait in its next iteration
+//! and starts no calls from then on; but calls that it started before may not have been sent yet, because their connection
+//! took long to open or because the process stalled. Reads no clock: callers pass the time.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,25 +9,25 @@
 use decision::interface::RouteId;
 use tokio::time::Instant;
 
-/// Waits that are over are dropped once so many stand here.
-const TIDY_AT: usize = 256;
+/// Expired waits are removed once this many entries are stored.
+const CLEANUP_THRESHOLD: usize = 256;
 
-/// Until when nothing may leave for each route.
+/// For each route, the time until which nothing may be sent.
 #[derive(Debug, Default)]
 pub struct ActiveWaits(RefCell<HashMap<RouteId, Instant>>);
 
 impl ActiveWaits {
-    /// A route told a wait. It never shortens one that was told before.
+    /// Records a wait of a route. It never shortens one that was recorded before.
     pub fn record(&self, route: RouteId, now: Instant, wait: Duration) {
         let mut until = self.0.borrow_mut();
-        if until.len() >= TIDY_AT {
+        if until.len() >= CLEANUP_THRESHOLD {
             until.retain(|_, until| *until > now);
         }
         let end = now + wait;
         until.entry(route).and_modify(|until| *until = end.max(*until)).or_insert(end);
     }
 
-    /// Whether a wait runs that the route told.
+    /// Whether a wait of the route is active.
     pub fn is_active(&self, route: RouteId, now: Instant) -> bool {
         self.0.borrow().get(&route).is_some_and(|until| now < *until)
     }
--- a/crates/sender/src/http/admin.rs
+++ b/crates/sender/src/http/admin.rs
@@ -1,5 +1,5 @@
-//! The second address, for on-call staff: one call a connection. What a call means stands in the package `ops`; the
-//! driver answers.
+//! The administrative address, for on-call staff: one request per connection. The crate `admin` defines the requests; the
+//! event loop answers them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,19 +23,21 @@
 
 use crate::ports::{AdminResponse, Inbound};
 
-/// Callers at a time: guards descriptors, and everybody else, against callers that connect and finish no call. The
-/// one that has been there longest makes way; it hurts a caller slower than so many others after it.
+/// The most connections at a time, so that clients that connect and never finish a request don't use up the file
+/// descriptors or keep others out. The oldest connection is closed for a new one, which fails a request that is still
+/// open when this many others have connected after it.
 pub const CALLERS: usize = 16;
-/// A connection lasts no longer than that.
-const WITHIN: Duration = Duration::from_secs(10);
-/// A call's head has at most so many bytes.
+/// Maximum lifetime of a connection.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// The most bytes of a request head.
 const HEAD_LIMIT: usize = 8 * 1024;
+/// Connections that may wait to be accepted.
 const BACKLOG: u32 = 64;
 
-/// Listens there for as long as the process runs.
+/// Listens on this address for as long as the process runs. Returns the bound address.
 ///
 /// # Errors
-/// Fails when the address is not to be had.
+/// Fails when the address can't be bound.
 pub fn listen(address: SocketAddr, inbound: UnboundedSender<Inbound>) -> io::Result<SocketAddr> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -47,31 +49,31 @@
 }
 
 async fn accept(listener: TcpListener, inbound: UnboundedSender<Inbound>) {
-    let callers: Rc<RefCell<VecDeque<AbortHandle>>> = Rc::default();
+    let connections: Rc<RefCell<VecDeque<AbortHandle>>> = Rc::default();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let mut callers = callers.borrow_mut();
-        callers.retain(|caller| !caller.is_finished());
-        if callers.len() >= CALLERS
-            && let Some(oldest) = callers.pop_front()
+        let mut connections = connections.borrow_mut();
+        connections.retain(|connection_task| !connection_task.is_finished());
+        if connections.len() >= CALLERS
+            && let Some(oldest) = connections.pop_front()
         {
             oldest.abort();
         }
         let inbound = inbound.clone();
-        let caller = tokio::task::spawn_local(async move {
+        let connection_task = tokio::task::spawn_local(async move {
             let service = service_fn(|request| answer(request, &inbound));
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(WITHIN)
+                .header_read_timeout(CONNECTION_TIMEOUT)
                 .max_buf_size(HEAD_LIMIT)
                 .keep_alive(false)
                 .serve_connection(TokioIo::new(stream), service);
-            let _ = tokio::time::timeout(WITHIN, connection).await;
+            let _ = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
         });
-        callers.push_back(caller.abort_handle());
+        connections.push_back(connection_task.abort_handle());
     }
 }
 
@@ -80,18 +82,19 @@
     inbound: &UnboundedSender<Inbound>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let uri = request.uri();
-    let told = match admin::call::read(request.method().as_str(), uri.path(), uri.query()) {
+    let admin_response = match admin::call::read(request.method().as_str(), uri.path(), uri.query()) {
         Ok(call) => {
-            let (answer, answered) = oneshot::channel();
+            let (answer, answer_received) = oneshot::channel();
             let _ = inbound.send(Inbound::AdminRequest(call, answer));
-            answered.await.unwrap_or(AdminResponse { status: 503, text: "ending\n".into() })
+            answer_received.await.unwrap_or(AdminResponse { status: 503, text: "ending\n".into() })
         }
-        Err(none) => AdminResponse { status: none.status(), text: none.text().into() },
+        Err(error) => AdminResponse { status: error.status(), text: error.text().into() },
     };
-    let mut response = Response::new(Full::new(Bytes::from(told.text)));
-    *response.status_mut() = StatusCode::from_u16(told.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    // The version is the text format's own; other texts are plain all the same.
-    let kind = HeaderValue::from_static("text/plain; version=0.0.4");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let mut response = Response::new(Full::new(Bytes::from(admin_response.text)));
+    *response.status_mut() =
+        StatusCode::from_u16(admin_response.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    // The version is that of the metrics text format; it does no harm to other texts, which are plain as well.
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     Ok(response)
 }
--- a/crates/sender/src/http/client.rs
+++ b/crates/sender/src/http/client.rs
@@ -1,5 +1,5 @@
-//! Calls to endpoints over HTTP: connections kept and reused, single messages, batches and probes. A request is
-//! written once and never again by itself.
+//! Calls to endpoints over HTTP/1.1: single messages, batches and health probes, over pooled connections. The transport
+//! never repeats a request of which the last byte may have been sent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -22,82 +22,84 @@
 use crate::http::active_waits::ActiveWaits;
 use crate::ports::{AttemptCompleted, CallMessage, Inbound, Transport, WriteOptions};
 
-/// Where an endpoint is dialled.
+/// An endpoint together with the address that it is connected to; identifies a pool of idle connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Destination {
+struct EndpointAddress {
     endpoint: EndpointId,
     address: SocketAddr,
 }
 
-/// Limits that calls keep to.
+/// Timeouts of connections, and the fields of load reports.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// A connection not made within this time has failed.
+    /// Connect timeout.
     pub connect: Micros,
-    /// Endpoints close connections that stood idle so long.
+    /// The idle time after which endpoints close a connection.
     pub idle: Micros,
-    /// Names of a load report's fields.
+    /// Names of the fields of a load report, in the order in which their values are reported.
     pub report: Vec<String>,
 }
 
+/// An idle connection, and when it became idle.
 struct Idle {
     conn: Connection,
     since: Instant,
 }
 
-/// What has come is taken for read for so long.
+/// How long sockets count as read up to date after [`TransportState::drain_readable`].
 const READ_FRESHNESS: Duration = Duration::from_millis(10);
 
-/// Calls off all that travel along; works once.
+/// Cancels a call with all its messages. Shared by its attempts; empty once it was used.
 type CancelHandle = Rc<Cell<Option<oneshot::Sender<()>>>>;
 
 struct TransportState {
     limits: Limits,
-    /// Connections to endpoints at most, idle ones counted.
+    /// The most connections to endpoints, idle ones included.
     max_connections: Cell<usize>,
-    /// Where each endpoint is.
+    /// The address of each endpoint.
     addresses: RefCell<HashMap<EndpointId, SocketAddr>>,
     inbound: UnboundedSender<Inbound>,
-    idle: RefCell<HashMap<Destination, Vec<Idle>>>,
-    /// Connections that are in use.
+    idle: RefCell<HashMap<EndpointAddress, Vec<Idle>>>,
+    /// Connections in use, including those that are being opened.
     connections_in_use: Cell<usize>,
-    /// For each attempt that is out, what calls it off.
+    /// The attempts in flight.
     in_flight: RefCell<HashMap<(MessageId, u16), InFlightAttempt>>,
-    /// Messages that ended after they were written whole.
+    /// Completed attempts whose message was written completely.
     written: Cell<u64>,
     waits: ActiveWaits,
-    /// Endpoints that take nothing new.
+    /// Endpoints that accept no new calls.
     not_accepting: RefCell<HashSet<EndpointId>>,
-    /// When it was last seen to that all that has come is read.
+    /// When the runtime last read all sockets up to date; see [`TransportState::drain_readable`].
     read_up_to: Cell<Instant>,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct InFlightAttempt {
     endpoint: EndpointId,
     cancel: CancelHandle,
-    /// Its last byte may have been written.
+    /// The last byte of the call may have been written, so that the attempt may have run.
     may_run: Rc<Cell<bool>>,
 }
 
-/// All calls that are out and the connections that stand idle.
+/// The HTTP transport: all calls in flight and the pool of idle connections. Clones share both.
 #[derive(Clone)]
 pub struct HttpTransport(Rc<TransportState>);
 
-/// What is known of a call in progress when it is broken off.
+/// The progress of a call, from which its outcomes are determined when it times out, fails or is cancelled.
 #[derive(Default)]
 struct Progress {
     /// The last byte of the request may have been written.
     may_run: Rc<Cell<bool>>,
-    /// What passed over its connection.
+    /// The traffic of its connection.
     traffic: RefCell<Option<Rc<Traffic>>>,
-    /// Which of its messages it was written with; none yet where nothing was.
+    /// For each of its messages, whether the request carried it; empty before a request was built.
     sent: RefCell<Vec<bool>>,
 }
 
 impl Progress {
-    /// How a message fared that was to travel along, where the call as a whole came to that. One that was left behind never
-    /// ran. Guards what is delivered against a spoilt rest: to a single message the first line is the answer.
+    /// The outcome of the message at this position, given the outcome of the call as a whole. A message that was left out of
+    /// the request never ran. For a single message the status line alone is the answer: with status 200 it is delivered even
+    /// if the rest of the response is invalid.
     fn outcome_of(&self, at: usize, outcome: Outcome) -> Outcome {
         let sent = self.sent.borrow();
         match sent.get(at) {
@@ -109,12 +111,13 @@
         }
     }
 
-    /// Whether a first line has come that says 200.
+    /// Whether a status line with status 200 was received.
     fn status_is_ok(&self) -> bool {
-        self.traffic.borrow().as_ref().is_some_and(|p| p.heard.borrow().status == Some(Some(200)))
+        self.traffic.borrow().as_ref().is_some_and(|p| p.status_line.borrow().status == Some(Some(200)))
     }
 }
 
+/// A message in the body of a batch request.
 #[derive(Serialize)]
 struct BatchPart<'a> {
     id: &'a str,
@@ -123,6 +126,7 @@
     body: String,
 }
 
+/// The result of one message in the response to a batch request.
 #[derive(Deserialize)]
 struct BatchResult {
     id: String,
@@ -130,39 +134,40 @@
 }
 
 impl HttpTransport {
-    /// No calls yet, and so many connections at most, idle ones counted. Idle connections are looked after by a task of their own.
+    /// Creates a transport without calls, with at most this many connections, idle ones included. Spawns a task that closes
+    /// idle connections when they expire.
     pub fn new(limits: Limits, most: usize, inbound: UnboundedSender<Inbound>) -> Self {
-        let (places, idle, out) = (RefCell::default(), RefCell::default(), RefCell::default());
+        let (addresses, idle, in_flight) = (RefCell::default(), RefCell::default(), RefCell::default());
         let (written, most) = (Cell::new(0), Cell::new(most));
-        let calls = Self(Rc::new(TransportState {
+        let transport = Self(Rc::new(TransportState {
             limits,
             max_connections: most,
-            addresses: places,
+            addresses,
             inbound,
             idle,
             connections_in_use: Cell::new(0),
-            in_flight: out,
+            in_flight,
             written,
             waits: ActiveWaits::default(),
             not_accepting: RefCell::default(),
             read_up_to: Cell::new(Instant::now()),
         }));
-        let swept = calls.clone();
+        let sweeper = transport.clone();
         tokio::task::spawn_local(async move {
             let mut tick = tokio::time::interval(Duration::from_millis(250));
             loop {
                 tick.tick().await;
-                let shared = &swept.0;
+                let shared = &sweeper.0;
                 shared.idle.borrow_mut().retain(|_, conns| {
-                    conns.retain(|idle| shared.fresh(idle));
+                    conns.retain(|idle| shared.is_reusable(idle));
                     !conns.is_empty()
                 });
             }
         });
-        calls
+        transport
     }
 
-    /// So many connections at most, from now on.
+    /// Sets the most connections, idle ones included.
     pub fn set_most(&self, most: usize) {
         self.0.max_connections.set(most);
     }
@@ -193,18 +198,18 @@
         self.close_idle(endpoint);
     }
 
-    fn set_accepting(&self, endpoint: EndpointId, open: bool) {
-        let mut shut = self.0.not_accepting.borrow_mut();
-        if open {
-            shut.remove(&endpoint);
+    fn set_accepting(&self, endpoint: EndpointId, accepting: bool) {
+        let mut not_accepting = self.0.not_accepting.borrow_mut();
+        if accepting {
+            not_accepting.remove(&endpoint);
         } else {
-            shut.insert(endpoint);
+            not_accepting.insert(endpoint);
         }
     }
 
     fn messages_written(&self) -> u64 {
-        let out = self.0.in_flight.borrow().values().filter(|out| out.may_run.get()).count();
-        self.0.written.get() + out as u64
+        let in_flight = self.0.in_flight.borrow().values().filter(|attempt| attempt.may_run.get()).count();
+        self.0.written.get() + in_flight as u64
     }
 
     fn attempts_in_flight(&self) -> usize {
@@ -221,75 +226,84 @@
     }
 
     fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)> {
-        let out = self.0.in_flight.borrow();
-        out.iter().map(|((message, attempt), out)| (*message, *attempt, out.endpoint)).collect()
+        let in_flight = self.0.in_flight.borrow();
+        in_flight.iter().map(|((message, attempt), state)| (*message, *attempt, state.endpoint)).collect()
     }
 
-    fn start(&self, (route, endpoint): (RouteId, EndpointId), parts: Vec<CallMessage>, pace: WriteOptions) {
+    fn start(
+        &self,
+        (route, endpoint): (RouteId, EndpointId),
+        parts: Vec<CallMessage>,
+        options: WriteOptions,
+    ) {
         let shared = self.0.clone();
-        // An endpoint without a place was never listed here, or is forgotten: it can't be connected to.
-        let Some(line) = shared.dial_target(endpoint) else {
-            let over = |part: &CallMessage| {
+        // An endpoint without an address was never listed here or was forgotten, so that no connection can be opened.
+        let Some(target) = shared.dial_target(endpoint) else {
+            let connect_failed = |part: &CallMessage| {
                 AttemptCompleted::unsent(part.message, part.attempt, endpoint, Outcome::ConnectFailed)
             };
-            let _ = shared.inbound.send(Inbound::CallCompleted(parts.iter().map(over).collect()));
+            let _ = shared.inbound.send(Inbound::CallCompleted(parts.iter().map(connect_failed).collect()));
             return;
         };
-        let (off, called_off) = oneshot::channel();
-        let off = Rc::new(Cell::new(Some(off)));
+        let (cancel, cancelled) = oneshot::channel();
+        let cancel = Rc::new(Cell::new(Some(cancel)));
         let progress = Progress::default();
         for part in &parts {
-            let out = InFlightAttempt { endpoint, cancel: off.clone(), may_run: progress.may_run.clone() };
-            shared.in_flight.borrow_mut().insert((part.message, part.attempt), out);
+            let attempt =
+                InFlightAttempt { endpoint, cancel: cancel.clone(), may_run: progress.may_run.clone() };
+            shared.in_flight.borrow_mut().insert((part.message, part.attempt), attempt);
         }
         tokio::task::spawn_local(async move {
-            let begun = Instant::now();
-            let until = parts.iter().map(|part| part.answer_deadline).max().unwrap_or(begun);
-            let over = |outcome| {
-                let ends = (0..parts.len()).map(|at| (progress.outcome_of(at, outcome), false)).collect();
-                let answered = CallAnswer { outcomes: ends, report: vec![], wait: None, unread_body: None };
-                shared.report_ends(line, &parts, begun, &answered);
+            let started_at = Instant::now();
+            let deadline = parts.iter().map(|part| part.answer_deadline).max().unwrap_or(started_at);
+            let complete = |outcome| {
+                let outcomes = (0..parts.len()).map(|at| (progress.outcome_of(at, outcome), false)).collect();
+                let answered = CallAnswer { outcomes, report: vec![], wait: None, unread_body: None };
+                shared.report_completed(target, &parts, started_at, &answered);
             };
-            let rest = tokio::select! {
-                result = timeout_at(until, shared.call((route, line), &parts, until, pace, &progress)) => match result {
+            let unread = tokio::select! {
+                result = timeout_at(
+                    deadline,
+                    shared.call((route, target), &parts, deadline, options, &progress),
+                ) => match result {
                     Ok(Ok(mut answered)) => {
                         shared.record_wait(route, answered.wait);
-                        expire_late_deliveries(&mut answered.outcomes, Instant::now(), until);
-                        shared.report_ends(line, &parts, begun, &answered);
+                        expire_late_deliveries(&mut answered.outcomes, Instant::now(), deadline);
+                        shared.report_completed(target, &parts, started_at, &answered);
                         answered.unread_body
                     }
                     Ok(Err(outcome)) => {
-                        over(outcome);
+                        complete(outcome);
                         None
                     }
                     Err(_) => {
                         let ran = progress.may_run.get();
                         let outcome = if ran { Outcome::TimedOut } else { Outcome::ConnectFailed };
-                        over(outcome);
+                        complete(outcome);
                         None
                     }
                 },
-                Ok(()) = called_off => {
-                    over(Outcome::Cancelled);
+                Ok(()) = cancelled => {
+                    complete(Outcome::Cancelled);
                     None
                 }
             };
-            if let Some((conn, body)) = rest {
-                shared.finish(line, conn, body).await;
+            if let Some((conn, body)) = unread {
+                shared.read_rest(target, conn, body).await;
             }
         });
     }
 
     fn cancel(&self, message: MessageId, attempt: u16) {
-        let off = self.0.in_flight.borrow().get(&(message, attempt)).and_then(|out| out.cancel.take());
-        if let Some(off) = off {
-            let _ = off.send(());
+        let cancel = self.0.in_flight.borrow().get(&(message, attempt)).and_then(|state| state.cancel.take());
+        if let Some(cancel) = cancel {
+            let _ = cancel.send(());
         }
     }
 
     fn probe(&self, endpoint: EndpointId) {
         let shared = self.0.clone();
-        let Some(line) = shared.dial_target(endpoint) else {
+        let Some(target) = shared.dial_target(endpoint) else {
             let (outcome, report) = (Outcome::ConnectFailed, vec![]);
             let _ = shared.inbound.send(Inbound::Event(Event::HealthChecked { endpoint, outcome, report }));
             return;
@@ -298,25 +312,25 @@
             let path = if shared.limits.report.is_empty() { "/health" } else { "/status/load" };
             let within = Duration::from_micros(shared.limits.connect);
             let progress = Progress::default();
-            let until = Instant::now() + within;
-            let request = Request::get(path).header("host", line.address.to_string());
-            let asked = async {
+            let deadline = Instant::now() + within;
+            let request = Request::get(path).header("host", target.address.to_string());
+            let exchange_report = async {
                 let request = request.body(Bytes::new()).map_err(|_| Outcome::ConnectFailed)?;
-                let request = || Some((request.clone(), until));
+                let request = || Some((request.clone(), deadline));
                 let (mut conn, answer, new) = shared
-                    .exchange((None, line), &request, until, WriteOptions::default(), &progress)
+                    .exchange((None, target), &request, deadline, WriteOptions::default(), &progress)
                     .await?;
                 let (head, body) = answer.into_parts();
                 let body = conn.0.body(body).await.map_err(|()| Outcome::InvalidResponse)?;
-                shared.return_connection(line, conn).await;
-                let mut report = shared.report(&head.headers);
+                shared.return_connection(target, conn).await;
+                let mut report = shared.load_report(&head.headers);
                 if report.is_empty() {
-                    report = std::str::from_utf8(&body).map_or(vec![], |text| shared.fields(text));
+                    report = std::str::from_utf8(&body).map_or(vec![], |text| shared.parse_load_report(text));
                 }
                 Ok((outcome(head.status, &head.headers, new && report.is_empty()), report))
             };
-            let (outcome, report) = match timeout(within, asked).await {
-                Ok(Ok(seen)) => seen,
+            let (outcome, report) = match timeout(within, exchange_report).await {
+                Ok(Ok(result)) => result,
                 Ok(Err(outcome)) => (outcome, vec![]),
                 Err(_) if progress.may_run.get() => (Outcome::TimedOut, vec![]),
                 Err(_) => (Outcome::ConnectFailed, vec![]),
@@ -326,7 +340,7 @@
     }
 
     fn close_idle(&self, endpoint: EndpointId) {
-        self.0.idle.borrow_mut().retain(|line, _| line.endpoint != endpoint);
+        self.0.idle.borrow_mut().retain(|target, _| target.endpoint != endpoint);
     }
 }
 
@@ -346,11 +360,12 @@
     }
 }
 
-/// A connection in use.
+/// A connection in use, which is counted as such.
 struct InUseConnection(Connection, InUse);
 
-/// An answer to a call, read as far as it has a meaning.
+/// The result of a call. The rest of the response body may be unread, where it doesn't affect the outcomes.
 struct CallAnswer {
+    /// For each message its outcome, and whether the endpoint reported it as completed.
     outcomes: Vec<(Outcome, bool)>,
     report: Vec<f32>,
     wait: Option<Micros>,
@@ -358,24 +373,24 @@
 }
 
 impl TransportState {
-    fn dial_target(&self, endpoint: EndpointId) -> Option<Destination> {
-        Some(Destination { endpoint, address: *self.addresses.borrow().get(&endpoint)? })
+    fn dial_target(&self, endpoint: EndpointId) -> Option<EndpointAddress> {
+        Some(EndpointAddress { endpoint, address: *self.addresses.borrow().get(&endpoint)? })
     }
 
-    fn fresh(&self, idle: &Idle) -> bool {
-        // Guards against writing to a connection that the endpoint closes at that moment.
+    fn is_reusable(&self, idle: &Idle) -> bool {
+        // Discarded at 4/5 of the endpoint's idle timeout, so that no request is written while the endpoint closes.
         idle.since.elapsed().as_micros() < u128::from(self.limits.idle / 5 * 4)
     }
 
-    fn take_idle(&self, line: Destination) -> Option<Connection> {
+    fn take_idle(&self, target: EndpointAddress) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let conns = idle.get_mut(&line)?;
-        conns.retain(|idle| self.fresh(idle));
+        let conns = idle.get_mut(&target)?;
+        conns.retain(|idle| self.is_reusable(idle));
         Some(conns.pop()?.conn)
     }
 
-    /// Makes room for a connection that is counted as in use already, by closing those that have been idle the
-    /// longest; there may be none.
+    /// Closes the connections that have been idle the longest until the limit is kept. Returns false if the connections in
+    /// use exceed it by themselves; the one that is to be opened is already counted among them.
     fn free_connection(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let mut count: usize = idle.values().map(Vec::len).sum();
@@ -391,12 +406,12 @@
 
     async fn connect(
         self: &Rc<Self>,
-        line: Destination,
-        until: Instant,
+        target: EndpointAddress,
+        deadline: Instant,
         may_reuse: bool,
     ) -> Result<(InUseConnection, bool), Outcome> {
         let in_use = InUse::new(self);
-        while let Some(mut conn) = may_reuse.then(|| self.take_idle(line)).flatten() {
+        while let Some(mut conn) = may_reuse.then(|| self.take_idle(target)).flatten() {
             if conn.usable().await {
                 return Ok((InUseConnection(conn, in_use), true));
             }
@@ -404,24 +419,24 @@
         if !self.free_connection() {
             return Err(Outcome::NotSent { no_slot: true });
         }
-        let until = until.min(Instant::now() + Duration::from_micros(self.limits.connect));
-        match timeout_at(until, Connection::open(line.address)).await {
+        let deadline = deadline.min(Instant::now() + Duration::from_micros(self.limits.connect));
+        match timeout_at(deadline, Connection::open(target.address)).await {
             Ok(Ok(conn)) => Ok((InUseConnection(conn, in_use), false)),
             _ => Err(Outcome::ConnectFailed),
         }
     }
 
-    /// A route told a wait: what is on its way there, and has not left, stays here.
+    /// Records a Retry-After of a route. Calls on their way there, of which nothing has been sent, are not sent.
     fn record_wait(&self, route: RouteId, wait: Option<Micros>) {
         if let Some(wait) = wait {
             self.waits.record(route, Instant::now(), Duration::from_micros(wait));
         }
     }
 
-    /// Sees to it that what has come is read, unless that was seen to just now. Guards a wait, whose answer may lie unread
-    /// since before this process stood still, against calls that go on where they were. One round of the runtime asks the
-    /// system for all that has come, and has it read by those who wait for it before this call goes on. It costs a call to
-    /// the system each hundredth of a second in which calls leave.
+    /// Lets the runtime read all responses that have arrived, unless it did so within [`READ_FRESHNESS`]. After a stall of
+    /// the process, a response with a Retry-After may lie unread in its socket; without this, calls that were waiting to be
+    /// sent would ignore it. Yielding once makes the runtime poll the system and run the tasks whose sockets are readable
+    /// before this call continues. Costs one system call per 10 ms in which calls are sent.
     async fn drain_readable(&self) {
         let now = Instant::now();
         if now.duration_since(self.read_up_to.get()) > READ_FRESHNESS {
@@ -430,66 +445,69 @@
         }
     }
 
-    /// Whether a call's next bytes may leave. Guards waits and drains against calls that were decided before they were told:
-    /// those whose connection took long to come up, or which the process slept over. It may harm where a wait is told by
-    /// mistake, which the module would believe too. What is left is a process that stands still between this and the write
-    /// behind it.
-    async fn may_send(&self, route: Option<RouteId>, line: Destination) -> bool {
+    /// Whether the next bytes of a call may be sent. False while a Retry-After of the route is active, or if the endpoint
+    /// drains or moved, also where that became known only after the call was decided: its connection took long to open, or
+    /// the process stalled. A Retry-After that was sent by mistake delays calls too; the decision module would believe it
+    /// as well. A stall between this check and the write that follows is not covered.
+    async fn may_send(&self, route: Option<RouteId>, target: EndpointAddress) -> bool {
         let Some(route) = route else { return true };
         self.drain_readable().await;
-        let shut = self.not_accepting.borrow().contains(&line.endpoint)
-            || self.dial_target(line.endpoint) != Some(line);
-        !shut && !self.waits.is_active(route, Instant::now())
+        let unavailable = self.not_accepting.borrow().contains(&target.endpoint)
+            || self.dial_target(target.endpoint) != Some(target);
+        !unavailable && !self.waits.is_active(route, Instant::now())
     }
 
-    /// One request, of which nothing leaves from when it says, and the head of its answer; and whether its connection was new. A probe has no route: waits don't bind it.
+    /// Sends a request and returns the head of the response, and whether the connection was new. `request` builds the request
+    /// and returns the time from which nothing of it may be sent any more. A probe has no route: Retry-After doesn't apply
+    /// to it.
     async fn exchange(
         self: &Rc<Self>,
-        (route, line): (Option<RouteId>, Destination),
+        (route, target): (Option<RouteId>, EndpointAddress),
         request: impl Fn() -> Option<(Request<Bytes>, Instant)>,
-        until: Instant,
-        pace: WriteOptions,
+        deadline: Instant,
+        options: WriteOptions,
         progress: &Progress,
     ) -> Result<(InUseConnection, Response<Incoming>, bool), Outcome> {
-        let hold = Duration::from_micros(pace.last_byte_delay);
-        let mut may_reuse = !pace.new_connection;
-        if pace.new_connection {
-            // The endpoint's table has no room for both.
-            self.take_idle(line);
+        let last_byte_delay = Duration::from_micros(options.last_byte_delay);
+        let mut may_reuse = !options.new_connection;
+        if options.new_connection {
+            // The endpoint's connection table has no room for both the idle and the new connection.
+            self.take_idle(target);
         }
         loop {
-            let (mut conn, reused) = self.connect(line, until, may_reuse).await?;
-            // Written only now: what was to travel along may not leave any more.
-            let request = match self.may_send(route, line).await {
+            let (mut conn, reused) = self.connect(target, deadline, may_reuse).await?;
+            // Built only now, since messages of the call may have passed their deadline while it connected.
+            let request = match self.may_send(route, target).await {
                 true => request(),
                 false => None,
             };
-            let Some((request, last)) = request else {
-                self.return_connection(line, conn).await;
+            let Some((request, send_before)) = request else {
+                self.return_connection(target, conn).await;
                 return Err(Outcome::NotSent { no_slot: false });
             };
             let length = request.body().len() as u64;
             let before = conn.0.traffic.written.get();
             progress.traffic.replace(Some(conn.0.traffic.clone()));
             let shared = self.clone();
-            let leave: SendPermit =
-                Box::pin(async move { shared.may_send(route, line).await && Instant::now() < last });
-            let answer = conn.0.send_paced(request, hold, reused, &progress.may_run, leave).await;
-            // A head of at least a byte goes before the body.
+            let permit: SendPermit =
+                Box::pin(async move { shared.may_send(route, target).await && Instant::now() < send_before });
+            let answer =
+                conn.0.send_delayed(request, last_byte_delay, reused, &progress.may_run, permit).await;
+            // The head of the request, at least one byte, precedes the body.
             let written = conn.0.traffic.written.get() - before;
-            let never_left = !progress.may_run.get() || written <= length;
+            let never_sent = !progress.may_run.get() || written <= length;
             if reused {
                 let _ = self.inbound.send(Inbound::Event(Event::ConnectionReused { lost: answer.is_err() }));
             }
             match answer {
                 Ok(answer) => return Ok((conn, answer, !reused)),
                 Err(ExchangeError::NotSent) => return Err(Outcome::NotSent { no_slot: false }),
-                // The last byte never left: on a new connection it is no second copy.
-                Err(_) if never_left && reused => {
+                // The last byte was never sent, so that repeating the call on a new connection sends no second copy.
+                Err(_) if never_sent && reused => {
                     may_reuse = false;
                     progress.may_run.set(false);
                 }
-                Err(_) if never_left => return Err(Outcome::ConnectFailed),
+                Err(_) if never_sent => return Err(Outcome::ConnectFailed),
                 Err(ExchangeError::InvalidResponse) => return Err(Outcome::InvalidResponse),
                 Err(ExchangeError::Broken) => return Err(Outcome::Reset),
             }
@@ -498,96 +516,103 @@
 
     async fn call(
         self: &Rc<Self>,
-        (route, line): (RouteId, Destination),
+        (route, target): (RouteId, EndpointAddress),
         parts: &[CallMessage],
-        until: Instant,
-        pace: WriteOptions,
+        deadline: Instant,
+        options: WriteOptions,
         progress: &Progress,
     ) -> Result<CallAnswer, Outcome> {
         let request = || {
-            // Guards the one final answer: at a message's end the module has answered for it, though it travels with others
-            // which have more time, and its connection came up late. And the effect: a repeat that leaves once its key may be
-            // forgotten takes effect again.
-            let last_byte = Instant::now() + Duration::from_micros(pace.last_byte_delay);
+            // Leaves out messages past their send deadline, which a late connection may cause although other messages of the
+            // batch have more time. By then the decision module has given the message its one final outcome; and a retry that
+            // is sent once the endpoint may have forgotten its idempotency key would take effect a second time.
+            let last_byte = Instant::now() + Duration::from_micros(options.last_byte_delay);
             let sent: Vec<bool> = parts.iter().map(|part| last_byte < part.send_deadline).collect();
-            let with = selected(parts, &sent);
-            let last = with.iter().map(|part| part.send_deadline).min();
-            let request = write(line, &with, until).zip(last);
+            let carried = selected(parts, &sent);
+            let send_before = carried.iter().map(|part| part.send_deadline).min();
+            let request = build_request(target, &carried, deadline).zip(send_before);
             progress.sent.replace(sent);
             request
         };
         let (mut conn, answer, new) =
-            self.exchange((Some(route), line), request, until, pace, progress).await?;
+            self.exchange((Some(route), target), request, deadline, options, progress).await?;
         let sent = progress.sent.borrow().clone();
-        let (whole, parts) = (parts.len(), selected(parts, &sent));
-        // Those that were left behind never ran.
-        let all = |ends: Vec<(Outcome, bool)>| {
-            let mut ends = ends.into_iter();
-            let left = (Outcome::NotSent { no_slot: false }, false);
-            (0..whole).map(|at| if sent[at] { ends.next().unwrap_or(left) } else { left }).collect::<Vec<_>>()
+        let (total, parts) = (parts.len(), selected(parts, &sent));
+        // Messages that were left out of the request never ran.
+        let for_all_messages = |outcomes: Vec<(Outcome, bool)>| {
+            let mut outcomes = outcomes.into_iter();
+            let omitted = (Outcome::NotSent { no_slot: false }, false);
+            (0..total)
+                .map(|at| if sent[at] { outcomes.next().unwrap_or(omitted) } else { omitted })
+                .collect::<Vec<_>>()
         };
         let (head, body) = answer.into_parts();
-        let report = self.report(&head.headers);
+        let report = self.load_report(&head.headers);
         if parts.len() == 1 && head.status == StatusCode::OK {
-            let ends = all(vec![(Outcome::Delivered, false)]);
-            return Ok(CallAnswer {
-                outcomes: ends,
-                report,
-                wait: None,
-                unread_body: Some((conn, Some(body))),
-            });
+            let outcomes = for_all_messages(vec![(Outcome::Delivered, false)]);
+            return Ok(CallAnswer { outcomes, report, wait: None, unread_body: Some((conn, Some(body))) });
         }
-        // Guards against believing a head whose rest is spoilt: only a whole answer proves anything.
+        // A head whose body is invalid is not trusted: only a complete response proves anything.
         let body = conn.0.body(body).await.map_err(|()| Outcome::InvalidResponse)?;
         let wait = retry_after(&head.headers);
         if parts.len() > 1 && head.status == StatusCode::OK {
-            let told: Vec<BatchResult> =
+            let results: Vec<BatchResult> =
                 serde_json::from_slice(&body).map_err(|_| Outcome::InvalidResponse)?;
             let states: HashMap<&str, &str> =
-                told.iter().map(|end| (end.id.as_str(), end.state.as_str())).collect();
-            let end = |p: &&CallMessage| match states.get(p.id.as_str()).copied() {
+                results.iter().map(|result| (result.id.as_str(), result.state.as_str())).collect();
+            let outcome_of_part = |p: &&CallMessage| match states.get(p.id.as_str()).copied() {
                 Some("ok") => (Outcome::Delivered, false),
                 Some("later") => (Outcome::Rejected(wait), false),
                 Some("gone") => (Outcome::NotSent { no_slot: false }, true),
                 Some("exhausted") => (Outcome::NotSent { no_slot: false }, false),
                 Some("error") => (Outcome::Error, false),
-                // What is not told, or can't be read, may have run.
+                // A message that is missing from the response, or has an unknown state, may have run.
                 _ => (Outcome::InvalidResponse, false),
             };
-            let ends = all(parts.iter().map(end).collect());
-            return Ok(CallAnswer { outcomes: ends, report, wait, unread_body: Some((conn, None)) });
+            let outcomes = for_all_messages(parts.iter().map(outcome_of_part).collect());
+            return Ok(CallAnswer { outcomes, report, wait, unread_body: Some((conn, None)) });
         }
-        let unseen = new && report.is_empty();
-        let end = (outcome(head.status, &head.headers, unseen), head.status == StatusCode::GONE);
-        // What comes behind it may belong to it, so that its length was spoilt.
-        if end.0.never_ran() && !conn.0.quiet().await {
+        let new_without_report = new && report.is_empty();
+        let result =
+            (outcome(head.status, &head.headers, new_without_report), head.status == StatusCode::GONE);
+        // Bytes after the response may belong to it: its content length was wrong, and it can't be trusted.
+        if result.0.never_ran() && !conn.0.is_silent().await {
             return Err(Outcome::InvalidResponse);
         }
         Ok(CallAnswer {
-            outcomes: all(vec![end; parts.len()]),
+            outcomes: for_all_messages(vec![result; parts.len()]),
             report,
             wait,
             unread_body: Some((conn, None)),
         })
     }
 
-    fn report_ends(&self, line: Destination, parts: &[CallMessage], begun: Instant, answered: &CallAnswer) {
-        let took = begun.elapsed().as_micros() as Micros;
-        let endpoint = line.endpoint;
-        let mut over = Vec::with_capacity(parts.len());
-        for (part, (outcome, gone)) in parts.iter().zip(&answered.outcomes) {
+    fn report_completed(
+        &self,
+        target: EndpointAddress,
+        parts: &[CallMessage],
+        started_at: Instant,
+        answered: &CallAnswer,
+    ) {
+        let took = started_at.elapsed().as_micros() as Micros;
+        let endpoint = target.endpoint;
+        let mut completed = Vec::with_capacity(parts.len());
+        for (part, (outcome, message_completed)) in parts.iter().zip(&answered.outcomes) {
             let (message, attempt) = (part.message, part.attempt);
-            let out = self.in_flight.borrow_mut().remove(&(message, attempt));
-            if out.is_some_and(|out| out.may_run.get()) && *outcome != Outcome::ConnectFailed {
+            let in_flight = self.in_flight.borrow_mut().remove(&(message, attempt));
+            if in_flight.is_some_and(|in_flight| in_flight.may_run.get())
+                && *outcome != Outcome::ConnectFailed
+            {
                 self.written.set(self.written.get() + 1);
             }
-            let (outcome, gone, report) = (*outcome, *gone, answered.report.clone());
-            over.push(AttemptCompleted {
+            let (outcome, message_completed, report) =
+                (*outcome, *message_completed, answered.report.clone());
+            completed.push(AttemptCompleted {
                 message,
                 attempt,
                 endpoint,
                 outcome,
-                message_completed: gone,
+                message_completed,
                 took,
                 report,
             });
@@ -595,34 +620,39 @@
         if let Some(wait) = answered.wait {
             let _ = self.inbound.send(Inbound::Event(Event::RetryAfter { endpoint, wait }));
         }
-        let _ = self.inbound.send(Inbound::CallCompleted(over));
+        let _ = self.inbound.send(Inbound::CallCompleted(completed));
     }
 
-    /// Reads what is left of an answer, so that its connection can be used again.
-    async fn finish(self: &Rc<Self>, line: Destination, mut conn: InUseConnection, body: Option<Incoming>) {
+    /// Reads the rest of a response, so that its connection can be reused.
+    async fn read_rest(
+        self: &Rc<Self>,
+        target: EndpointAddress,
+        mut conn: InUseConnection,
+        body: Option<Incoming>,
+    ) {
         if let Some(body) = body
             && !matches!(timeout(BODY_TIMEOUT, conn.0.body(body)).await, Ok(Ok(_)))
         {
             return;
         }
-        self.return_connection(line, conn).await;
+        self.return_connection(target, conn).await;
     }
 
-    async fn return_connection(self: &Rc<Self>, line: Destination, conn: InUseConnection) {
+    async fn return_connection(self: &Rc<Self>, target: EndpointAddress, conn: InUseConnection) {
         let InUseConnection(mut conn, in_use) = conn;
-        if self.not_accepting.borrow().contains(&line.endpoint) || !conn.usable().await {
+        if self.not_accepting.borrow().contains(&target.endpoint) || !conn.usable().await {
             return;
         }
         drop(in_use);
-        self.idle.borrow_mut().entry(line).or_default().push(Idle { conn, since: Instant::now() });
+        self.idle.borrow_mut().entry(target).or_default().push(Idle { conn, since: Instant::now() });
     }
 
-    fn report(&self, headers: &HeaderMap) -> Vec<f32> {
+    fn load_report(&self, headers: &HeaderMap) -> Vec<f32> {
         let text = headers.get("srv-load").and_then(|v| v.to_str().ok());
-        text.map_or(vec![], |text| self.fields(text))
+        text.map_or(vec![], |text| self.parse_load_report(text))
     }
 
-    fn fields(&self, text: &str) -> Vec<f32> {
+    fn parse_load_report(&self, text: &str) -> Vec<f32> {
         let pairs: Vec<(&str, f32)> = text
             .split(',')
             .filter_map(|pair| pair.split_once('='))
@@ -637,26 +667,32 @@
     }
 }
 
-/// Guards the end that others count by: the endpoint was told until when it is waited for, and the module counts with it. A
-/// delivery that is read after that, since the process stood still or had others to serve first, may be none any more
-/// to those who wrote it; what never ran is known all the same.
-fn expire_late_deliveries(ends: &mut [(Outcome, bool)], now: Instant, until: Instant) {
-    let delivered = ends.iter_mut().filter(|(outcome, _)| now > until && *outcome == Outcome::Delivered);
-    delivered.for_each(|end| end.0 = Outcome::TimedOut);
+/// Turns deliveries that are read after the deadline into time-outs. The endpoint was given this deadline in the request and
+/// the decision module relies on it; a process that stalled or was busy may read a response later, when the endpoint may no
+/// longer count the message as delivered. Outcomes that prove that a message never ran remain valid.
+fn expire_late_deliveries(outcomes: &mut [(Outcome, bool)], now: Instant, deadline: Instant) {
+    let delivered =
+        outcomes.iter_mut().filter(|(outcome, _)| now > deadline && *outcome == Outcome::Delivered);
+    delivered.for_each(|delivery| delivery.0 = Outcome::TimedOut);
 }
 
-/// Those of a call's messages that it is written with.
+/// The messages of a call that its request carries.
 fn selected<'a>(parts: &'a [CallMessage], sent: &[bool]) -> Vec<&'a CallMessage> {
     parts.iter().zip(sent).filter(|(_, sent)| **sent).map(|(part, _)| part).collect()
 }
 
-/// A call with these messages; none with none. Ids and keys came as header values, so that they can go as such.
-fn write(line: Destination, parts: &[&CallMessage], until: Instant) -> Option<Request<Bytes>> {
-    let left = until.saturating_duration_since(Instant::now()).as_millis().max(1);
+/// Builds the request for these messages; `None` if there are none. Ids and keys were received as header values, so that they
+/// are valid header values.
+fn build_request(
+    target: EndpointAddress,
+    parts: &[&CallMessage],
+    deadline: Instant,
+) -> Option<Request<Bytes>> {
+    let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis().max(1);
     let request = Request::builder()
         .method(Method::POST)
-        .header("host", line.address.to_string())
-        .header("req-deadline-ms", left.to_string());
+        .header("host", target.address.to_string())
+        .header("req-deadline-ms", remaining_ms.to_string());
     let (request, body) = match parts {
         [] => return None,
         [part] => {
@@ -679,31 +715,34 @@
     request.body(body).ok()
 }
 
-/// Whether an answer says that its connection ends with it.
-fn closes(headers: &HeaderMap) -> bool {
+/// Whether a response announces that its connection will be closed.
+fn announces_close(headers: &HeaderMap) -> bool {
     let options = headers.get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
     options.flat_map(|v| v.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// The wait that an answer tells, in seconds with decimals; strange ones are none.
+/// Parses Retry-After: seconds, with a decimal fraction allowed. Returns `None` for values that are not positive numbers.
 fn retry_after(headers: &HeaderMap) -> Option<Micros> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
-    // No destination means a wait of more than an hour.
+    // No destination means to delay calls by more than an hour.
     (seconds > 0.0).then(|| (seconds.min(3600.0) * 1e6).ceil() as Micros)
 }
 
-/// What an answer's head says. A call is `unseen` where it was the first on its connection and no report of the
-/// destination came with the answer: turned away and closed on, it found no place for its connection.
-fn outcome(status: StatusCode, headers: &HeaderMap, unseen: bool) -> Outcome {
+/// The outcome that the head of a response stands for. `new_without_report` is set if this was the first request on its
+/// connection and the response carries no load report: if the endpoint then also rejects it and closes the connection, it had no room for
+/// the connection.
+fn outcome(status: StatusCode, headers: &HeaderMap, new_without_report: bool) -> Outcome {
     match status.as_u16() {
         200 => Outcome::Delivered,
         429 => Outcome::Rejected(retry_after(headers)),
         503 if headers.get("x-line-busy").is_some_and(|v| v.as_bytes() == b"1") => {
             Outcome::NotSent { no_slot: true }
         }
-        503 if unseen && retry_after(headers).is_none() && closes(headers) => Outcome::ConnectionRejected,
+        503 if new_without_report && retry_after(headers).is_none() && announces_close(headers) => {
+            Outcome::ConnectionRejected
+        }
         503 => Outcome::Rejected(retry_after(headers)),
-        // Not sent, not for this endpoint, or not to be read there: it never ran.
+        // Not forwarded to the endpoint, meant for another endpoint, or unreadable there: it never ran.
         400 | 404 | 410 | 413 | 504 => Outcome::NotSent { no_slot: false },
         _ => Outcome::Error,
     }
--- a/crates/sender/src/http/client/tests.rs
+++ b/crates/sender/src/http/client/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
-/// Which of an answer and the end of the wait for it is seen first can't be forced from outside.
+/// A unit test, because no test from outside can force a response to be read after the deadline has passed.
 #[test]
-fn a_delivery_that_is_read_after_the_end_of_the_wait_is_none() {
-    let until = Instant::now();
+fn delivery_read_after_deadline_counts_as_time_out() {
+    let deadline = Instant::now();
     let all = [(Outcome::Delivered, false), (Outcome::Rejected(None), false), (Outcome::Delivered, false)];
-    let read = |now| {
-        let mut ends = all;
-        expire_late_deliveries(&mut ends, now, until);
-        ends
+    let read_at = |now| {
+        let mut outcomes = all;
+        expire_late_deliveries(&mut outcomes, now, deadline);
+        outcomes
     };
-    assert_eq!(read(until), all);
+    assert_eq!(read_at(deadline), all);
     let late = (Outcome::TimedOut, false);
-    assert_eq!(read(until + Duration::from_micros(1)), [late, all[1], late]);
+    assert_eq!(read_at(deadline + Duration::from_micros(1)), [late, all[1], late]);
 }
--- a/crates/sender/src/http/connection.rs
+++ b/crates/sender/src/http/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to an HTTP server, used for one request at a time: what passes over it is noted, so that how a
-//! request fared is told by whether its last byte can have left.
+//! A connection to an HTTP server, used for one request at a time. It observes its traffic, so that the outcome of a
+//! request can be determined by whether its last byte may have been sent.
 
 use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
@@ -24,41 +24,42 @@
 
 use crate::ports::MAX_BODY_BYTES;
 
-/// A head of an answer that has more bytes is spoilt.
+/// The most bytes of a response head; a longer one is invalid.
 const HEAD_LIMIT: usize = 16 * 1024;
-/// Endpoints write an answer in one go: what has not come so long after its first byte is spoilt.
+/// Time from the first byte of a response to its end. Endpoints write a response in one go, so that a slower one is invalid.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What an answer's first line says, told from its bytes as they come: it holds although the rest be spoilt.
+/// Parses the status line of a response from its bytes as they arrive. The status is valid even if the rest of the response
+/// is not.
 #[derive(Debug, Default)]
-pub(super) struct FirstLine {
+pub(super) struct StatusLine {
     line: Vec<u8>,
-    /// The head of an interim answer is being passed over.
+    /// The head of an interim (1xx) response is being skipped.
     interim: bool,
-    /// Bytes of the answer itself have come.
-    begun: bool,
-    /// Its status, or none where it is no first line.
+    /// Bytes of the final response were received.
+    started: bool,
+    /// The status once the line was received; the inner `None` where it is not a valid status line.
     pub(super) status: Option<Option<u16>>,
 }
 
-impl FirstLine {
-    /// `HTTP/1.1 200` and the byte behind it.
-    const ENOUGH: usize = 13;
+impl StatusLine {
+    /// Length of `HTTP/1.1 200` and the byte after it.
+    const PREFIX_BYTES: usize = 13;
 
-    fn hear(&mut self, bytes: &[u8]) {
+    fn observe(&mut self, bytes: &[u8]) {
         for byte in bytes {
             if self.status.is_some() {
                 return;
             }
-            self.begun = !self.interim;
-            if self.line.len() < Self::ENOUGH {
+            self.started = !self.interim;
+            if self.line.len() < Self::PREFIX_BYTES {
                 self.line.push(*byte);
             }
             let empty = self.line == b"\n" || self.line == b"\r\n";
-            let enough = self.line.len() == Self::ENOUGH || *byte == b'\n';
-            if !self.interim && enough && !empty {
-                match self.read() {
-                    Some(100..=199) => (self.interim, self.begun) = (true, false),
+            let complete = self.line.len() == Self::PREFIX_BYTES || *byte == b'\n';
+            if !self.interim && complete && !empty {
+                match self.parse_status() {
+                    Some(100..=199) => (self.interim, self.started) = (true, false),
                     status => self.status = Some(status),
                 }
             } else if self.interim && empty {
@@ -70,34 +71,34 @@
         }
     }
 
-    fn read(&self) -> Option<u16> {
+    fn parse_status(&self) -> Option<u16> {
         let digits = self.line.strip_prefix(b"HTTP/1.1 ").or(self.line.strip_prefix(b"HTTP/1.0 "))?;
-        let (digits, end) = digits.split_at_checked(3)?;
-        let ends = matches!(end.first(), Some(b' ' | b'\r' | b'\n'));
-        std::str::from_utf8(digits).ok()?.parse().ok().filter(|_| ends)
+        let (digits, rest) = digits.split_at_checked(3)?;
+        let terminated = matches!(rest.first(), Some(b' ' | b'\r' | b'\n'));
+        std::str::from_utf8(digits).ok()?.parse().ok().filter(|_| terminated)
     }
 }
 
-/// What passed over a stream.
+/// The traffic observed on a stream.
 #[derive(Debug, Default)]
 pub(super) struct Traffic {
     pub(super) written: Cell<u64>,
-    pub(super) heard: RefCell<FirstLine>,
-    /// Nothing may come now: what does spoils the connection.
-    quiet: Cell<bool>,
+    pub(super) status_line: RefCell<StatusLine>,
+    /// Nothing may arrive now: any byte fails the connection.
+    expect_silence: Cell<bool>,
 }
 
-/// A stream that notes what passes over it.
-struct Counted {
+/// A stream that records its [`Traffic`].
+struct ObservedStream {
     stream: TcpStream,
-    passed: Rc<Traffic>,
+    traffic: Rc<Traffic>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for ObservedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        if self.passed.quiet.get() {
-            // Asks the system itself, since the runtime may not have heard yet of what came. Its answer decides,
-            // also at the end of the stream: guards against writing to what the endpoint has closed just now.
+        if self.traffic.expect_silence.get() {
+            // Peeks at the socket itself, since the runtime may not know yet of data that has arrived. The result is
+            // decisive, also at the end of the stream, so that nothing is written after the endpoint has closed.
             match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
                 Ok(0) => return Poll::Ready(Ok(())),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -106,16 +107,16 @@
         }
         let before = buf.filled().len();
         let poll = Pin::new(&mut self.stream).poll_read(cx, buf);
-        self.passed.heard.borrow_mut().hear(&buf.filled()[before..]);
+        self.traffic.status_line.borrow_mut().observe(&buf.filled()[before..]);
         poll
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for ObservedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let poll = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(n)) = &poll {
-            self.passed.written.set(self.passed.written.get() + *n as u64);
+            self.traffic.written.set(self.traffic.written.get() + *n as u64);
         }
         poll
     }
@@ -127,101 +128,104 @@
     }
 }
 
-/// Tells in the end whether the last byte may leave.
+/// Resolves to whether the last byte may be sent.
 pub(super) type SendPermit = Pin<Box<dyn Future<Output = bool>>>;
 
-/// The last byte may not leave any more.
+/// The last byte was withheld, since it may not be sent any more.
 #[derive(Debug)]
-struct Stayed;
+struct LastByteWithheld;
 
-impl std::fmt::Display for Stayed {
+impl std::fmt::Display for LastByteWithheld {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the last byte stays here")
+        f.write_str("the last byte of the request is withheld")
     }
 }
 
-impl std::error::Error for Stayed {}
-
-/// A request's body whose last byte waits until the connection has had time to break: a call begins with its
-/// last byte, so that what breaks before has not run and may go again. Guards what must not run twice against
-/// every loss that shows as soon as something is written: a connection that was closed while it stood idle, one
-/// that a firewall or load balancer has forgotten, a process that ended. It does harm where the way there and
-/// back takes longer (the time is lost, nothing is heard), and to calls that are short beside it. An empty body
-/// has no byte to hold back.
-struct Paced {
-    rest: Bytes,
-    hold: Duration,
-    /// Asked once the hold is over.
-    leave: Option<SendPermit>,
-    waiting: Option<SendPermit>,
-    /// Set where the last byte stays here.
-    stayed: Rc<Cell<bool>>,
-    /// Set along with the last byte.
+impl std::error::Error for LastByteWithheld {}
+
+/// A request body whose last byte is delayed until a broken connection has had time to fail. The endpoint starts to
+/// process a call with its last byte, so that a call that fails earlier never ran and may be repeated. This protects
+/// messages that must not be applied twice from every failure that shows once something is written: a connection that
+/// was closed while idle, one that a firewall or load balancer has dropped, a process that ended. Costs the delay, which
+/// is significant for short calls, and is useless where the round trip takes longer, since the failure is not seen in
+/// time. An empty body has no byte to delay.
+struct DelayedBody {
+    remaining: Bytes,
+    last_byte_delay: Duration,
+    /// Polled after the delay.
+    permit: Option<SendPermit>,
+    delayed: Option<SendPermit>,
+    /// Set if the last byte was withheld.
+    withheld: Rc<Cell<bool>>,
+    /// Set when the last byte is handed to the connection.
     may_run: Rc<Cell<bool>>,
-    passed: Rc<Traffic>,
+    traffic: Rc<Traffic>,
 }
 
-impl Body for Paced {
+impl Body for DelayedBody {
     type Data = Bytes;
-    type Error = Stayed;
+    type Error = LastByteWithheld;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Stayed>>> {
-        if self.rest.is_empty() {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, LastByteWithheld>>> {
+        if self.remaining.is_empty() {
             return Poll::Ready(None);
         }
-        if !self.hold.is_zero() && self.waiting.is_none() {
-            let first = self.rest.len() - 1;
-            let (hold, leave) = (sleep(self.hold), self.leave.take());
-            self.waiting = Some(Box::pin(async move {
-                hold.await;
-                match leave {
-                    Some(leave) => leave.await,
+        if !self.last_byte_delay.is_zero() && self.delayed.is_none() {
+            let all_but_last = self.remaining.len() - 1;
+            let (last_byte_delay, permit) = (sleep(self.last_byte_delay), self.permit.take());
+            self.delayed = Some(Box::pin(async move {
+                last_byte_delay.await;
+                match permit {
+                    Some(permit) => permit.await,
                     None => true,
                 }
             }));
-            if first > 0 {
-                return Poll::Ready(Some(Ok(Frame::data(self.rest.split_to(first)))));
+            if all_but_last > 0 {
+                return Poll::Ready(Some(Ok(Frame::data(self.remaining.split_to(all_but_last)))));
             }
         }
-        if let Some(waiting) = &mut self.waiting
-            && !ready!(waiting.as_mut().poll(cx))
+        if let Some(delayed) = &mut self.delayed
+            && !ready!(delayed.as_mut().poll(cx))
         {
-            self.stayed.set(true);
-            return Poll::Ready(Some(Err(Stayed)));
+            self.withheld.set(true);
+            return Poll::Ready(Some(Err(LastByteWithheld)));
         }
         self.may_run.set(true);
-        self.passed.quiet.set(false);
-        Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.rest)))))
+        self.traffic.expect_silence.set(false);
+        Poll::Ready(Some(Ok(Frame::data(std::mem::take(&mut self.remaining)))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.rest.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
 
-type Wire = Pin<Box<http1::Connection<TokioIo<Counted>, Paced>>>;
+type Driver = Pin<Box<http1::Connection<TokioIo<ObservedStream>, DelayedBody>>>;
 
-/// A connection for one request at a time. It is driven only along with a request, so that dropping it
-/// closes its socket there and then.
+/// A connection for one request at a time. It is polled only as part of a request and has no task of its own, so that
+/// dropping it closes its socket immediately.
 pub struct Connection {
-    sender: SendRequest<Paced>,
-    driver: Option<Wire>,
-    /// It ended otherwise than by an orderly close.
+    sender: SendRequest<DelayedBody>,
+    driver: Option<Driver>,
+    /// It ended with an error, not with an orderly close.
     failed: bool,
     pub(super) traffic: Rc<Traffic>,
 }
 
-/// Why there is no answer to a request.
+/// Why a request has no response.
 pub enum ExchangeError {
     /// The connection broke.
     Broken,
-    /// What came can't be read as an answer.
+    /// What was received is not a valid response.
     InvalidResponse,
-    /// Its last byte was held back, and then was not to leave.
+    /// Its last byte was withheld: after the delay it was not permitted to be sent.
     NotSent,
 }
 
@@ -229,115 +233,116 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Fails when none is made.
+    /// Fails when the connection can't be established.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let passed = Rc::new(Traffic::default());
-        let io = TokioIo::new(Counted { stream, passed: passed.clone() });
+        let traffic = Rc::new(Traffic::default());
+        let io = TokioIo::new(ObservedStream { stream, traffic: traffic.clone() });
         let mut http = hyper::client::conn::http1::Builder::new();
         let (sender, driver) = http.max_buf_size(HEAD_LIMIT).handshake(io).await.map_err(io::Error::other)?;
-        Ok(Self { sender, driver: Some(Box::pin(driver)), failed: false, traffic: passed })
+        Ok(Self { sender, driver: Some(Box::pin(driver)), failed: false, traffic })
     }
 
-    /// Moves its bytes, as far as they can be moved now.
-    fn step(driver: &mut Option<Wire>, failed: &mut bool, cx: &mut Context) {
-        if let Some(Poll::Ready(end)) = driver.as_mut().map(|driver| driver.as_mut().poll(cx)) {
-            *failed = end.is_err();
+    /// Polls the connection, which reads and writes as far as possible without waiting.
+    fn drive(driver: &mut Option<Driver>, failed: &mut bool, cx: &mut Context) {
+        if let Some(Poll::Ready(result)) = driver.as_mut().map(|driver| driver.as_mut().poll(cx)) {
+            *failed = result.is_err();
             *driver = None;
         }
     }
 
-    /// Whether nothing has come that would be taken for the answer to a further request.
-    pub async fn quiet(&mut self) -> bool {
-        self.traffic.quiet.set(true);
+    /// Whether nothing has arrived that would be taken for the response to the next request.
+    pub async fn is_silent(&mut self) -> bool {
+        self.traffic.expect_silence.set(true);
         let (driver, failed) = (&mut self.driver, &mut self.failed);
         poll_fn(|cx| {
-            Self::step(driver, failed, cx);
+            Self::drive(driver, failed, cx);
             Poll::Ready(())
         })
         .await;
-        self.traffic.quiet.set(false);
+        self.traffic.expect_silence.set(false);
         !self.failed
     }
 
-    /// Whether a further request may be written: the other side has not closed, as far as is known.
+    /// Whether another request may be sent: the server has not closed the connection, as far as is known.
     pub async fn usable(&mut self) -> bool {
-        self.quiet().await && self.driver.is_some() && self.sender.is_ready()
+        self.is_silent().await && self.driver.is_some() && self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
-    /// Fails when the connection breaks, or what comes is no answer.
+    /// Fails when the connection breaks or the response is invalid.
     pub async fn send(&mut self, request: Request<Bytes>) -> Result<Response<Incoming>, ExchangeError> {
         let at_once = Box::pin(std::future::ready(true));
-        self.send_paced(request, Duration::ZERO, false, &Rc::default(), at_once).await
+        self.send_delayed(request, Duration::ZERO, false, &Rc::default(), at_once).await
     }
 
-    /// Sends a request, its last byte after that time and if `leave` says yes then, and waits for the head of its answer. `may_run` is set
-    /// as soon as the last byte can go. On a connection used before, what comes until then answers another call.
+    /// Sends a request and waits for the head of the response. The last byte is sent after `last_byte_delay`, and only if
+    /// `permit` then resolves to true. `may_run` is set as soon as the last byte can be sent. On a reused connection, bytes
+    /// that arrive before that belong to another call and fail the request.
     ///
     /// # Errors
-    /// Fails when the connection breaks, or what comes is no answer.
-    pub(super) async fn send_paced(
+    /// Fails when the connection breaks, the response is invalid or the last byte was withheld.
+    pub(super) async fn send_delayed(
         &mut self,
         request: Request<Bytes>,
-        hold: Duration,
+        last_byte_delay: Duration,
         reused: bool,
         may_run: &Rc<Cell<bool>>,
-        leave: SendPermit,
+        permit: SendPermit,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        *self.traffic.heard.borrow_mut() = FirstLine::default();
-        let passed = self.traffic.clone();
+        *self.traffic.status_line.borrow_mut() = StatusLine::default();
+        let traffic = self.traffic.clone();
         may_run.set(request.body().is_empty());
-        passed.quiet.set(reused && !hold.is_zero() && !may_run.get());
-        let (may_run, quiet) = (may_run.clone(), passed.clone());
-        let stayed = Rc::new(Cell::new(false));
-        let request = request.map(|rest| Paced {
-            rest,
-            hold,
-            leave: Some(leave),
-            waiting: None,
-            stayed: stayed.clone(),
+        traffic.expect_silence.set(reused && !last_byte_delay.is_zero() && !may_run.get());
+        let (may_run, observed) = (may_run.clone(), traffic.clone());
+        let withheld = Rc::new(Cell::new(false));
+        let request = request.map(|remaining| DelayedBody {
+            remaining,
+            last_byte_delay,
+            permit: Some(permit),
+            delayed: None,
+            withheld: withheld.clone(),
             may_run,
-            passed: quiet,
+            traffic: observed,
         });
-        let begun = || passed.heard.borrow().begun;
+        let started = || traffic.status_line.borrow().started;
         let mut sent = pin!(self.sender.send_request(request));
-        let mut late = pin!(None);
+        let mut body_timeout = pin!(None);
         let (driver, failed) = (&mut self.driver, &mut self.failed);
         let answer = poll_fn(|cx| {
-            Self::step(driver, failed, cx);
+            Self::drive(driver, failed, cx);
             if let Poll::Ready(answer) = sent.as_mut().poll(cx) {
                 return Poll::Ready(Some(answer));
             }
-            if late.is_some() != begun() {
-                late.set(begun().then(|| sleep(BODY_TIMEOUT)));
+            if body_timeout.is_some() != started() {
+                body_timeout.set(started().then(|| sleep(BODY_TIMEOUT)));
             }
-            match late.as_mut().as_pin_mut() {
-                Some(late) => late.poll(cx).map(|()| None),
+            match body_timeout.as_mut().as_pin_mut() {
+                Some(body_timeout) => body_timeout.poll(cx).map(|()| None),
                 None => Poll::Pending,
             }
         });
         match answer.await {
             Some(Ok(answer)) => Ok(answer),
-            Some(Err(_)) if stayed.get() => Err(ExchangeError::NotSent),
-            Some(Err(_)) if begun() => Err(ExchangeError::InvalidResponse),
+            Some(Err(_)) if withheld.get() => Err(ExchangeError::NotSent),
+            Some(Err(_)) if started() => Err(ExchangeError::InvalidResponse),
             Some(Err(_)) => Err(ExchangeError::Broken),
             None => Err(ExchangeError::InvalidResponse),
         }
     }
 
-    /// Reads the rest of an answer.
+    /// Reads the body of a response.
     ///
     /// # Errors
-    /// Fails when it breaks off, is too long or does not come.
+    /// Fails when the body is truncated, too long or not received in time.
     pub async fn body(&mut self, body: Incoming) -> Result<Bytes, ()> {
         self.body_within(body, MAX_BODY_BYTES, BODY_TIMEOUT).await
     }
 
-    /// Reads the rest of an answer that may be so long and take so long.
+    /// Reads the body of a response of at most `limit` bytes, which has to be received within this time.
     ///
     /// # Errors
     /// As [`Self::body`].
@@ -345,13 +350,13 @@
         if body.size_hint().lower() > limit as u64 {
             return Err(());
         }
-        let mut whole = pin!(timeout(within, Limited::new(body, limit).collect()));
+        let mut collected = pin!(timeout(within, Limited::new(body, limit).collect()));
         let (driver, failed) = (&mut self.driver, &mut self.failed);
-        let whole = poll_fn(|cx| {
-            Self::step(driver, failed, cx);
-            whole.as_mut().poll(cx)
+        let collected = poll_fn(|cx| {
+            Self::drive(driver, failed, cx);
+            collected.as_mut().poll(cx)
         });
-        whole.await.map_err(|_| ())?.map(|body| body.to_bytes()).map_err(|_| ())
+        collected.await.map_err(|_| ())?.map(|body| body.to_bytes()).map_err(|_| ())
     }
 }
 
--- a/crates/sender/src/http/connection/tests.rs
+++ b/crates/sender/src/http/connection/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use std::io::{Read, Write};
 
-/// Guards against a request on what the endpoint has just closed: no turn of the runtime lies between.
+/// A request must not be written to a connection that the endpoint has just closed. The runtime is not polled between the
+/// close and the check, so that only a look at the socket itself can tell.
 #[test]
-fn a_connection_closed_right_after_its_answer_is_not_usable() {
+fn connection_closed_right_after_its_response_is_not_usable() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (close, closing) = std::sync::mpsc::channel::<()>();
@@ -19,33 +20,33 @@
         let request = Request::get("/").header("host", "e").body(Bytes::new()).unwrap();
         let answer = conn.send(request).await.ok().unwrap();
         assert!(conn.body(answer.into_body()).await.is_ok());
-        assert!(conn.usable().await, "it stands open");
+        assert!(conn.usable().await, "the connection is still open");
         close.send(()).unwrap();
         endpoint.join().unwrap();
         assert!(!conn.usable().await);
     });
 }
 
-/// Guards a wait that is told while the last byte is held back: nothing of it leaves, and it is known that nothing has.
+/// A Retry-After may arrive while the last byte is delayed: the byte is then not sent, and the error says so.
 #[test]
-fn a_last_byte_that_may_not_leave_any_more_stays() {
+fn last_byte_is_withheld_without_permit() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let endpoint = std::thread::spawn(move || {
-        let mut came = Vec::new();
-        let _ = listener.accept().unwrap().0.read_to_end(&mut came);
-        came
+        let mut received = Vec::new();
+        let _ = listener.accept().unwrap().0.read_to_end(&mut received);
+        received
     });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let mut conn = Connection::open(address).await.unwrap();
         let request = Request::post("/").header("host", "e").body(Bytes::from("order")).unwrap();
-        let (may_run, no) = (Rc::default(), Box::pin(std::future::ready(false)));
-        let hold = Duration::from_millis(1);
-        let answer = conn.send_paced(request, hold, false, &may_run, no).await;
+        let (may_run, denied) = (Rc::default(), Box::pin(std::future::ready(false)));
+        let last_byte_delay = Duration::from_millis(1);
+        let answer = conn.send_delayed(request, last_byte_delay, false, &may_run, denied).await;
         assert!(matches!(answer, Err(ExchangeError::NotSent)));
         assert!(!may_run.get());
     });
-    let came = String::from_utf8(endpoint.join().unwrap()).unwrap();
-    assert!(came.ends_with("\r\n\r\norde"), "{came}");
+    let received = String::from_utf8(endpoint.join().unwrap()).unwrap();
+    assert!(received.ends_with("\r\n\r\norde"), "{received}");
 }
--- a/crates/sender/src/http/mod.rs
+++ b/crates/sender/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: the server for clients, the client for endpoints, and the administrative address.
+//! HTTP/1.1: the server for clients, the client for endpoints, and the server for administrative requests.
 
 pub mod active_waits;
 pub mod admin;
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -1,4 +1,4 @@
-//! What clients ask: to take a message, and whether the sender is ready.
+//! The HTTP server for clients: accepts messages, and answers the load balancer's readiness check.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -32,83 +32,85 @@
 use crate::shards::{ShardHandle, ShardMessage};
 use crate::stall_detector;
 
-/// Guards the places for clients: a connection that brings no request for so long is closed.
-const HEAD_WITHIN: Duration = Duration::from_millis(2200);
-/// How long a request's body may take; who hands a message in waits no longer than that.
-const BODY_WITHIN: Duration = Duration::from_millis(400);
+/// A connection without a request for this long is closed, so that it doesn't use up the connections for other clients.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
+/// Time to receive a request body. Clients that submit a message wait no longer than that.
+const BODY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// A head of more bytes is not read to its end.
+/// The most bytes of a request head; a longer one is not read to its end.
 const HEAD_LIMIT: usize = 16 * 1024;
-/// How long one waits for the rest of a request on a connection that is to be closed, before one looks again.
+/// Interval at which a connection that is to be closed is checked again for the rest of a request.
 const POLL_INTERVAL: Micros = 50_000;
-/// How long one looks for a place before one looks again.
-const PLACE_WITHIN: Duration = Duration::from_millis(5);
-/// A deadline is told in whole milliseconds: it may be so much longer than its class's.
+/// How long the listener waits for a connection to close before it closes another idle one.
+const CLOSE_WAIT: Duration = Duration::from_millis(5);
+/// Deadlines are given in whole milliseconds: rounding may make one this much longer than its class allows.
 const DEADLINE_SLACK: Micros = 1000;
 
-/// A client's connection, as far as others may have to take its place.
-struct Place {
-    /// When its last request ended, or it came.
-    since: Cell<Instant>,
-    /// Requests of its that were answered.
-    answered: Cell<u64>,
-    /// A request is open on it.
-    asking: Cell<bool>,
-    /// When the first bytes came of one that is not read whole yet.
-    begun: Cell<Option<Instant>>,
-    /// It is to be closed if no request is open on it, and was told so.
+/// The state of a client's connection, by which connections are chosen to be closed.
+struct ClientConnection {
+    /// When its last request was answered or, before that, when it was accepted.
+    idle_since: Cell<Instant>,
+    /// Number of requests answered on it.
+    requests_answered: Cell<u64>,
+    /// A request was received and is not answered yet.
+    request_open: Cell<bool>,
+    /// When the first bytes of a request arrived that is not received completely or not answered yet.
+    first_byte_at: Cell<Option<Instant>>,
+    /// Asks its task to close it, unless a request is open on it.
     close: Notify,
-    told: Cell<bool>,
+    /// Set while its task has not reacted to `close` yet.
+    close_requested: Cell<bool>,
 }
 
-/// What all client connections share.
+/// The frontend for clients over HTTP; all client connections share it.
 pub struct HttpFrontend {
     address: SocketAddr,
-    /// Connections at a time.
-    most: Cell<usize>,
+    /// The most connections at a time.
+    max_clients: Cell<usize>,
     clock: Clock,
-    /// Each class's name and its longest deadline.
+    /// The name of each class and its longest deadline.
     classes: Vec<(Arc<str>, Micros)>,
     inbound: UnboundedSender<Inbound>,
-    /// The way to other cores, which get their part of the connections and what is theirs of the messages.
-    post: Option<Rc<ShardHandle>>,
-    door: watch::Receiver<AdmissionGate>,
-    /// The platform's own listening socket, until it is listened on.
+    /// Sends connections and messages to other shards; `None` if there is only one shard.
+    shard: Option<Rc<ShardHandle>>,
+    gate: watch::Receiver<AdmissionGate>,
+    /// The listening socket that was inherited from the platform, until this frontend starts.
     inherited: Cell<Option<std::net::TcpListener>>,
-    places: RefCell<HashMap<u64, Rc<Place>>>,
-    freed: Notify,
-    connections: Cell<u64>,
+    clients: RefCell<HashMap<u64, Rc<ClientConnection>>>,
+    client_closed: Notify,
+    connections_accepted: Cell<u64>,
     requests: Cell<u64>,
 }
 
-impl Place {
-    /// Whether something is owed on it, or will be in a moment. Guards a request of which a part was read when its connection
-    /// is to be closed: its client can't tell that from one that was read whole. One that takes longer than clients wait is
-    /// none.
-    fn is_asking(&self) -> bool {
-        self.asking.get() || self.begun.get().is_some_and(|begun| begun.elapsed() < BODY_WITHIN)
+impl ClientConnection {
+    /// Whether a request is open on it or partially received. A connection with a partial request is not closed, since its
+    /// client can't tell that from a request that was received completely. A request that takes longer to arrive than
+    /// clients wait ([`BODY_TIMEOUT`]) doesn't count.
+    fn has_open_request(&self) -> bool {
+        self.request_open.get()
+            || self.first_byte_at.get().is_some_and(|first_byte_at| first_byte_at.elapsed() < BODY_TIMEOUT)
     }
 }
 
-/// A client's stream, which notes when a request begins.
-struct Heard {
+/// A client's stream, which records when a request begins.
+struct ClientStream {
     stream: TcpStream,
-    place: Rc<Place>,
+    client: Rc<ClientConnection>,
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ClientStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let poll = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if buf.filled().len() > before && self.place.begun.get().is_none() {
-            self.place.begun.set(Some(Instant::now()));
+        if buf.filled().len() > before && self.client.first_byte_at.get().is_none() {
+            self.client.first_byte_at.set(Some(Instant::now()));
         }
         poll
     }
 }
 
-impl AsyncWrite for Heard {
+impl AsyncWrite for ClientStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -130,72 +132,72 @@
     }
 }
 
-/// Tells the driver that a client went away before its answer.
+/// Withdraws a message when it is dropped before the answer: the client has disconnected.
 struct Withdrawal<'a> {
     id: Option<String>,
     request: u64,
     destination: u16,
-    /// Whom the message was handed to: guards a withdrawal against overtaking its message.
+    /// The shard that the message was forwarded to. The withdrawal is sent there as well, so that it can't overtake the message.
     to: Option<sharding::ShardId>,
-    intake: &'a HttpFrontend,
+    frontend: &'a HttpFrontend,
 }
 
 impl Drop for Withdrawal<'_> {
     fn drop(&mut self) {
         let Some(id) = self.id.take() else { return };
         let (request, destination) = (self.request, self.destination);
-        match (self.to, &self.intake.post) {
-            (Some(to), Some(post)) => post.send(to, ShardMessage::Withdrawn { id, request, destination }),
-            _ => drop(self.intake.inbound.send(Inbound::Withdrawn { id, request, destination })),
+        match (self.to, &self.frontend.shard) {
+            (Some(to), Some(shard)) => shard.send(to, ShardMessage::Withdrawn { id, request, destination }),
+            _ => drop(self.frontend.inbound.send(Inbound::Withdrawn { id, request, destination })),
         }
     }
 }
 
-/// Marks a connection as one with an open request until it is dropped.
-struct Asking<'a>(&'a Place);
+/// Marks a connection as having an open request until this is dropped.
+struct OpenRequest<'a>(&'a ClientConnection);
 
-impl<'a> Asking<'a> {
-    fn new(place: &'a Place) -> Self {
-        place.asking.set(true);
-        Self(place)
+impl<'a> OpenRequest<'a> {
+    fn new(client: &'a ClientConnection) -> Self {
+        client.request_open.set(true);
+        Self(client)
     }
 }
 
-impl Drop for Asking<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.0.asking.set(false);
-        self.0.begun.set(None);
-        self.0.answered.set(self.0.answered.get() + 1);
-        self.0.since.set(Instant::now());
+        self.0.request_open.set(false);
+        self.0.first_byte_at.set(None);
+        self.0.requests_answered.set(self.0.requests_answered.get() + 1);
+        self.0.idle_since.set(Instant::now());
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn plain_text(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
 
-/// What no message can be; its connection is closed, for what follows on it can't be trusted either.
-fn told_off(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    let mut response = plain(status, text);
+/// Rejects a request that is not valid, and closes its connection, since what follows on it can't be trusted either.
+fn reject(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+    let mut response = plain_text(status, text);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn next(counter: &Cell<u64>) -> u64 {
+fn increment(counter: &Cell<u64>) -> u64 {
     counter.set(counter.get() + 1);
     counter.get()
 }
 
-/// A whole number of digits alone.
-fn whole<T: std::str::FromStr>(text: &str) -> Option<T> {
+/// Parses an unsigned number that consists of digits alone, without a sign.
+fn parse_number<T: std::str::FromStr>(text: &str) -> Option<T> {
     text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-/// A header's text, if it is there and visible ASCII.
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// The trimmed value of a header; `None` if it is missing, empty or not visible ASCII.
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim).filter(|text| !text.is_empty())
 }
 
@@ -222,143 +224,144 @@
     }
 
     fn open_connections(&self) -> usize {
-        self.places.borrow().len()
+        self.clients.borrow().len()
     }
 
-    fn set_max_clients(&self, most: usize) {
-        self.set_most(most);
+    fn set_max_clients(&self, max_clients: usize) {
+        self.set_most(max_clients);
     }
 
     fn adopt(self: Rc<Self>, stream: std::net::TcpStream) {
         match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
             Ok(stream) => {
-                // As where it is listened: one that is idle makes way.
-                if self.open_connections() >= self.most.get() {
-                    self.free_place();
+                // As in `listen`: an idle connection is closed to make room.
+                if self.open_connections() >= self.max_clients.get() {
+                    self.close_idle_client();
                 }
-                self.place(stream);
+                self.serve_client(stream);
             }
-            Err(_) => self.gone(),
+            Err(_) => self.connection_closed(),
         }
     }
 }
 
 impl HttpFrontend {
-    /// A front that is to listen on that address, or on a socket that listens there already, with so many connections
-    /// at a time; it does not take any yet.
+    /// Creates a frontend for this address, or for an inherited socket that listens there already, with at most this many
+    /// connections. It accepts none until it is started.
     pub fn new(
-        (address, inherited, most): (SocketAddr, Option<std::net::TcpListener>, usize),
+        (address, inherited, max_clients): (SocketAddr, Option<std::net::TcpListener>, usize),
         clock: Clock,
         classes: Vec<(Arc<str>, Micros)>,
         inbound: UnboundedSender<Inbound>,
-        post: Option<Rc<ShardHandle>>,
-        door: watch::Receiver<AdmissionGate>,
+        shard: Option<Rc<ShardHandle>>,
+        gate: watch::Receiver<AdmissionGate>,
     ) -> Self {
-        let (places, freed) = (RefCell::default(), Notify::new());
-        let (connections, requests) = (Cell::new(0), Cell::new(0));
-        let (inherited, most) = (Cell::new(inherited), Cell::new(most));
+        let (clients, client_closed) = (RefCell::default(), Notify::new());
+        let (connections_accepted, requests) = (Cell::new(0), Cell::new(0));
+        let (inherited, max_clients) = (Cell::new(inherited), Cell::new(max_clients));
         Self {
             address,
-            most,
+            max_clients,
             clock,
             classes,
             inbound,
-            post,
-            door,
+            shard,
+            gate,
             inherited,
-            places,
-            freed,
-            connections,
+            clients,
+            client_closed,
+            connections_accepted,
             requests,
         }
     }
 
-    /// So many connections at a time, from now on; of those there are too many, idle ones are closed.
-    pub fn set_most(&self, most: usize) {
-        self.most.set(most);
-        (most..self.open_connections()).for_each(|_| self.free_place());
+    /// Sets the most connections at a time. Closes idle ones if there are more.
+    pub fn set_most(&self, max_clients: usize) {
+        self.max_clients.set(max_clients);
+        (max_clients..self.open_connections()).for_each(|_| self.close_idle_client());
     }
 
-    /// Requests are counted on from there.
+    /// Sets the number of requests so far, which a predecessor has counted.
     pub fn count_from(&self, requests: u64) {
         self.requests.set(requests);
     }
 
-    /// Takes connections until another process does.
+    /// Accepts connections until another process has taken over.
     async fn listen(self: Rc<Self>, listener: TcpListener) {
-        let mut door = self.door.clone();
+        let mut gate = self.gate.clone();
         loop {
-            while self.open_connections() >= self.most.get() {
-                self.free_place();
-                let _ = timeout(PLACE_WITHIN, self.freed.notified()).await;
+            while self.open_connections() >= self.max_clients.get() {
+                self.close_idle_client();
+                let _ = timeout(CLOSE_WAIT, self.client_closed.notified()).await;
             }
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                _ = door.wait_for(|door| !door.accepts()) => return,
+                _ = gate.wait_for(|gate| !gate.accepts()) => return,
             };
             let Ok((stream, _)) = accepted else {
-                // Out of descriptors, say: it must not spin.
+                // For example out of file descriptors: pauses, so that the loop does not spin.
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
-            if let Some(stream) = self.deal(stream) {
-                self.place(stream);
+            if let Some(stream) = self.assign(stream) {
+                self.serve_client(stream);
             }
         }
     }
 
-    /// Gives a connection to the core that has the fewest, which may be this one: then it is told.
-    fn deal(&self, stream: TcpStream) -> Option<TcpStream> {
-        let Some(post) = &self.post else { return Some(stream) };
-        let to = post.group().deal();
-        if to == post.id() {
+    /// Sends a connection to the shard that has the fewest. Returns it if that is this shard.
+    fn assign(&self, stream: TcpStream) -> Option<TcpStream> {
+        let Some(shard) = &self.shard else { return Some(stream) };
+        let to = shard.group().deal();
+        if to == shard.id() {
             return Some(stream);
         }
-        let dealt = stream.into_std().map_err(drop).and_then(|stream| {
-            // A core that takes nothing in gets no clients: they come again.
-            post.try_send(to, ShardMessage::Client(stream)).map_err(drop)
+        let sent = stream.into_std().map_err(drop).and_then(|stream| {
+            // A shard whose mailbox is full gets no clients; the connection is closed, and its client reconnects.
+            shard.try_send(to, ShardMessage::Client(stream)).map_err(drop)
         });
-        if dealt.is_err() {
-            post.group().client_gone(to);
+        if sent.is_err() {
+            shard.group().client_gone(to);
         }
         None
     }
 
-    /// A client's connection is gone.
-    fn gone(&self) {
-        if let Some(post) = &self.post {
-            post.group().client_gone(post.id());
+    /// Counts a client's connection as closed.
+    fn connection_closed(&self) {
+        if let Some(shard) = &self.shard {
+            shard.group().client_gone(shard.id());
         }
-        self.freed.notify_one();
+        self.client_closed.notify_one();
     }
 
     /// Serves a client's connection.
-    fn place(self: &Rc<Self>, stream: TcpStream) {
-        let place = Rc::new(Place {
-            since: Cell::new(Instant::now()),
-            answered: Cell::new(0),
-            asking: Cell::new(false),
-            begun: Cell::new(None),
+    fn serve_client(self: &Rc<Self>, stream: TcpStream) {
+        let client = Rc::new(ClientConnection {
+            idle_since: Cell::new(Instant::now()),
+            requests_answered: Cell::new(0),
+            request_open: Cell::new(false),
+            first_byte_at: Cell::new(None),
             close: Notify::new(),
-            told: Cell::new(false),
+            close_requested: Cell::new(false),
         });
-        let number = next(&self.connections);
-        self.places.borrow_mut().insert(number, place.clone());
-        let intake = self.clone();
+        let number = increment(&self.connections_accepted);
+        self.clients.borrow_mut().insert(number, client.clone());
+        let frontend = self.clone();
         tokio::task::spawn_local(async move {
-            intake.serve(stream, &place).await;
-            intake.places.borrow_mut().remove(&number);
-            intake.gone();
+            frontend.serve(stream, &client).await;
+            frontend.clients.borrow_mut().remove(&number);
+            frontend.connection_closed();
         });
     }
 
-    /// Hands a message to the core that owns its destination, as the owners are now; tells which, if it is another.
-    fn hand_on(&self, message: Submission) -> Option<sharding::ShardId> {
-        let other = self.post.as_ref().map(|post| (post, post.group().owner(message.message.destination)));
-        match other.filter(|(post, owner)| *owner != post.id()) {
-            Some((post, owner)) => {
+    /// Submits a message to the shard that owns its destination at the moment. Returns that shard if it is another one.
+    fn forward(&self, message: Submission) -> Option<sharding::ShardId> {
+        let owner_elsewhere =
+            self.shard.as_ref().map(|shard| (shard, shard.group().owner(message.message.destination)));
+        match owner_elsewhere.filter(|(shard, owner)| *owner != shard.id()) {
+            Some((shard, owner)) => {
                 if let Err(ShardMessage::Submitted(message)) =
-                    post.try_send(owner, ShardMessage::Submitted(message))
+                    shard.try_send(owner, ShardMessage::Submitted(message))
                 {
                     let _ = message.answer.send(Answer::Rejected(crate::shards::RETRY_AFTER_MAILBOX_FULL));
                 }
@@ -371,28 +374,31 @@
         }
     }
 
-    /// Guards against connections that keep others out: the one that has been longest without an open request
-    /// goes. One that was answered goes before those that never asked: its client just opens another, while the
-    /// first request on a new one, if it is on its way, would fail.
-    fn free_place(&self) {
-        let places = self.places.borrow();
-        let idle = places.values().filter(|place| !place.is_asking() && !place.told.get());
-        if let Some(place) = idle.min_by_key(|place| (place.answered.get() == 0, place.since.get())) {
-            place.told.set(true);
-            place.close.notify_one();
+    /// Closes the connection that has been idle the longest, so that idle connections don't keep other clients out.
+    /// Connections with answered requests are closed before those without any: their clients simply reconnect, while the
+    /// first request on a new connection may be on its way and would fail.
+    fn close_idle_client(&self) {
+        let clients = self.clients.borrow();
+        let idle =
+            clients.values().filter(|client| !client.has_open_request() && !client.close_requested.get());
+        if let Some(client) =
+            idle.min_by_key(|client| (client.requests_answered.get() == 0, client.idle_since.get()))
+        {
+            client.close_requested.set(true);
+            client.close.notify_one();
         }
     }
 
-    async fn serve(&self, stream: TcpStream, place: &Rc<Place>) {
+    async fn serve(&self, stream: TcpStream, client: &Rc<ClientConnection>) {
         let _ = stream.set_nodelay(true);
-        let stream = Heard { stream, place: place.clone() };
-        let came = self.clock.now();
-        let mut door = self.door.clone();
-        door.mark_changed();
-        let service = service_fn(|request| self.answer(request, place));
+        let stream = ClientStream { stream, client: client.clone() };
+        let accepted_at = self.clock.now();
+        let mut gate = self.gate.clone();
+        gate.mark_changed();
+        let service = service_fn(|request| self.answer(request, client));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_WITHIN)
+            .header_read_timeout(HEAD_TIMEOUT)
             .max_buf_size(HEAD_LIMIT)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
@@ -402,33 +408,36 @@
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => return,
-                () = place.close.notified() => {
-                    place.told.set(false);
-                    if !place.is_asking() {
+                () = client.close.notified() => {
+                    client.close_requested.set(false);
+                    if !client.has_open_request() {
                         return;
                     }
                 }
-                Ok(()) = door.changed() => {
-                    let now = *door.borrow_and_update();
-                    let half_read = place.is_asking() && !place.asking.get();
-                    let asked = place.asking.get() || place.answered.get() > 0 && !half_read;
-                    // A connection that comes late has its moment too: while clients are sent away a new one gets one
-                    // answer, for they need the time to go elsewhere.
-                    idle_until = now.close_idle_at().map(|at| at.max(came + admin::gate::LINGER));
-                    match now {
-                        AdmissionGate::Closing if asked => connection.as_mut().graceful_shutdown(),
-                        // Guards the first request on a new connection, which may be on its way or lie unread, and one of
-                        // which a part was read: the library would close those without a look. Its answer is the last.
+                Ok(()) = gate.changed() => {
+                    let state = *gate.borrow_and_update();
+                    let partially_read = client.has_open_request() && !client.request_open.get();
+                    let had_request =
+                        client.request_open.get() || client.requests_answered.get() > 0 && !partially_read;
+                    // A connection that is accepted on standby also stays open for `LINGER` and gets one answer: its
+                    // client needs that time to switch to another sender.
+                    idle_until = state.close_idle_at().map(|at| at.max(accepted_at + admin::gate::LINGER));
+                    match state {
+                        AdmissionGate::Closing if had_request => connection.as_mut().graceful_shutdown(),
+                        // The first request on a new connection may be on its way or unread, and another may be partially
+                        // received: a graceful shutdown by hyper would close these without reading on. The answer to such a
+                        // request is the last on its connection.
                         AdmissionGate::Closing => idle_until = Some(self.clock.now() + admin::gate::LINGER),
                         _ => {}
                     }
                 }
                 () = tokio::time::sleep_until(until), if idle_until.is_some() => {
-                    if !place.is_asking() {
+                    if !client.has_open_request() {
                         return;
                     }
-                    // Its answer is the last; of one that is not read whole yet it may never come.
-                    idle_until = (!place.asking.get()).then(|| self.clock.now() + POLL_INTERVAL);
+                    // An open request gets the last answer. The rest of a partial one may never arrive, so that it is
+                    // checked again.
+                    idle_until = (!client.request_open.get()).then(|| self.clock.now() + POLL_INTERVAL);
                 }
             }
         }
@@ -437,88 +446,91 @@
     async fn answer(
         &self,
         request: Request<Incoming>,
-        place: &Place,
+        client: &ClientConnection,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let _asking = Asking::new(place);
+        let _open_request = OpenRequest::new(client);
         let mut response = match (request.method(), request.uri().path()) {
-            (&Method::GET, "/ready") if !self.door.borrow().ready() => {
-                plain(StatusCode::SERVICE_UNAVAILABLE, "clients are sent away\n")
+            (&Method::GET, "/ready") if !self.gate.borrow().ready() => {
+                plain_text(StatusCode::SERVICE_UNAVAILABLE, "clients are sent away\n")
             }
-            (&Method::GET, "/ready") => plain(StatusCode::OK, "ready\n"),
-            (&Method::POST, _) => self.hand_in(request).await,
-            _ => told_off(StatusCode::NOT_FOUND, "not found\n"),
+            (&Method::GET, "/ready") => plain_text(StatusCode::OK, "ready\n"),
+            (&Method::POST, _) => self.submit(request).await,
+            _ => reject(StatusCode::NOT_FOUND, "not found\n"),
         };
-        if self.door.borrow().last_answer() {
+        if self.gate.borrow().last_answer() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
     }
 
-    /// Guards against anything that a client may write: what can't be meant as a message gets 400.
-    async fn hand_in(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let came = self.clock.now().saturating_sub(stall_detector::behind().as_micros() as Micros);
+    /// Submits the message in a request and waits for its answer. Whatever a client sends that is not a valid message gets
+    /// status 400.
+    async fn submit(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        let received_at = self.clock.now().saturating_sub(stall_detector::behind().as_micros() as Micros);
         let (head, body) = request.into_parts();
-        let bad = |what| told_off(StatusCode::BAD_REQUEST, what);
-        // Guards against a second request hidden in the body: beside it the library drops a Content-Length, or
-        // has dropped one, so that the two can't be told from one.
+        let bad = |reason| reject(StatusCode::BAD_REQUEST, reason);
+        // Rejected, so that no second request can be smuggled in the body: if both headers are present, hyper drops
+        // Content-Length, and a request that had both can't be told from one without it.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             return bad("a body comes with Content-Length alone\n");
         }
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-            return told_off(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
+            return reject(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n");
         }
-        let Some(id) = text(&head.headers, "req-id") else { return bad("Req-Id is missing\n") };
-        let first = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let kind = text(&head.headers, "req-kind").unwrap_or(first);
-        let named = |class: &(Arc<str>, Micros)| *class.0 == *kind && *class.0 == *first;
-        let Some(class) = self.classes.iter().position(named) else {
+        let Some(id) = header(&head.headers, "req-id") else { return bad("Req-Id is missing\n") };
+        let path_class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
+        let class_text = header(&head.headers, "req-kind").unwrap_or(path_class);
+        let matches = |class: &(Arc<str>, Micros)| *class.0 == *class_text && *class.0 == *path_class;
+        let Some(class) = self.classes.iter().position(matches) else {
             return bad("Req-Kind or the path names no class\n");
         };
-        let destination = text(&head.headers, "x-consignee").and_then(|pairs| {
+        let destination = header(&head.headers, "x-consignee").and_then(|pairs| {
             let mut pairs = pairs.split([',', ';']).filter_map(|pair| pair.split_once('='));
-            whole(pairs.find(|(name, _)| name.trim() == "dest")?.1.trim())
+            parse_number(pairs.find(|(name, _)| name.trim() == "dest")?.1.trim())
         });
         let Some(destination) = destination else { return bad("X-Consignee names no dest\n") };
-        let left = text(&head.headers, "req-deadline-ms").and_then(whole::<u32>);
-        let left = left.map(|ms| Micros::from(ms) * 1000);
-        let left = left.filter(|left| *left <= self.classes[class].1 + DEADLINE_SLACK);
-        let Some(left) = left else { return bad("Req-Deadline-Ms is no time that the class has\n") };
+        let time_left = header(&head.headers, "req-deadline-ms").and_then(parse_number::<u32>);
+        let time_left = time_left.map(|ms| Micros::from(ms) * 1000);
+        let time_left = time_left.filter(|time_left| *time_left <= self.classes[class].1 + DEADLINE_SLACK);
+        let Some(time_left) = time_left else {
+            return bad("Req-Deadline-Ms is no time that the class has\n");
+        };
         let key = match head.headers.get("idempotency-key") {
-            Some(_) => match text(&head.headers, "idempotency-key") {
+            Some(_) => match header(&head.headers, "idempotency-key") {
                 Some(key) => Some(key.to_owned()),
                 None => return bad("Idempotency-Key can't be read\n"),
             },
             None => None,
         };
         let id = id.to_owned();
-        let Ok(Ok(body)) = timeout(BODY_WITHIN, Limited::new(body, MAX_BODY_BYTES).collect()).await else {
+        let Ok(Ok(body)) = timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await else {
             return bad("the body can't be read, or not in time\n");
         };
-        let deadline = came + left;
+        let deadline = received_at + time_left;
         let class_name = self.classes[class].0.clone();
         let body = body.to_bytes();
-        let taken =
+        let accepted =
             Arc::new(AcceptedMessage { id: id.clone(), key, class: class_name, destination, deadline, body });
-        let request = next(&self.requests);
+        let request = increment(&self.requests);
         let (answer, answered) = oneshot::channel();
-        let to = self.hand_on(Submission { message: taken, class, request, answer });
-        let mut withdrawal = Withdrawal { id: Some(id), request, destination, to, intake: self };
+        let to = self.forward(Submission { message: accepted, class, request, answer });
+        let mut withdrawal = Withdrawal { id: Some(id), request, destination, to, frontend: self };
         let answered = answered.await;
         withdrawal.id = None;
         match answered {
-            Ok(Answer::Accepted) => plain(StatusCode::ACCEPTED, ""),
-            Ok(Answer::Delivered) => plain(StatusCode::OK, ""),
-            Ok(Answer::Rejected(again)) => {
-                let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
-                if again > 0 {
-                    let seconds = format!("{:.3}", again as f64 / 1e6);
+            Ok(Answer::Accepted) => plain_text(StatusCode::ACCEPTED, ""),
+            Ok(Answer::Delivered) => plain_text(StatusCode::OK, ""),
+            Ok(Answer::Rejected(retry_after)) => {
+                let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+                if retry_after > 0 {
+                    let seconds = format!("{:.3}", retry_after as f64 / 1e6);
                     if let Ok(seconds) = HeaderValue::from_str(&seconds) {
                         response.headers_mut().insert(RETRY_AFTER, seconds);
                     }
                 }
                 response
             }
-            Ok(Answer::Failed) | Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
+            Ok(Answer::Failed) | Err(_) => plain_text(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
         }
     }
 }
