--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -1,4 +1,4 @@
-//! Endpoints by the names that the list gives them: ids for the decision module, and the transport for each.
+//! The directory of endpoints by their names in the endpoint list: their ids for the decision module, and their transports.
 
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use crate::discovery::endpoint_list::{EndpointList, EndpointListing as Listed};
 use crate::ports::Transport;
 
-/// Entries of a long list that are applied in one iteration: bounds the pause that a list causes.
+/// Entries of a long list that are applied in one iteration, which bounds the time that a list delays the event loop.
 pub const SLICE_ENTRIES: usize = 1_000;
-/// Most entries that wait to be applied: over twice what there can be of destinations.
+/// The most entries that wait to be applied: over twice the possible number of destinations.
 const MAX_PENDING_ENTRIES: usize = 200_000;
 
 /// An endpoint as the list has it.
@@ -23,18 +23,18 @@
     name: Arc<str>,
     destination: u16,
     kind: usize,
-    /// Calls it; none where its address cannot be parsed.
+    /// The transport that calls it; `None` if no transport can parse its address.
     transport: Option<Rc<dyn Transport>>,
     max_batch: usize,
-    /// What the list says of it; an ejected endpoint gets nothing new besides.
+    /// Its status in the list. An ejected endpoint gets no new calls, whatever this says.
     listing: Listing,
     zone: u16,
     weight: f64,
-    /// A hash of its address: another number after the endpoint moved.
+    /// A hash of its address, by which a move of the endpoint is detected.
     address_hash: u32,
-    /// No list names it any more.
+    /// It is no longer in the list.
     unlisted: bool,
-    /// The last full list that named it, or change since.
+    /// The number of the last full list that named it, itself or by a change after it.
     last_listed: u64,
 }
 
@@ -44,28 +44,33 @@
     kinds: Vec<DestinationKind>,
     transports: Vec<Rc<dyn Transport>>,
     endpoints: HashMap<EndpointId, EndpointRecord>,
-    /// The id of each name, and how many ids were assigned.
+    /// The id of each name.
     ids: HashMap<String, EndpointId>,
+    /// How many ids were assigned.
     ids_assigned: u64,
     /// Destinations that a list has named.
     destinations: BTreeSet<u16>,
-    /// Unlisted endpoints that are not forgotten yet, and names that attempts alone refer to.
+    /// Unlisted endpoints that are not forgotten yet.
     unlisted: BTreeSet<EndpointId>,
+    /// Names that no list has, only attempts.
     attempt_only_names: BTreeSet<String>,
-    /// Ejected by an operator, whatever the list says; and names that the list had.
+    /// Endpoints that an operator has ejected, whatever the list says.
     ejections: Ejections,
+    /// Names that the list had formerly.
     retired_names: RetiredNames,
-    /// Full lists so far; the last one may not be applied to its end yet.
+    /// Number of full lists so far.
     lists: u64,
+    /// The last full list is not applied completely yet.
     full_list_pending: bool,
-    /// Lists that wait to be applied, and endpoints that are to be removed.
+    /// Lists and changes that wait to be applied.
     pending: VecDeque<PendingList>,
+    /// Endpoints that wait to be removed, since the last full list does not have them.
     pending_removals: Vec<EndpointId>,
-    /// Destinations whose listing changed since this was last asked.
+    /// Destinations whose listing changed since the last [`Directory::take_changed`].
     changed: BTreeSet<u16>,
 }
 
-/// The rest of a list that is applied in slices. All shards share one list, and each applies it for itself.
+/// A list that is applied in slices. All shards share one list, and each applies it for itself.
 struct PendingList {
     list: Arc<EndpointList>,
     applied: usize,
@@ -83,20 +88,20 @@
     }
 }
 
-/// More entries wait than are kept: the full list must be fetched.
+/// Too many entries wait to be applied, and all were dropped: the full list must be fetched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooManyPending;
 
 impl Directory {
-    /// An empty directory. The first transport that can parse an endpoint's address calls it.
+    /// Creates an empty directory. An endpoint is called by the first transport that can parse its address.
     pub fn new(
         names: Names,
         kinds: Vec<DestinationKind>,
         carriers: Vec<Rc<dyn Transport>>,
-        held_out: Ejections,
+        ejections: Ejections,
     ) -> Self {
         Self {
-            ejections: held_out,
+            ejections,
             retired_names: RetiredNames::default(),
             names,
             kinds,
@@ -115,15 +120,15 @@
         }
     }
 
-    /// Restores a predecessor's directory.
+    /// Restores the directory of the predecessor.
     pub fn restore(
         &mut self,
         endpoints: Vec<handover::HandoverEndpoint>,
         ids: Vec<(String, EndpointId)>,
-        given: u64,
+        ids_assigned: u64,
     ) {
-        self.ids_assigned = given;
-        for known in endpoints {
+        self.ids_assigned = ids_assigned;
+        for saved in endpoints {
             let handover::HandoverEndpoint {
                 id,
                 name,
@@ -133,95 +138,96 @@
                 group,
                 listing,
                 weight,
-                unlisted: gone,
-            } = known;
-            let place =
-                |carrier: &&Rc<dyn Transport>| address.as_ref().is_some_and(|a| carrier.set_address(id, a));
-            let carrier = self.transports.iter().find(place).cloned();
+                unlisted: removed,
+            } = saved;
+            let accepts_address = |transport: &&Rc<dyn Transport>| {
+                address.as_ref().is_some_and(|a| transport.set_address(id, a))
+            };
+            let transport = self.transports.iter().find(accepts_address).cloned();
             let kind = kind.map_or(usize::MAX, usize::from);
-            let bundle = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
-            if gone {
+            let batch_limit = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
+            if removed {
                 self.unlisted.insert(id);
             }
-            let open = listing == Listing::Ready && !gone && !self.ejections.contains(&name);
-            carrier.iter().for_each(|carrier| carrier.set_accepting(id, open));
+            let accepting = listing == Listing::Ready && !removed && !self.ejections.contains(&name);
+            transport.iter().for_each(|transport| transport.set_accepting(id, accepting));
             self.destinations.insert(group);
-            let (name, named) = (name.into(), self.lists);
-            let place = crc32fast::hash(address.as_deref().unwrap_or_default().as_bytes());
-            let known = EndpointRecord {
+            let (name, list_number) = (name.into(), self.lists);
+            let hash = crc32fast::hash(address.as_deref().unwrap_or_default().as_bytes());
+            let record = EndpointRecord {
                 name,
                 destination: group,
                 kind,
-                transport: carrier,
-                max_batch: bundle,
+                transport,
+                max_batch: batch_limit,
                 listing,
                 zone,
                 weight,
-                address_hash: place,
-                unlisted: gone,
-                last_listed: named,
+                address_hash: hash,
+                unlisted: removed,
+                last_listed: list_number,
             };
-            self.endpoints.insert(id, known);
+            self.endpoints.insert(id, record);
         }
-        let strays = ids.iter().filter(|(_, id)| !self.endpoints.contains_key(id));
-        self.attempt_only_names = strays.map(|(name, _)| name.clone()).collect();
+        let attempt_only = ids.iter().filter(|(_, id)| !self.endpoints.contains_key(id));
+        self.attempt_only_names = attempt_only.map(|(name, _)| name.clone()).collect();
         self.ids = ids.into_iter().collect();
     }
 
-    /// The directory for a successor: endpoints, ids by name, and how many ids were assigned.
+    /// Returns the directory for a successor: endpoints, ids by name, and how many ids were assigned.
     pub fn save(&self) -> (Vec<handover::HandoverEndpoint>, Vec<(String, EndpointId)>, u64) {
-        let saved = |(id, known): (&EndpointId, &EndpointRecord)| handover::HandoverEndpoint {
+        let saved = |(id, record): (&EndpointId, &EndpointRecord)| handover::HandoverEndpoint {
             id: *id,
-            name: known.name.to_string(),
-            address: known.transport.as_ref().and_then(|carrier| carrier.address(*id)),
-            zone: known.zone,
-            kind: u16::try_from(known.kind).ok(),
-            group: known.destination,
-            listing: known.listing,
-            weight: known.weight,
-            unlisted: known.unlisted,
+            name: record.name.to_string(),
+            address: record.transport.as_ref().and_then(|transport| transport.address(*id)),
+            zone: record.zone,
+            kind: u16::try_from(record.kind).ok(),
+            group: record.destination,
+            listing: record.listing,
+            weight: record.weight,
+            unlisted: record.unlisted,
         };
         let ids = self.ids.iter().map(|(name, id)| (name.clone(), *id));
         (self.endpoints.iter().map(saved).collect(), ids.collect(), self.ids_assigned)
     }
 
-    /// The id of an endpoint that is listed.
+    /// The id of an endpoint in the directory. Names that only attempts refer to have none here.
     pub fn listed_id(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied().filter(|id| self.endpoints.contains_key(id))
     }
 
-    /// The destination of an endpoint that is known.
+    /// The destination of an endpoint, if it is in the directory.
     pub fn destination(&self, endpoint: EndpointId) -> Option<u16> {
-        self.endpoints.get(&endpoint).map(|known| known.destination)
+        self.endpoints.get(&endpoint).map(|record| record.destination)
     }
 
-    /// Destinations of endpoints that are known.
+    /// The destinations of all endpoints in the directory; one appears once per endpoint.
     pub fn destinations(&self) -> impl Iterator<Item = u16> {
-        self.endpoints.values().map(|known| known.destination)
+        self.endpoints.values().map(|record| record.destination)
     }
 
-    /// Destinations whose listing changed since this was last asked.
+    /// Returns the destinations whose listing changed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<u16> {
         std::mem::take(&mut self.changed)
     }
 
-    /// An endpoint as the list has it, whether ejected or not.
+    /// An endpoint as the list has it, without regard to ejections.
     pub fn describe(&self, endpoint: EndpointId) -> Option<health_snapshot::ListedEndpoint> {
-        let known = self.endpoints.get(&endpoint)?;
+        let record = self.endpoints.get(&endpoint)?;
         let text = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_default();
-        let address = known.transport.as_ref().and_then(|carrier| carrier.address(endpoint));
+        let address = record.transport.as_ref().and_then(|transport| transport.address(endpoint));
         Some(health_snapshot::ListedEndpoint {
-            name: known.name.to_string(),
+            name: record.name.to_string(),
             address: address.unwrap_or_default(),
-            zone: text(&self.names.zones, known.zone.into()),
-            kind: text(&self.names.kinds, known.kind),
-            status: match known.listing {
-                _ if known.unlisted => health_snapshot::EndpointStatus::Removed,
+            zone: text(&self.names.zones, record.zone.into()),
+            kind: text(&self.names.kinds, record.kind),
+            status: match record.listing {
+                _ if record.unlisted => health_snapshot::EndpointStatus::Removed,
                 Listing::Ready => health_snapshot::EndpointStatus::Active,
                 Listing::Draining => health_snapshot::EndpointStatus::Draining,
                 Listing::Gone => health_snapshot::EndpointStatus::Removed,
             },
-            weight: known.weight,
+            weight: record.weight,
         })
     }
 
@@ -230,24 +236,24 @@
         self.destinations.contains(&destination)
     }
 
-    /// Names of classes, kinds and zones, which positions refer to.
+    /// The names of classes, kinds and zones, by position.
     pub fn names(&self) -> [Vec<String>; 3] {
         [self.names.classes.clone(), self.names.kinds.clone(), self.names.zones.clone()]
     }
 
-    /// The position of a class among the settings'.
+    /// The position of a class in the settings.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.names.classes.iter().position(|class| class == name)
     }
 
-    /// An endpoint's name; nothing for one that is not known any more.
+    /// The name of an endpoint; empty if it is not in the directory any more.
     pub fn name(&self, endpoint: EndpointId) -> Arc<str> {
-        self.endpoints.get(&endpoint).map_or_else(|| "".into(), |known| known.name.clone())
+        self.endpoints.get(&endpoint).map_or_else(|| "".into(), |record| record.name.clone())
     }
 
-    /// Messages that one call to an endpoint carries at most.
+    /// The most messages that one call to an endpoint carries.
     pub fn max_batch(&self, endpoint: EndpointId) -> usize {
-        self.endpoints.get(&endpoint).map_or(1, |known| known.max_batch)
+        self.endpoints.get(&endpoint).map_or(1, |record| record.max_batch)
     }
 
     /// All transports.
@@ -262,14 +268,14 @@
 
     /// The route of an endpoint: its destination's, or its own where its kind has separate routes.
     pub fn route(&self, endpoint: EndpointId) -> Option<RouteId> {
-        let known = self.endpoints.get(&endpoint)?;
-        let apart = self.kinds.get(known.kind).is_some_and(|kind| kind.separate_routes);
-        Some((DestinationId(known.destination), apart.then_some(endpoint)))
+        let record = self.endpoints.get(&endpoint)?;
+        let separate = self.kinds.get(record.kind).is_some_and(|kind| kind.separate_routes);
+        Some((DestinationId(record.destination), separate.then_some(endpoint)))
     }
 
-    /// Endpoints in the list.
+    /// The number of endpoints in the list.
     pub fn listed_endpoints(&self) -> usize {
-        self.endpoints.values().filter(|known| !known.unlisted).count()
+        self.endpoints.values().filter(|record| !record.unlisted).count()
     }
 
     /// The ejected endpoints.
@@ -277,52 +283,53 @@
         &self.ejections
     }
 
-    /// The ejections once this endpoint is ejected or reinstated. Nothing changes by it.
+    /// Returns the ejections as they would be with this endpoint ejected or reinstated. Changes nothing itself.
     ///
     /// # Errors
-    /// Fails when no list has named it, or there are too many.
-    pub fn plan_ejection(&self, name: &str, out: bool) -> Result<Ejections, EjectError> {
-        let known = self.ids.get(name).is_some_and(|id| self.endpoints.contains_key(id));
-        if !known && !self.retired_names.contains(name) && !self.ejections.contains(name) {
+    /// Fails when the name was never in the list, or too many endpoints are ejected.
+    pub fn plan_ejection(&self, name: &str, eject: bool) -> Result<Ejections, EjectError> {
+        let listed = self.ids.get(name).is_some_and(|id| self.endpoints.contains_key(id));
+        if !listed && !self.retired_names.contains(name) && !self.ejections.contains(name) {
             return Err(EjectError::Unknown);
         }
-        let mut held_out = self.ejections.clone();
-        if out {
-            held_out.enter(name)?;
+        let mut ejections = self.ejections.clone();
+        if eject {
+            ejections.enter(name)?;
         } else {
-            held_out.exit(name);
+            ejections.exit(name);
         }
-        Ok(held_out)
+        Ok(ejections)
     }
 
-    /// Applies ejections; returns the entries that change.
-    pub fn apply_ejections(&mut self, held_out: Ejections) -> Event {
-        let before = std::mem::replace(&mut self.ejections, held_out);
+    /// Applies ejections. Returns the list entries that change by them.
+    pub fn apply_ejections(&mut self, ejections: Ejections) -> Event {
+        let before = std::mem::replace(&mut self.ejections, ejections);
         let changed =
-            |known: &&EndpointRecord| before.contains(&known.name) != self.ejections.contains(&known.name);
-        let listed = self.endpoints.iter().filter(|(_, known)| !known.unlisted);
-        let changes = listed.filter(|(_, known)| changed(known)).map(|(id, known)| {
+            |record: &&EndpointRecord| before.contains(&record.name) != self.ejections.contains(&record.name);
+        let listed = self.endpoints.iter().filter(|(_, record)| !record.unlisted);
+        let changes = listed.filter(|(_, record)| changed(record)).map(|(id, record)| {
             let listing =
-                if self.ejections.contains(&known.name) { Listing::Draining } else { known.listing };
-            if let Some(carrier) = &known.transport {
-                carrier.set_accepting(*id, listing == Listing::Ready);
+                if self.ejections.contains(&record.name) { Listing::Draining } else { record.listing };
+            if let Some(transport) = &record.transport {
+                transport.set_accepting(*id, listing == Listing::Ready);
                 if listing == Listing::Draining {
-                    carrier.close_idle(*id);
+                    transport.close_idle(*id);
                 }
             }
-            let destination = DestinationId(known.destination);
-            let (zone, kind, weight) = (known.zone, known.kind, known.weight);
+            let destination = DestinationId(record.destination);
+            let (zone, kind, weight) = (record.zone, record.kind, record.weight);
             EndpointEntry { endpoint: *id, destination, zone, kind, weight, listing }
         });
         Event::EndpointChanges(changes.collect())
     }
 
-    /// The id of the endpoint that an attempt went to, which no list need have named.
+    /// Returns the id of the endpoint of an attempt, which need not be in the list; assigns one if it has none.
     pub fn id_of_attempt(&mut self, name: &str) -> EndpointId {
         self.attempt_only_names.insert(name.to_owned());
         self.id_of(name)
     }
 
+    /// Returns the id of a name; assigns the next one if it has none.
     fn id_of(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -334,8 +341,8 @@
         EndpointId(bytes)
     }
 
-    /// Applies a list, or changes of it, at once. Unlisted endpoints are forgotten, with their connections
-    /// and names, unless one of these attempts refers to one: under churn there are ever new ones.
+    /// Applies a full list, or changes of it, at once. Unlisted endpoints are forgotten with their connections and names,
+    /// unless one of these attempts refers to them; otherwise the directory would grow without bound under churn.
     pub fn apply<'a, I: Iterator<Item = &'a str>>(
         &mut self,
         list: &EndpointList,
@@ -356,16 +363,17 @@
         if list.snapshot { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) }
     }
 
-    /// Whether a list is to be applied in slices: it is long, removes much, or comes behind one that is.
+    /// Whether a list has to be applied in slices: because it is long, because it removes many endpoints, or because another
+    /// one is pending.
     pub fn needs_slicing(&self, list: &EndpointList) -> bool {
-        let going = if list.snapshot { self.endpoints.len() } else { 0 };
-        self.has_pending() || list.endpoints.len().max(going) > SLICE_ENTRIES
+        let removed = if list.snapshot { self.endpoints.len() } else { 0 };
+        self.has_pending() || list.endpoints.len().max(removed) > SLICE_ENTRIES
     }
 
-    /// Queues a long list to be applied in slices; a full one replaces all that waits.
+    /// Queues a list to be applied in slices. A full list replaces all that is pending.
     ///
     /// # Errors
-    /// Fails when too much waits; then nothing does any more, and the full list must be fetched.
+    /// Fails when too many entries are pending. All of them are dropped, and the full list must be fetched.
     pub fn enqueue(&mut self, list: Arc<EndpointList>) -> Result<(), TooManyPending> {
         if list.snapshot {
             self.pending.clear();
@@ -384,13 +392,13 @@
         Ok(())
     }
 
-    /// Whether something waits to be applied.
+    /// Whether a list is not applied completely yet.
     pub fn has_pending(&self) -> bool {
         self.full_list_pending || !self.pending.is_empty() || !self.pending_removals.is_empty()
     }
 
-    /// Applies the next slice of what waits, of so many entries. What a full list did not name is removed
-    /// once it is at its end.
+    /// Applies the next `size` pending entries. Once a full list is applied, the endpoints that it did not name are removed,
+    /// in slices too.
     pub fn apply_slice<'a, I: Iterator<Item = &'a str>>(
         &mut self,
         size: usize,
@@ -417,48 +425,49 @@
         Event::EndpointChanges(entries)
     }
 
-    /// Collects what the last full list did not name, nor a change since.
+    /// Collects the endpoints that neither the last full list nor a change after it named.
     fn collect_removals(&mut self) {
-        let going =
-            self.endpoints.iter().filter(|(_, known)| !known.unlisted && known.last_listed != self.lists);
-        self.pending_removals = going.map(|(id, _)| *id).collect();
+        let removed =
+            self.endpoints.iter().filter(|(_, record)| !record.unlisted && record.last_listed != self.lists);
+        self.pending_removals = removed.map(|(id, _)| *id).collect();
     }
 
-    /// Removes an endpoint that no list names any more.
+    /// Removes an endpoint, unless a change has named it since it was collected.
     fn remove_endpoint(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
-        let known = self.endpoints.get_mut(&endpoint).filter(|known| known.last_listed != self.lists)?;
-        known.unlisted = true;
-        known.transport.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
-        self.retired_names.insert(&known.name);
+        let record = self.endpoints.get_mut(&endpoint).filter(|record| record.last_listed != self.lists)?;
+        record.unlisted = true;
+        record.transport.iter().for_each(|transport| transport.set_accepting(endpoint, false));
+        self.retired_names.insert(&record.name);
         self.unlisted.insert(endpoint);
-        self.changed.insert(known.destination);
-        let destination = DestinationId(known.destination);
+        self.changed.insert(record.destination);
+        let destination = DestinationId(record.destination);
         Some(EndpointEntry {
             endpoint,
             destination,
             zone: u16::MAX,
-            kind: known.kind,
+            kind: record.kind,
             weight: 0.0,
             listing: Listing::Gone,
         })
     }
 
+    /// Applies one entry of a list; appends the entries for the decision module.
     fn apply_entry(&mut self, listing: &Listed, entries: &mut Vec<EndpointEntry>) {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let zone = position(&self.names.zones, &listing.zone).map_or(u16::MAX, |zone| zone as u16);
         let kind = position(&self.names.kinds, &listing.kind).unwrap_or(usize::MAX);
         let mut endpoint = self.id_of(&listing.name);
-        let before = self.endpoints.get(&endpoint).filter(|known| known.destination != listing.group);
+        let before = self.endpoints.get(&endpoint).filter(|record| record.destination != listing.group);
         let mut entry = |endpoint, group, listing| {
             let destination = DestinationId(group);
             entries.push(EndpointEntry { endpoint, destination, zone, kind, weight: 0.0, listing });
         };
-        if let Some(group) = before.map(|known| known.destination) {
-            // Guards against a name that moves to another destination: it is another endpoint there.
+        if let Some(group) = before.map(|record| record.destination) {
+            // A name that moves to another destination is treated as another endpoint, with another id.
             entry(endpoint, group, Listing::Gone);
-            if let Some(known) = self.endpoints.get_mut(&endpoint) {
-                known.unlisted = true;
-                known.transport.iter().for_each(|carrier| carrier.set_accepting(endpoint, false));
+            if let Some(record) = self.endpoints.get_mut(&endpoint) {
+                record.unlisted = true;
+                record.transport.iter().for_each(|transport| transport.set_accepting(endpoint, false));
                 self.unlisted.insert(endpoint);
             }
             self.changed.insert(group);
@@ -470,62 +479,67 @@
             "left" => Listing::Gone,
             _ => Listing::Draining,
         };
-        // Whatever the list says, an ejected endpoint is reinstated by an operator alone.
-        let held_out = listed == Listing::Ready && self.ejections.contains(&listing.name);
-        let state = if held_out { Listing::Draining } else { listed };
+        // Whatever the list says, only an operator reinstates an ejected endpoint.
+        let ejected = listed == Listing::Ready && self.ejections.contains(&listing.name);
+        let state = if ejected { Listing::Draining } else { listed };
         entry(endpoint, listing.group, state);
         self.destinations.insert(listing.group);
         let weight = if listing.weight.is_finite() { listing.weight.max(0.0) } else { 0.0 };
         if let Some(entry) = entries.last_mut() {
             entry.weight = weight;
         }
-        let bundle = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
-        let gone = state == Listing::Gone;
-        let place = crc32fast::hash(listing.address.as_bytes());
-        if gone {
+        let batch_limit = self.kinds.get(kind).map_or(1, |kind| kind.max_batch);
+        let removed = state == Listing::Gone;
+        let hash = crc32fast::hash(listing.address.as_bytes());
+        if removed {
             self.retired_names.insert(&listing.name);
             self.unlisted.insert(endpoint)
         } else {
             self.unlisted.remove(&endpoint)
         };
-        let carrier =
-            self.transports.iter().find(|carrier| carrier.set_address(endpoint, &listing.address)).cloned();
-        let keeps = |other: &&Rc<dyn Transport>| carrier.as_ref().is_some_and(|c| Rc::ptr_eq(c, other));
-        // A transport that called it at its former address forgets it.
+        let transport = self
+            .transports
+            .iter()
+            .find(|transport| transport.set_address(endpoint, &listing.address))
+            .cloned();
+        let keeps = |other: &&Rc<dyn Transport>| transport.as_ref().is_some_and(|c| Rc::ptr_eq(c, other));
+        // If another transport called the endpoint at its former address, that one forgets it.
         self.transports.iter().filter(|other| !keeps(other)).for_each(|other| other.forget(endpoint));
-        if let Some(carrier) = &carrier {
-            carrier.set_accepting(endpoint, state == Listing::Ready);
+        if let Some(transport) = &transport {
+            transport.set_accepting(endpoint, state == Listing::Ready);
             if state != Listing::Ready {
-                carrier.close_idle(endpoint);
+                transport.close_idle(endpoint);
             }
         }
-        let (name, group, named) = (listing.name.as_str().into(), listing.group, self.lists);
+        let (name, group, list_number) = (listing.name.as_str().into(), listing.group, self.lists);
         let listing = listed;
-        let known = EndpointRecord {
+        let record = EndpointRecord {
             name,
             destination: group,
             kind,
-            transport: carrier,
-            max_batch: bundle,
+            transport,
+            max_batch: batch_limit,
             listing,
             zone,
             weight,
-            address_hash: place,
-            unlisted: gone,
-            last_listed: named,
+            address_hash: hash,
+            unlisted: removed,
+            last_listed: list_number,
         };
         let same = |before: &EndpointRecord| {
-            let all = |k: &EndpointRecord| {
+            let compared = |k: &EndpointRecord| {
                 (k.kind, k.listing, k.zone, k.weight.to_bits(), k.address_hash, k.unlisted)
             };
-            all(before) == all(&known)
+            compared(before) == compared(&record)
         };
         if !self.endpoints.get(&endpoint).is_some_and(same) {
             self.changed.insert(group);
         }
-        self.endpoints.insert(endpoint, known);
+        self.endpoints.insert(endpoint, record);
     }
 
+    /// Forgets unlisted endpoints and names to which none of these attempts refers, and closes idle connections to the
+    /// unlisted endpoints that remain.
     fn prune<'a, I: Iterator<Item = &'a str>>(&mut self, attempts: impl FnOnce() -> I) {
         if self.unlisted.is_empty() && self.attempt_only_names.is_empty() {
             return;
@@ -533,15 +547,15 @@
         let referred: HashSet<&str> = attempts().collect();
         let (endpoints, ids) = (&mut self.endpoints, &mut self.ids);
         self.unlisted.retain(|id| {
-            let Some(known) = endpoints.get(id) else { return false };
-            let keep = referred.contains(&*known.name);
-            if let Some(carrier) = &known.transport {
-                if keep { carrier.close_idle(*id) } else { carrier.forget(*id) }
+            let Some(record) = endpoints.get(id) else { return false };
+            let keep = referred.contains(&*record.name);
+            if let Some(transport) = &record.transport {
+                if keep { transport.close_idle(*id) } else { transport.forget(*id) }
             }
             if !keep {
-                // Its name may be another endpoint's by now.
-                if ids.get(&*known.name) == Some(id) {
-                    ids.remove(&*known.name);
+                // By now its name may have been given to another endpoint.
+                if ids.get(&*record.name) == Some(id) {
+                    ids.remove(&*record.name);
                 }
                 endpoints.remove(id);
             }
--- a/crates/sender/src/discovery/directory/tests.rs
+++ b/crates/sender/src/discovery/directory/tests.rs
@@ -6,11 +6,11 @@
 
 use crate::ports::{CallMessage, WriteOptions};
 
-/// Where endpoints are, and nothing else.
+/// A transport that stores addresses and does nothing else.
 #[derive(Default)]
-struct Places(RefCell<BTreeMap<EndpointId, String>>);
+struct AddressBook(RefCell<BTreeMap<EndpointId, String>>);
 
-impl Transport for Places {
+impl Transport for AddressBook {
     fn set_address(&self, endpoint: EndpointId, address: &str) -> bool {
         self.0.borrow_mut().insert(endpoint, address.to_owned());
         true
@@ -36,24 +36,25 @@
     }
 }
 
-/// A directory, and what the module knows by what it was told.
-struct Side {
+/// A directory, and the endpoints as the decision module has them after the directory's events.
+struct Replica {
     directory: Directory,
-    places: Rc<Places>,
-    told: BTreeMap<EndpointId, (u16, Listing)>,
+    address_book: Rc<AddressBook>,
+    listed_endpoints: BTreeMap<EndpointId, (u16, Listing)>,
 }
 
-impl Side {
+impl Replica {
     fn new() -> Self {
-        let (places, told) = (Rc::new(Places::default()), BTreeMap::new());
-        let directory = Directory::new(Names::default(), vec![], vec![places.clone()], Ejections::default());
-        Self { directory, places, told }
+        let (address_book, listed_endpoints) = (Rc::new(AddressBook::default()), BTreeMap::new());
+        let directory =
+            Directory::new(Names::default(), vec![], vec![address_book.clone()], Ejections::default());
+        Self { directory, address_book, listed_endpoints }
     }
 
-    fn hear(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         let entries = match event {
             Event::EndpointList(entries) => {
-                self.told.clear();
+                self.listed_endpoints.clear();
                 entries
             }
             Event::EndpointChanges(entries) => entries,
@@ -61,31 +62,31 @@
         };
         for entry in entries {
             if entry.listing == Listing::Gone {
-                self.told.remove(&entry.endpoint);
+                self.listed_endpoints.remove(&entry.endpoint);
             } else {
-                self.told.insert(entry.endpoint, (entry.destination.0, entry.listing));
+                self.listed_endpoints.insert(entry.endpoint, (entry.destination.0, entry.listing));
             }
         }
     }
 
-    /// All that is listed, by name, with its place. No place is left of what is forgotten.
-    fn all(&self) -> Vec<String> {
-        let places = self.places.0.borrow();
-        assert_eq!(places.len(), self.directory.endpoints.len());
-        let all = self.told.iter().map(|(id, (group, listing))| {
-            format!("{} {group} {listing:?} at {}", self.directory.name(*id), places[id])
+    /// All listed endpoints by name, with their addresses. Checks that the transport stores no address of a forgotten one.
+    fn listing(&self) -> Vec<String> {
+        let address_book = self.address_book.0.borrow();
+        assert_eq!(address_book.len(), self.directory.endpoints.len());
+        let listing = self.listed_endpoints.iter().map(|(id, (group, listing))| {
+            format!("{} {group} {listing:?} at {}", self.directory.name(*id), address_book[id])
         });
-        all.collect::<BTreeSet<_>>().into_iter().collect()
+        listing.collect::<BTreeSet<_>>().into_iter().collect()
     }
 }
 
 fn list(rng: &mut fastrand::Rng) -> EndpointList {
     let snapshot = rng.u8(..3) == 0;
-    let most = rng.usize(1..30);
-    let endpoints = (0..most)
+    let max_entries = rng.usize(1..30);
+    let endpoints = (0..max_entries)
         .map(|_| Listed {
             name: format!("e{}", rng.u8(..40)),
-            address: format!("place {}", rng.u8(..3)),
+            address: format!("address {}", rng.u8(..3)),
             zone: String::new(),
             kind: String::new(),
             group: rng.u16(..3),
@@ -96,49 +97,49 @@
     EndpointList { index: 0, snapshot, endpoints }
 }
 
-/// Bit by bit and at once come to the same, whatever comes in between. Another first seed in LIST_SEED gives other
-/// runs.
+/// Lists that are applied in slices have the same result as lists that are applied at once, whatever lists arrive in between.
+/// LIST_SEED sets the first seed.
 #[test]
-fn a_list_that_is_taken_in_bit_by_bit_comes_to_the_same() {
+fn applying_in_slices_has_same_result_as_at_once() {
     let first = std::env::var("LIST_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
     println!("LIST_SEED={first}");
     for seed in first..first + 300 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut once, mut bits) = (Side::new(), Side::new());
+        let (mut at_once, mut sliced) = (Replica::new(), Replica::new());
         let referred = [format!("e{}", rng.u8(..40))];
         let referred = || referred.iter().map(String::as_str);
         for _ in 0..12 {
             let list = list(&mut rng);
-            let said = once.directory.apply(&list, referred);
-            once.hear(said);
-            bits.directory.enqueue(Arc::new(list)).unwrap();
-            // Now and then the next one comes before this one is at its end.
-            let patience = if rng.bool() { rng.usize(..6) } else { usize::MAX };
-            for _ in 0..patience {
-                if !bits.directory.has_pending() {
+            let event = at_once.directory.apply(&list, referred);
+            at_once.apply_event(event);
+            sliced.directory.enqueue(Arc::new(list)).unwrap();
+            // Sometimes the next list arrives before this one is applied completely.
+            let slices = if rng.bool() { rng.usize(..6) } else { usize::MAX };
+            for _ in 0..slices {
+                if !sliced.directory.has_pending() {
                     break;
                 }
                 let size = rng.usize(1..10);
-                let said = bits.directory.apply_slice(size, referred);
+                let event = sliced.directory.apply_slice(size, referred);
                 // A name that moves to another destination brings two entries.
-                assert!(matches!(&said, Event::EndpointChanges(entries) if entries.len() <= 2 * size));
-                bits.hear(said);
+                assert!(matches!(&event, Event::EndpointChanges(entries) if entries.len() <= 2 * size));
+                sliced.apply_event(event);
             }
-            if !bits.directory.has_pending() {
-                assert_eq!(bits.all(), once.all(), "seed {seed}");
+            if !sliced.directory.has_pending() {
+                assert_eq!(sliced.listing(), at_once.listing(), "seed {seed}");
             }
         }
-        while bits.directory.has_pending() {
-            let said = bits.directory.apply_slice(7, referred);
-            bits.hear(said);
+        while sliced.directory.has_pending() {
+            let event = sliced.directory.apply_slice(7, referred);
+            sliced.apply_event(event);
         }
-        assert_eq!(bits.all(), once.all(), "seed {seed}");
+        assert_eq!(sliced.listing(), at_once.listing(), "seed {seed}");
     }
 }
 
 #[test]
-fn what_waits_is_bounded_and_a_whole_list_makes_up_for_it() {
-    let mut side = Side::new();
+fn pending_entries_are_bounded_and_full_list_recovers() {
+    let mut replica = Replica::new();
     let entry = |n: usize| Listed {
         name: format!("e{n}"),
         address: String::new(),
@@ -153,21 +154,23 @@
         snapshot,
         endpoints: (0..count).map(entry).collect(),
     };
-    side.directory.enqueue(Arc::new(list(MAX_PENDING_ENTRIES, false))).unwrap();
-    assert_eq!(side.directory.enqueue(Arc::new(list(1, false))), Err(TooManyPending));
-    assert!(!side.directory.has_pending());
-    side.directory.enqueue(Arc::new(list(MAX_PENDING_ENTRIES, false))).unwrap();
-    side.directory.enqueue(Arc::new(list(10, true))).unwrap();
-    let said = side.directory.apply_slice(SLICE_ENTRIES, || [].into_iter());
-    side.hear(said);
-    assert_eq!((side.directory.has_pending(), side.told.len()), (false, 10));
-    // Short ones come at once, unless they take much away or come behind what waits.
+    replica.directory.enqueue(Arc::new(list(MAX_PENDING_ENTRIES, false))).unwrap();
+    assert_eq!(replica.directory.enqueue(Arc::new(list(1, false))), Err(TooManyPending));
+    assert!(!replica.directory.has_pending());
+    replica.directory.enqueue(Arc::new(list(MAX_PENDING_ENTRIES, false))).unwrap();
+    replica.directory.enqueue(Arc::new(list(10, true))).unwrap();
+    let event = replica.directory.apply_slice(SLICE_ENTRIES, || [].into_iter());
+    replica.apply_event(event);
+    assert_eq!((replica.directory.has_pending(), replica.listed_endpoints.len()), (false, 10));
+    // A short list is applied at once, unless it removes many endpoints or another list is pending.
     assert!(
-        !side.directory.needs_slicing(&list(5, true))
-            && side.directory.needs_slicing(&list(SLICE_ENTRIES + 1, true))
+        !replica.directory.needs_slicing(&list(5, true))
+            && replica.directory.needs_slicing(&list(SLICE_ENTRIES + 1, true))
     );
-    side.directory.apply(&list(2 * SLICE_ENTRIES, true), || [].into_iter());
-    assert!(side.directory.needs_slicing(&list(5, true)) && !side.directory.needs_slicing(&list(5, false)));
-    side.directory.enqueue(Arc::new(list(5, true))).unwrap();
-    assert!(side.directory.needs_slicing(&list(5, false)));
+    replica.directory.apply(&list(2 * SLICE_ENTRIES, true), || [].into_iter());
+    assert!(
+        replica.directory.needs_slicing(&list(5, true)) && !replica.directory.needs_slicing(&list(5, false))
+    );
+    replica.directory.enqueue(Arc::new(list(5, true))).unwrap();
+    assert!(replica.directory.needs_slicing(&list(5, false)));
 }
--- a/crates/sender/src/discovery/endpoint_list.rs
+++ b/crates/sender/src/discovery/endpoint_list.rs
@@ -1,46 +1,46 @@
-//! The list of endpoints, as discovery writes it and as the configuration has it from the last process.
+//! The endpoint list, in the format of discovery, which the configuration also uses for the list as last known.
 
 use std::sync::Arc;
 
 use serde::Deserialize;
 
-/// The list of endpoints, whole or changes of it, as discovery writes it.
+/// The full endpoint list, or changes of it.
 #[derive(Debug, Default, Clone, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     #[serde(default)]
     pub index: u64,
-    /// Whether it is the whole list.
+    /// Whether this is the full list and not changes of it.
     #[serde(default)]
     pub snapshot: bool,
-    /// Its entries.
+    /// The entries.
     #[serde(default)]
     pub endpoints: Vec<EndpointListing>,
 }
 
-/// One entry.
+/// One entry of the endpoint list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointListing {
-    /// The same at every sender.
+    /// Name of the endpoint, the same at every sender.
     pub name: String,
-    /// Where this sender dials it.
+    /// The address at which this sender connects to it.
     #[serde(default)]
     pub address: String,
-    /// Its zone, by name.
+    /// Name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its kind, by name.
+    /// Name of its kind.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its destination.
+    /// Number of its destination.
     pub group: u16,
     /// `active`, `leaving` or `left`.
     pub status: String,
-    /// Its weight.
+    /// Weight in the distribution of calls.
     #[serde(default)]
     pub weight: f64,
 }
 
-/// An update of the list: one list for all shards, which each applies for itself.
+/// An update of the endpoint list. All shards share one list, and each applies it for itself.
 #[derive(Debug, Clone)]
 pub struct EndpointUpdate(pub Arc<EndpointList>);
--- a/crates/sender/src/discovery/mod.rs
+++ b/crates/sender/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! Discovery: the watch on the endpoint list, when it is polled, the list's format, and the directory of endpoints by name.
+//! Discovery: the watch on the endpoint list, its poll schedule, the format of the list, and the directory of endpoints by
+//! name.
 
 pub mod directory;
 pub mod endpoint_list;
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list: a long poll that is renewed for as long as the process runs.
+//! The watch on the endpoint list: long polls of discovery for as long as the process runs.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,36 +17,38 @@
 use crate::platform_client::ask;
 use crate::ports::Inbound;
 
-/// How long a long poll may be held open.
+/// How long discovery may hold a long poll open.
 const LONG_POLL: Duration = Duration::from_secs(20);
-/// How much later its answer may come; one that need not wait comes at once. A change that a silent watch
-/// missed binds 2 s after its wait: by then the watch is known to be silent.
+/// How much later than that the response may arrive; normally it arrives at once. A change that was missed because
+/// discovery does not respond is binding 2 s after the end of the long poll, so that the failure has to be noticed earlier.
 const LONG_POLL_SLACK: Duration = Duration::from_millis(1_500);
+/// Timeout of a request for the full list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// A longer list takes a millisecond and more to parse.
+/// Length in bytes above which a list takes a millisecond or more to parse.
 const LONG_LIST: usize = 128 << 10;
 
-/// Parses a list, a long one on another thread: guards iterations against the time that it takes.
-async fn read_list(body: Bytes) -> Option<EndpointList> {
+/// Parses a list. A long one is parsed on another thread, so that it doesn't delay the event loop.
+async fn parse_list(body: Bytes) -> Option<EndpointList> {
     if body.len() <= LONG_LIST {
         return serde_json::from_slice(&body).ok();
     }
     tokio::task::spawn_blocking(move || serde_json::from_slice(&body).ok()).await.ok().flatten()
 }
 
-/// Watches the list from a known version, or from the full list, for as long as the process runs. A known
-/// list may be good for some time. Where discovery moves, the watch begins anew with the full list there:
-/// versions of two places must not mix.
+/// Watches the endpoint list for as long as the process runs, beginning with a known version or else with the full list.
+/// `good_for` is how long the known list remains valid, which delays the first poll. When the address of discovery changes,
+/// or `full_list_needed` is notified, the watch starts over with the full list: versions of two instances of discovery must
+/// not be mixed.
 pub async fn watch_endpoints(
     mut discovery: Receiver<SocketAddr>,
     known: Option<u64>,
-    whole: Rc<Notify>,
-    mut again: PollSchedule,
+    full_list_needed: Rc<Notify>,
+    mut schedule: PollSchedule,
     good_for: Duration,
     inbound: UnboundedSender<Inbound>,
 ) {
     let mut from = known;
-    tokio::time::sleep(again.first(good_for)).await;
+    tokio::time::sleep(schedule.first(good_for)).await;
     let mut conn = None;
     loop {
         let address = *discovery.borrow_and_update();
@@ -62,7 +64,7 @@
         };
         let answer = tokio::select! {
             answer = timeout(within, ask(&mut conn, address, request)) => answer,
-            () = whole.notified() => {
+            () = full_list_needed.notified() => {
                 from = None;
                 continue;
             }
@@ -72,27 +74,27 @@
             }
         };
         let list = match answer {
-            Ok(Ok((StatusCode::OK, body))) => read_list(body).await.ok_or(PollFailure::Broken),
+            Ok(Ok((StatusCode::OK, body))) => parse_list(body).await.ok_or(PollFailure::Broken),
             Ok(Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS, _))) => {
                 Err(PollFailure::Rejected)
             }
             _ => Err(PollFailure::Broken),
         };
-        let said = match list {
+        let update = match list {
             Ok(list) => {
-                again.answered();
+                schedule.answered();
                 from = Some(list.index);
                 Inbound::EndpointsUpdated(EndpointUpdate(Arc::new(list)))
             }
-            Err(how) => {
+            Err(failure) => {
                 conn = None;
-                if let Ok(Ok(())) = timeout(again.backoff(how), discovery.changed()).await {
+                if let Ok(Ok(())) = timeout(schedule.backoff(failure), discovery.changed()).await {
                     from = None;
                 }
                 Inbound::Event(Event::DiscoveryFailed)
             }
         };
-        if inbound.send(said).is_err() {
+        if inbound.send(update).is_err() {
             return;
         }
     }
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -489,12 +489,10 @@
             parse_number(pairs.find(|(name, _)| name.trim() == "dest")?.1.trim())
         });
         let Some(destination) = destination else { return bad("X-Consignee names no dest\n") };
-        let time_left = header(&head.headers, "req-deadline-ms").and_then(parse_number::<u32>);
-        let time_left = time_left.map(|ms| Micros::from(ms) * 1000);
-        let time_left = time_left.filter(|time_left| *time_left <= self.classes[class].1 + DEADLINE_SLACK);
-        let Some(time_left) = time_left else {
-            return bad("Req-Deadline-Ms is no time that the class has\n");
-        };
+        let ttl = header(&head.headers, "req-deadline-ms").and_then(parse_number::<u32>);
+        let ttl = ttl.map(|ms| Micros::from(ms) * 1000);
+        let ttl = ttl.filter(|ttl| *ttl <= self.classes[class].1 + DEADLINE_SLACK);
+        let Some(ttl) = ttl else { return bad("Req-Deadline-Ms is no time that the class has\n") };
         let key = match head.headers.get("idempotency-key") {
             Some(_) => match header(&head.headers, "idempotency-key") {
                 Some(key) => Some(key.to_owned()),
@@ -506,7 +504,7 @@
         let Ok(Ok(body)) = timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await else {
             return bad("the body can't be read, or not in time\n");
         };
-        let deadline = received_at + time_left;
+        let deadline = received_at + ttl;
         let class_name = self.classes[class].0.clone();
         let body = body.to_bytes();
         let accepted =
