--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -1,4 +1,4 @@
-//! What a sender is configured with at its start: the environment and the configuration file.
+//! The configuration of a sender at its start: environment variables and the configuration file that they name.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,65 +8,67 @@
 
 use crate::discovery::endpoint_list::EndpointList;
 
-/// The configuration.
+/// The configuration of a sender.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// The sender's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The administrative address, if any.
+    /// The address for administrative requests, if there is one.
     pub ops: Option<SocketAddr>,
-    /// Discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// `NODE_STATE`, the folder that outlasts the process.
+    /// `NODE_STATE`: the folder for state that survives the process.
     pub state: PathBuf,
-    /// Seeds random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// File descriptors that may be open.
+    /// The most open file descriptors.
     pub sockets: usize,
-    /// Bytes that `NODE_STATE` may take.
+    /// The most bytes that files in `NODE_STATE` may occupy.
     pub disk: u64,
-    /// Where gossip arrives, if there is any.
+    /// The address at which gossip is received, if the deployment has gossip.
     pub peer_listen: Option<SocketAddr>,
-    /// The senders' addresses by their numbers.
+    /// The gossip addresses of the senders, by rank.
     pub peers: Vec<SocketAddr>,
-    /// Reaches all senders.
+    /// The broadcast address of all senders, if there is one.
     pub peers_all: Option<SocketAddr>,
     /// The endpoint list as last known.
     pub initial_list: EndpointList,
-    /// Its index among the senders of its tier, where the settings tell it.
+    /// The sender's index among the senders of its tier, if the settings contain it.
     pub rank: Option<u16>,
     /// The decision module's settings.
     pub settings: Settings,
-    /// Names of classes, kinds and zones, in the settings' order.
+    /// Names of classes, kinds and zones, in the order of the settings.
     pub names: Names,
 }
 
-/// Names in the settings, by position.
+/// The names in the settings, by position.
 #[derive(Debug, Default, Clone)]
 pub struct Names {
-    /// Classes of message.
+    /// Message classes.
     pub classes: Vec<String>,
-    /// Kinds of destination.
+    /// Destination kinds.
     pub kinds: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Fields of a load report.
+    /// Fields of a load report, in the order of their values.
     pub report: Vec<String>,
 }
 
+/// The `limits` of the configuration file.
 #[derive(Deserialize)]
 struct RawLimits {
-    #[serde(default = "plenty")]
+    #[serde(default = "default_sockets")]
     sockets: usize,
     disk_mb: f64,
 }
 
-fn plenty() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
+/// The configuration file.
 #[derive(Deserialize)]
 struct Raw {
     name: String,
@@ -87,6 +89,7 @@
     settings: serde_json::Value,
 }
 
+/// Reads an environment variable; `None` if it is not set.
 fn variable(name: &str) -> Result<Option<String>, String> {
     match std::env::var(name) {
         Ok(text) => Ok(Some(text)),
@@ -95,6 +98,7 @@
     }
 }
 
+/// Reads an address from an environment variable, with a default if it is not set.
 fn address(name: &str, default: SocketAddr) -> Result<SocketAddr, String> {
     match variable(name)? {
         Some(text) => text.parse().map_err(|e| format!("{name}={text}: {e}")),
@@ -102,10 +106,10 @@
     }
 }
 
-/// Reads the environment and the configuration that it names.
+/// Reads the environment variables and the configuration file.
 ///
 /// # Errors
-/// Fails, in one line, when something needed is missing or cannot be read.
+/// Fails when something required is missing or invalid. The text has one line.
 pub fn read() -> Result<Config, String> {
     let path = variable("NODE_CONFIG")?.ok_or("NODE_CONFIG is not set")?;
     let state = variable("NODE_STATE")?.ok_or("NODE_STATE is not set")?;
@@ -124,17 +128,18 @@
     })
 }
 
-/// Reads the configuration again and returns discovery's address; what the environment said at the start is
-/// no longer valid.
+/// Reads the configuration file again and returns the address of discovery. The environment variable of the start is ignored,
+/// since its address is no longer valid.
 ///
 /// # Errors
-/// Fails, in one line, when the configuration cannot be read.
+/// Fails when the configuration can't be read. The text has one line.
 pub fn reload_discovery() -> Result<SocketAddr, String> {
     let path = variable("NODE_CONFIG")?.ok_or("NODE_CONFIG is not set")?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     Ok(parse(&text).map_err(|e| format!("{path}: {e}"))?.discovery)
 }
 
+/// Parses the configuration file. The state folder, which only the environment names, remains empty.
 fn parse(text: &[u8]) -> Result<Config, String> {
     let raw: Raw = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let settings = serde_json::to_vec(&raw.settings).map_err(|e| e.to_string())?;
@@ -158,7 +163,7 @@
         return Err("settings: each class needs a name, and there must be one".into());
     }
     if !raw.limits.disk_mb.is_finite() || raw.limits.disk_mb <= 0.0 {
-        return Err(format!("limits: disk_mb {} is no size", raw.limits.disk_mb));
+        return Err(format!("limits: disk_mb {} is not a positive number", raw.limits.disk_mb));
     }
     Ok(Config {
         name: raw.name,
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -14,7 +14,7 @@
 
 use crate::discovery::endpoint_list::{EndpointList, EndpointUpdate};
 use crate::discovery::poll_schedule::{PollFailure, PollSchedule};
-use crate::platform_client::ask;
+use crate::platform_client::send_request;
 use crate::ports::Inbound;
 
 /// How long discovery may hold a long poll open.
@@ -63,7 +63,7 @@
             return;
         };
         let answer = tokio::select! {
-            answer = timeout(within, ask(&mut conn, address, request)) => answer,
+            answer = timeout(within, send_request(&mut conn, address, request)) => answer,
             () = full_list_needed.notified() => {
                 from = None;
                 continue;
--- a/crates/sender/src/gossip_socket.rs
+++ b/crates/sender/src/gossip_socket.rs
@@ -1,4 +1,4 @@
-//! Gossip between senders: datagrams that may be lost.
+//! The UDP socket for gossip between senders. Datagrams may be lost.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,31 +12,31 @@
 use crate::config::Config;
 use crate::ports::Inbound;
 
-/// A longer message is not sent.
+/// The most bytes of a gossip message. Longer ones are not sent, and discarded when received.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// The socket to the other senders.
+/// The gossip socket.
 pub struct GossipSocket {
     socket: Rc<UdpSocket>,
     peers: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
-    receiving: JoinHandle<()>,
+    broadcast: Option<SocketAddr>,
+    receive_task: JoinHandle<()>,
 }
 
 impl GossipSocket {
-    /// Binds the socket, where the deployment has one.
+    /// Binds the socket and starts to receive; `None` if the deployment has no gossip.
     ///
     /// # Errors
-    /// Fails when the address cannot be listened on.
+    /// Fails when the address can't be bound.
     pub async fn open(config: &Config, inbound: UnboundedSender<Inbound>) -> io::Result<Option<Self>> {
         let Some(listen) = config.peer_listen else { return Ok(None) };
         let socket = Rc::new(UdpSocket::bind(listen).await?);
-        let (receiving, peers) = (socket.clone(), config.peers.clone());
+        let (receiver, peers) = (socket.clone(), config.peers.clone());
         let task = tokio::task::spawn_local(async move {
-            let mut note = [0; MAX_MESSAGE_BYTES + 1];
+            let mut datagram = [0; MAX_MESSAGE_BYTES + 1];
             loop {
-                // An error here is an earlier note's that did not arrive.
-                let Ok((size, from)) = receiving.recv_from(&mut note).await else {
+                // An error here belongs to an earlier datagram of ours that was not delivered.
+                let Ok((size, from)) = receiver.recv_from(&mut datagram).await else {
                     tokio::task::yield_now().await;
                     continue;
                 };
@@ -46,26 +46,31 @@
                 else {
                     continue;
                 };
-                let event = Event::GossipReceived { from: rank, content: note[..size].to_vec() };
+                let event = Event::GossipReceived { from: rank, content: datagram[..size].to_vec() };
                 if inbound.send(Inbound::Event(event)).is_err() {
                     return;
                 }
             }
         });
-        Ok(Some(Self { socket, peers: config.peers.clone(), all: config.peers_all, receiving: task }))
+        Ok(Some(Self {
+            socket,
+            peers: config.peers.clone(),
+            broadcast: config.peers_all,
+            receive_task: task,
+        }))
     }
 
-    /// Closes the socket; its address is free once this returns.
+    /// Closes the socket. Its address can be bound again once this returns.
     pub async fn close(self) {
-        self.receiving.abort();
-        let _ = self.receiving.await;
+        self.receive_task.abort();
+        let _ = self.receive_task.await;
     }
 
-    /// Sends a message to one sender, or to all; it may be lost.
+    /// Sends a message to one sender, or to all if `to` is `None`. It may be lost.
     pub fn send(&self, to: Option<u16>, content: &[u8]) {
         let address = match to {
             Some(rank) => self.peers.get(usize::from(rank)).copied(),
-            None => self.all,
+            None => self.broadcast,
         };
         if let (Some(address), true) = (address, content.len() <= MAX_MESSAGE_BYTES) {
             let _ = self.socket.try_send_to(content, address);
--- a/crates/sender/src/main.rs
+++ b/crates/sender/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `myrtleyard`: see the crate `sender`.
+//! The program `myrtleyard`; the library of the crate `sender` implements it.
 
 fn main() -> std::process::ExitCode {
     sender::cli::main(std::env::args_os())
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -1,4 +1,5 @@
-//! Result notifications: the platform is told of messages that ended undelivered, each until it has answered.
+//! Result notifications: reports messages that ended undelivered to the platform, and repeats each until the platform has
+//! acknowledged it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,31 +16,31 @@
 use tokio::time::timeout;
 
 use crate::http::connection::Connection;
-use crate::platform_client::ask;
+use crate::platform_client::send_request;
 use crate::ports::{Inbound, MAX_BODY_BYTES};
 
-/// Wait before a failed notification is sent again.
+/// Delay before a failed notification is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A notification that is not acknowledged within this time is sent again.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// After this time the request is hedged: sent over a second connection too. The platform answers at once,
-/// and is owed a message's outcome within 300 ms: guards that against a kept connection that has fallen
-/// silent. The first request is not dropped: one that comes up late may still be the sooner.
+/// After this time a request is hedged: sent over a second connection as well. The platform normally answers at once and
+/// has to get a message's outcome within 300 ms, which a kept connection that no longer responds would prevent. The first
+/// request is not cancelled: its response may still arrive before the second one.
 const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// One request to the platform that does no harm if it arrives twice: hedged over a second connection where
-/// the first takes long.
-async fn ask_hedged(
+/// Sends a request to the platform that may arrive twice without harm. It is hedged over a second connection after
+/// [`HEDGE_DELAY`].
+async fn send_hedged(
     kept: &mut Option<Connection>,
     address: SocketAddr,
     request: Request<Bytes>,
 ) -> Result<(StatusCode, Bytes), ()> {
     let mut other = None;
     let answer = {
-        let mut first = pin!(ask(kept, address, request.clone()));
+        let mut first = pin!(send_request(kept, address, request.clone()));
         let mut second = pin!(async {
             tokio::time::sleep(HEDGE_DELAY).await;
-            ask(&mut other, address, request).await
+            send_request(&mut other, address, request).await
         });
         tokio::select! {
             answer = &mut first => answer,
@@ -55,17 +56,18 @@
     answer
 }
 
-/// The final outcome of a message, which the platform is owed.
+/// The final outcome of a message, which has to be reported to the platform.
 #[derive(Debug)]
 pub struct Notification {
     /// The message.
     pub message: MessageId,
     /// Its `Req-Id`.
     pub id: String,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Abandonment,
 }
 
+/// A notification as a line of JSON.
 #[derive(Serialize)]
 struct NotificationLine<'a> {
     id: &'a str,
@@ -74,41 +76,45 @@
     again_ms: Option<u64>,
 }
 
-fn line(notice: &Notification) -> Vec<u8> {
-    let (status, again) = match notice.outcome {
-        Abandonment::Deferred(again) => ("deferred", Some(again.div_ceil(1000)).filter(|ms| *ms > 0)),
+fn line(notification: &Notification) -> Vec<u8> {
+    let (status, retry_after) = match notification.outcome {
+        Abandonment::Deferred(retry_after) => {
+            ("deferred", Some(retry_after.div_ceil(1000)).filter(|ms| *ms > 0))
+        }
         Abandonment::Undeliverable => ("undeliverable", None),
     };
     let mut line =
-        serde_json::to_vec(&NotificationLine { id: &notice.id, status, again_ms: again }).unwrap_or_default();
+        serde_json::to_vec(&NotificationLine { id: &notification.id, status, again_ms: retry_after })
+            .unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-/// Sends notifications, each until the platform has acknowledged it, wherever that is by then.
+/// Sends notifications, and repeats each until the platform has acknowledged it, also when the platform's address changes in
+/// the meantime.
 pub async fn send_all(
     mut discovery: Receiver<SocketAddr>,
-    mut notices: UnboundedReceiver<Notification>,
+    mut notifications: UnboundedReceiver<Notification>,
     inbound: UnboundedSender<Inbound>,
 ) {
-    let mut owed: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
+    let mut pending: BTreeMap<MessageId, Vec<u8>> = BTreeMap::new();
     let mut conn: Option<Connection> = None;
-    let mut most = usize::MAX;
+    let mut max_lines = usize::MAX;
     loop {
-        if owed.is_empty() {
-            let Some(notice) = notices.recv().await else { return };
-            owed.insert(notice.message, line(&notice));
+        if pending.is_empty() {
+            let Some(notification) = notifications.recv().await else { return };
+            pending.insert(notification.message, line(&notification));
         }
-        while let Ok(notice) = notices.try_recv() {
-            owed.insert(notice.message, line(&notice));
+        while let Ok(notification) = notifications.try_recv() {
+            pending.insert(notification.message, line(&notification));
         }
-        let (mut body, mut told) = (Vec::new(), Vec::new());
-        for (message, line) in owed.iter().take(most) {
+        let (mut body, mut sent) = (Vec::new(), Vec::new());
+        for (message, line) in pending.iter().take(max_lines) {
             if !body.is_empty() && body.len() + line.len() > MAX_BODY_BYTES {
                 break;
             }
             body.extend(line);
-            told.push(*message);
+            sent.push(*message);
         }
         if discovery.has_changed().unwrap_or(false) {
             conn = None;
@@ -119,14 +125,14 @@
             .header("content-type", "application/json")
             .body(Bytes::from(body));
         let Ok(request) = request else { return };
-        // The platform closes idle connections when it likes: a kept one that is closed is no failure.
+        // The platform may close idle connections at any time; a kept one that is closed is not a failed attempt.
         if let Some(mut kept) = conn.take()
             && kept.usable().await
         {
             conn = Some(kept);
         }
         let answer = tokio::select! {
-            answer = timeout(ATTEMPT_TIMEOUT, ask_hedged(&mut conn, address, request)) => answer,
+            answer = timeout(ATTEMPT_TIMEOUT, send_hedged(&mut conn, address, request)) => answer,
             Ok(()) = discovery.changed() => {
                 conn = None;
                 continue;
@@ -134,18 +140,19 @@
         };
         match answer {
             Ok(Ok((StatusCode::NO_CONTENT, _))) => {
-                owed.retain(|message, _| !told.contains(message));
-                most = usize::MAX;
-                if inbound.send(Inbound::NotificationsAcknowledged(told)).is_err() {
+                pending.retain(|message, _| !sent.contains(message));
+                max_lines = usize::MAX;
+                if inbound.send(Inbound::NotificationsAcknowledged(sent)).is_err() {
                     return;
                 }
             }
-            // One line that can't be parsed must not hold the others back.
-            Ok(Ok((StatusCode::BAD_REQUEST, _))) if told.len() > 1 => most = 1,
+            // A line that the platform rejects must not block the others: they are sent one at a time until one
+            // is acknowledged.
+            Ok(Ok((StatusCode::BAD_REQUEST, _))) if sent.len() > 1 => max_lines = 1,
             Ok(Ok((StatusCode::BAD_REQUEST, _))) => {
                 eprintln!("the platform does not read a notice; dropped");
-                owed.retain(|message, _| !told.contains(message));
-                let _ = inbound.send(Inbound::NotificationsAcknowledged(told));
+                pending.retain(|message, _| !sent.contains(message));
+                let _ = inbound.send(Inbound::NotificationsAcknowledged(sent));
             }
             _ => {
                 conn = None;
--- a/crates/sender/src/platform_client.rs
+++ b/crates/sender/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the platform, each on a connection that is kept for the next.
+//! Requests to the platform, over a connection that is kept for the next request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,13 +8,14 @@
 
 use crate::http::connection::Connection;
 
-/// A list has at most so many bytes: some 200,000 endpoints.
-const MAX_ANSWER_BYTES: usize = 32 << 20;
-/// How long the rest of an answer may take.
+/// The most bytes of a response: enough for an endpoint list of about 200,000 entries.
+const MAX_RESPONSE_BYTES: usize = 32 << 20;
+/// Time to receive the body of a response.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One request to the platform, on a connection that is kept if all went well.
-pub async fn ask(
+/// Sends a request to the platform and returns the response. Uses the kept connection or else opens one, and keeps it if the
+/// response was received completely.
+pub async fn send_request(
     kept: &mut Option<Connection>,
     address: SocketAddr,
     request: Request<Bytes>,
@@ -24,7 +25,7 @@
         None => Connection::open(address).await.map_err(|_| ())?,
     };
     let (head, body) = conn.send(request).await.map_err(|_| ())?.into_parts();
-    let body = conn.body_within(body, MAX_ANSWER_BYTES, BODY_TIMEOUT).await?;
+    let body = conn.body_within(body, MAX_RESPONSE_BYTES, BODY_TIMEOUT).await?;
     if conn.usable().await {
         *kept = Some(conn);
     }
--- a/crates/sender/tests/node/kept.rs
+++ b/crates/sender/tests/node/kept.rs
@@ -39,7 +39,7 @@
     seven.next().reply(status(200));
     // Its end is written when nothing is owed any more.
     wait_until(|| {
-        lines(&look(&node, "verify")).last().unwrap().starts_with("0 messages are owed their end, 2 ends")
+        lines(&look(&node, "verify")).last().unwrap().starts_with("0 messages pending, 2 outcomes")
     });
     let node = node.kill_and_restart();
     assert_eq!(node.submit("delivered", "order", 7, 20_000).status(), 200);
