--- a/crates/sender/src/discovery/poll_schedule.rs
+++ b/crates/sender/src/discovery/poll_schedule.rs
@@ -43,7 +43,7 @@
     /// twice the time if their known list remains valid for that long. A single sender doesn't wait. Without a valid list
     /// the delay is at most half of `grace`: drains from before the start are binding from the beginning, and the other
     /// half is left for the start and the response.
-    pub fn first(&mut self, good_for: Duration) -> Duration {
+    pub fn first_delay(&mut self, good_for: Duration) -> Duration {
         let spread =
             SPREAD_PER_SENDER.saturating_mul(self.senders - 1).min(MAX_MEAN_DELAY / 4).min(self.grace / 2);
         spread.max(good_for.min(2 * spread)).mul_f64(self.rng.f64())
--- a/crates/sender/src/discovery/poll_schedule/tests.rs
+++ b/crates/sender/src/discovery/poll_schedule/tests.rs
@@ -8,7 +8,8 @@
 #[test]
 fn first_poll_leaves_half_of_the_grace_period_for_drains() {
     let grace = Duration::from_secs(1);
-    let latest = (0..99).map(|seed| PollSchedule::new(300, grace, seed).first(Duration::ZERO)).max().unwrap();
+    let latest =
+        (0..99).map(|seed| PollSchedule::new(300, grace, seed).first_delay(Duration::ZERO)).max().unwrap();
     assert!(latest > grace / 3 && latest <= grace / 2, "{latest:?}");
 }
 
@@ -33,11 +34,12 @@
 #[test]
 fn single_sender_polls_at_once_and_many_spread() {
     let good_for = Duration::from_secs(4);
-    assert_eq!(PollSchedule::new(1, GRACE, 1).first(good_for), Duration::ZERO);
-    assert_eq!(PollSchedule::new(0, GRACE, 1).first(good_for), Duration::ZERO);
-    assert!(PollSchedule::new(usize::MAX, GRACE, 1).first(Duration::ZERO) <= MAX_MEAN_DELAY / 4);
-    let latest =
-        |good_for| (0..99).map(|seed| PollSchedule::new(100, GRACE, seed).first(good_for)).max().unwrap();
+    assert_eq!(PollSchedule::new(1, GRACE, 1).first_delay(good_for), Duration::ZERO);
+    assert_eq!(PollSchedule::new(0, GRACE, 1).first_delay(good_for), Duration::ZERO);
+    assert!(PollSchedule::new(usize::MAX, GRACE, 1).first_delay(Duration::ZERO) <= MAX_MEAN_DELAY / 4);
+    let latest = |good_for| {
+        (0..99).map(|seed| PollSchedule::new(100, GRACE, seed).first_delay(good_for)).max().unwrap()
+    };
     assert!(
         latest(good_for) > MAX_MEAN_DELAY / 4 && latest(good_for) <= good_for,
         "with a valid list the senders spread over a longer time"
@@ -51,7 +53,8 @@
 fn all_of_many_senders_get_their_list() {
     let served_by = |backs_off: bool| {
         let mut senders: Vec<_> = (0..48).map(|n| PollSchedule::new(48, GRACE, n)).collect();
-        let mut next_poll_at: Vec<_> = senders.iter_mut().map(|s| Some(s.first(Duration::ZERO))).collect();
+        let mut next_poll_at: Vec<_> =
+            senders.iter_mut().map(|s| Some(s.first_delay(Duration::ZERO))).collect();
         let (mut busy_until, mut last) = (Duration::ZERO, Duration::ZERO);
         while let Some((now, n)) =
             next_poll_at.iter().enumerate().filter_map(|(n, next_poll_at)| Some(((*next_poll_at)?, n))).min()
--- a/crates/sender/src/discovery/watch.rs
+++ b/crates/sender/src/discovery/watch.rs
@@ -48,7 +48,7 @@
     inbound: UnboundedSender<Inbound>,
 ) {
     let mut from = known;
-    tokio::time::sleep(schedule.first(good_for)).await;
+    tokio::time::sleep(schedule.first_delay(good_for)).await;
     let mut conn = None;
     loop {
         let address = *discovery.borrow_and_update();
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -1,6 +1,6 @@
-//! The interfaces between the parts of a sender. Frontends accept messages from clients, the event loop has
-//! them decided on and recorded, transports make the calls. A frontend or a transport knows these types and
-//! nothing of the other parts.
+//! The interfaces between the parts of a sender. Frontends accept messages from clients; the event loop passes them to the
+//! decision module and records them in the journal; transports make the calls. Frontends and transports depend on these
+//! types only, not on the other parts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,32 +17,32 @@
 use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::hand_over::socket::HandoverLink;
 
-/// Accepts messages from clients. Sends each to the event loop as [`Inbound::Submitted`], and a client that
-/// goes away before its answer as [`Inbound::Withdrawn`]; it answers nobody before the event loop has.
+/// Accepts messages from clients. Sends each to the event loop as [`Inbound::Submitted`], and [`Inbound::Withdrawn`] if its
+/// client disconnects before the answer. Answers a client only once the event loop has answered.
 pub trait Frontend {
-    /// Begins to listen, once, after recovery. Returns the address.
+    /// Starts to listen, once, after recovery. Returns the bound address.
     ///
     /// # Errors
-    /// Fails when the address cannot be bound.
+    /// Fails when the address can't be bound.
     fn start(self: Rc<Self>) -> io::Result<SocketAddr>;
 
-    /// Requests so far.
+    /// Number of requests so far.
     fn requests(&self) -> u64;
 
-    /// Open connections of clients.
+    /// Number of open client connections.
     fn open_connections(&self) -> usize;
 
-    /// The most connections of clients from now on.
-    fn set_max_clients(&self, most: usize);
+    /// Sets the most client connections.
+    fn set_max_clients(&self, max_clients: usize);
 
     /// Serves a connection that another shard accepted.
     fn adopt(self: Rc<Self>, stream: std::net::TcpStream);
 }
 
-/// Makes calls to endpoints. It never decides to make one, nor to retry.
+/// Makes calls to endpoints. The decision module alone decides on calls and on retries.
 pub trait Transport {
-    /// Records an endpoint's address, as the list writes it. False where it is no address for this transport,
-    /// which then does not know the endpoint.
+    /// Records an endpoint's address, as the list writes it. Returns false if this transport can't parse the address; it then
+    /// does not know the endpoint.
     fn set_address(&self, endpoint: EndpointId, address: &str) -> bool;
 
     /// An endpoint's address, as the list writes it, if this transport knows it.
@@ -51,15 +51,15 @@
     /// Forgets an endpoint's address and closes idle connections to it.
     fn forget(&self, endpoint: EndpointId);
 
-    /// Whether an endpoint accepts new calls. Calls on their way to one that no longer does, of which nothing
-    /// has been sent, are not sent.
+    /// Sets whether an endpoint accepts new calls. A call to one that no longer does is not sent if nothing of it was sent
+    /// before.
     fn set_accepting(&self, _endpoint: EndpointId, _open: bool) {}
 
-    /// Starts a call with one message or a batch, each recorded in the journal; it completes with
-    /// [`Inbound::CallCompleted`]. Nothing of it is sent while a Retry-After of its route runs.
-    fn start(&self, at: (RouteId, EndpointId), parts: Vec<CallMessage>, pace: WriteOptions);
+    /// Starts a call with one message or a batch, whose attempts are recorded in the journal already. Completes with
+    /// [`Inbound::CallCompleted`]. Nothing is sent while a Retry-After of the route is active.
+    fn start(&self, at: (RouteId, EndpointId), parts: Vec<CallMessage>, options: WriteOptions);
 
-    /// Cancels an attempt so that the endpoint notices, with all messages of its call.
+    /// Cancels an attempt in a way that the endpoint notices, together with all messages of its call.
     fn cancel(&self, message: MessageId, attempt: u16);
 
     /// Checks an endpoint's health; the result is an [`Event::HealthChecked`].
@@ -68,25 +68,25 @@
     /// Closes idle connections to an endpoint.
     fn close_idle(&self, endpoint: EndpointId);
 
-    /// Messages written whole to endpoints so far, once for each attempt.
+    /// Number of messages completely written to endpoints so far, counted once per attempt.
     fn messages_written(&self) -> u64;
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     fn attempts_in_flight(&self) -> usize;
 
-    /// Open connections, idle ones included.
+    /// Number of open connections, idle ones included.
     fn connections(&self) -> usize {
         0
     }
 
-    /// The most connections from now on, idle ones included.
+    /// Sets the most connections, idle ones included.
     fn set_max_connections(&self, _most: usize) {}
 
-    /// The attempts in flight on connections of this process, and where.
+    /// The attempts in flight on connections of this process, with their endpoints.
     fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)>;
 }
 
-/// The most bytes of a body.
+/// The most bytes of a message body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// What other tasks send to the event loop.
@@ -94,7 +94,7 @@
 pub enum Inbound {
     /// A client submits a message.
     Submitted(Submission),
-    /// A client closed before this request was answered: a message that came with it is withdrawn.
+    /// A client disconnected before this request was answered: the message that it submitted is withdrawn.
     Withdrawn {
         /// The message's `Req-Id`.
         id: String,
@@ -103,7 +103,7 @@
         /// Its destination.
         destination: u16,
     },
-    /// The attempts of one call are completed.
+    /// All attempts of one call are completed.
     CallCompleted(Vec<AttemptCompleted>),
     /// An event for the decision module.
     Event(Event),
@@ -115,7 +115,7 @@
     AdminRequest(admin::call::AdminRequest, oneshot::Sender<AdminResponse>),
     /// A successor asks to take over.
     Successor(HandoverLink),
-    /// The status is to be logged.
+    /// The status line is due in the log.
     Status,
     /// SIGHUP: the configuration is to be read again.
     Reload,
@@ -126,7 +126,7 @@
 /// The answer to an administrative request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdminResponse {
-    /// The status: 2xx if it was done.
+    /// The HTTP status: 2xx if the request was carried out.
     pub status: u16,
     /// The text.
     pub text: String,
@@ -158,24 +158,24 @@
     pub key: Option<String>,
     /// Its body.
     pub body: Bytes,
-    /// No answer is waited for after that.
+    /// Deadline of the answer.
     pub answer_deadline: tokio::time::Instant,
-    /// Nothing is sent after that, which is no later than the answer's deadline. Messages of one batch each
-    /// have their own.
+    /// The message is not sent after this time, which is no later than the deadline of the answer. Each message of a batch has
+    /// its own.
     pub send_deadline: tokio::time::Instant,
 }
 
 /// How a call is written.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WriteOptions {
-    /// The last byte is sent so long after the others, in microseconds.
+    /// Delay between the last byte and the others, in microseconds.
     pub last_byte_delay: Micros,
-    /// A new connection is used.
+    /// The call is sent over a new connection.
     pub new_connection: bool,
 }
 
 impl WriteOptions {
-    /// The options that suit both of two messages of one batch.
+    /// The options that meet the requirements of two messages in one batch.
     #[must_use]
     pub fn stricter(self, other: Self) -> Self {
         Self {
@@ -199,26 +199,26 @@
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// A clock that starts at the system's time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { base: unix.as_micros() as Micros, start: Instant::now() }
     }
 
-    /// A clock that shows no time before `latest`, the newest that an earlier process recorded; and whether
-    /// the system's clock was set back since, so that the age of `latest` is unknown.
+    /// A clock that starts no earlier than `latest`, the latest time that an earlier process recorded. Also returns whether the
+    /// system's clock was set back since then, so that the age of `latest` is unknown.
     pub fn after(latest: Micros) -> (Self, bool) {
         let clock = Self::new();
         let set_back = clock.base < latest;
         (Self { base: clock.base.max(latest), ..clock }, set_back)
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.base + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The same time for the runtime's timers.
+    /// The same time as an instant for timers of the runtime.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let ahead = std::time::Duration::from_micros(at.saturating_sub(self.base));
         tokio::time::Instant::from_std(self.start.checked_add(ahead).unwrap_or(self.start))
