--- a/crates/sender/src/http/client.rs
+++ b/crates/sender/src/http/client.rs
@@ -168,7 +168,7 @@
     }
 
     /// Sets the most connections, idle ones included.
-    pub fn set_most(&self, most: usize) {
+    pub fn limit_connections(&self, most: usize) {
         self.0.max_connections.set(most);
     }
 
@@ -221,7 +221,7 @@
     }
 
     fn set_max_connections(&self, most: usize) {
-        self.set_most(most);
+        self.limit_connections(most);
         self.0.free_connection();
     }
 
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -228,7 +228,7 @@
     }
 
     fn set_max_clients(&self, max_clients: usize) {
-        self.set_most(max_clients);
+        self.limit_connections(max_clients);
     }
 
     fn adopt(self: Rc<Self>, stream: std::net::TcpStream) {
@@ -276,7 +276,7 @@
     }
 
     /// Sets the most connections at a time. Closes idle ones if there are more.
-    pub fn set_most(&self, max_clients: usize) {
+    pub fn limit_connections(&self, max_clients: usize) {
         self.max_clients.set(max_clients);
         (max_clients..self.open_connections()).for_each(|_| self.close_idle_client());
     }
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -324,7 +324,7 @@
         let sockets = &self.sockets;
         let max_connections = sockets.max_connections / SHARE_DURING_HANDOVER;
         sockets.transport.close_all_idle();
-        sockets.frontend.set_most(max_connections);
+        sockets.frontend.limit_connections(max_connections);
         let (mut frontends, mut transports) = (sockets.frontends(), sockets.transports());
         if let Some(shard) = shard {
             shard.remote_shards.set_max_clients(max_connections);
--- a/crates/sender/src/process/sockets.rs
+++ b/crates/sender/src/process/sockets.rs
@@ -88,7 +88,7 @@
 ) -> Rc<Predecessor> {
     let (frontend, transport, all) = (sides.frontend.clone(), sides.transport.clone(), sides.max_connections);
     let share = (all / SHARE_DURING_HANDOVER).max(1);
-    frontend.set_most(share);
+    frontend.limit_connections(share);
     let group = shard.as_ref().map(|shard| shard.group().clone());
     let limit_others = move |limit| {
         let Some(shard) = &shard else { return false };
@@ -98,16 +98,16 @@
     };
     // Several shards lease their connections, of fewer than there will be.
     if !limit_others(share) {
-        transport.set_most(share);
+        transport.limit_connections(share);
     }
     let of_all_shards = connection_limit(config, group.as_ref().map_or(1, |group| group.count()));
     let names = config.names.classes.clone();
     let class = move |name: &str| names.iter().position(|class| class == name);
     Predecessor::follow(link, in_flight, sides.clock, class, inbound.clone(), move || {
-        frontend.set_most(all);
+        frontend.limit_connections(all);
         match group.filter(|_| limit_others(all)) {
             Some(group) => group.quotas().connections.grow(of_all_shards),
-            None => transport.set_most(all),
+            None => transport.limit_connections(all),
         }
     })
 }
