--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -282,7 +282,7 @@
     }
 
     /// Sets the number of requests so far, which a predecessor has counted.
-    pub fn count_from(&self, requests: u64) {
+    pub fn set_request_count(&self, requests: u64) {
         self.requests.set(requests);
     }
 
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -167,7 +167,7 @@
         hand_over::confirm_takeover(&mut link, policy.is_some())
             .await
             .map_err(|error| format!("the process before breaks off: {error}"))?;
-        self.sockets.frontend.count_from(state.requests.saturating_add(REQUEST_NUMBER_GAP));
+        self.sockets.frontend.set_request_count(state.requests.saturating_add(REQUEST_NUMBER_GAP));
         if let Some(since) = state.standby {
             self.sockets.gate.send_replace(AdmissionGate::Standby(since));
         }
--- a/crates/sender/src/process/shards.rs
+++ b/crates/sender/src/process/shards.rs
@@ -125,7 +125,7 @@
                 Some(handle.clone()),
                 self.gate.clone(),
             );
-            sockets.frontend.count_from(self.requests);
+            sockets.frontend.set_request_count(self.requests);
             let parts = EventLoopParts {
                 clock: self.clock,
                 journal: JournalStore::Sharded(self.journal_part),
