--- a/crates/sender/src/http/admin.rs
+++ b/crates/sender/src/http/admin.rs
@@ -26,7 +26,7 @@
 /// The most connections at a time, so that clients that connect and never finish a request don't use up the file
 /// descriptors or keep others out. The oldest connection is closed for a new one, which fails a request that is still
 /// open when this many others have connected after it.
-pub const CALLERS: usize = 16;
+pub const MAX_ADMIN_CONNECTIONS: usize = 16;
 /// Maximum lifetime of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
 /// The most bytes of a request head.
@@ -57,7 +57,7 @@
         };
         let mut connections = connections.borrow_mut();
         connections.retain(|connection_task| !connection_task.is_finished());
-        if connections.len() >= CALLERS
+        if connections.len() >= MAX_ADMIN_CONNECTIONS
             && let Some(oldest) = connections.pop_front()
         {
             oldest.abort();
--- a/crates/sender/src/process/sockets.rs
+++ b/crates/sender/src/process/sockets.rs
@@ -72,7 +72,7 @@
 
 /// The most connections of clients, and as many to endpoints, of all shards together.
 pub(super) fn connection_limit(config: &Config, shards: usize) -> usize {
-    let own = OWN_SOCKETS + config.ops.map_or(0, |_| http::admin::CALLERS + 1);
+    let own = OWN_SOCKETS + config.ops.map_or(0, |_| http::admin::MAX_ADMIN_CONNECTIONS + 1);
     let own = own + if shards > 1 { shards * SHARD_SOCKETS } else { 0 };
     (config.sockets.saturating_sub(own) / 2).max(1)
 }
