--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -279,7 +279,7 @@
     }
 
     /// The ejected endpoints.
-    pub fn held_out(&self) -> &Ejections {
+    pub fn ejections(&self) -> &Ejections {
         &self.ejections
     }
 
--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -56,7 +56,7 @@
                     Err(refused) => return told(refused.status(), refused.text()),
                 };
                 // Before the answer: it holds for the next process too.
-                if held_out != *self.directory.held_out()
+                if held_out != *self.directory.ejections()
                     && let Err(e) = ejections::write(&self.state_folder, &held_out)
                 {
                     return told(500, &format!("it can't be kept, and nothing changes: {e}\n"));
--- a/crates/sender/src/event_loop/shard/admin_broadcast.rs
+++ b/crates/sender/src/event_loop/shard/admin_broadcast.rs
@@ -36,7 +36,7 @@
             let _ = answer.send(told);
             return;
         }
-        let waits = self.eject_everywhere(self.directory.held_out());
+        let waits = self.eject_everywhere(self.directory.ejections());
         tokio::task::spawn_local(async move {
             let all = async {
                 for heard in waits {
