--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -257,7 +257,7 @@
     }
 
     /// All transports.
-    pub fn carriers(&self) -> &[Rc<dyn Transport>] {
+    pub fn transports(&self) -> &[Rc<dyn Transport>] {
         &self.transports
     }
 
--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -69,7 +69,7 @@
 
     pub(super) fn figures(&self) -> Gauges {
         Gauges {
-            relayed: self.directory.carriers().iter().map(|carrier| carrier.messages_written()).sum(),
+            relayed: self.directory.transports().iter().map(|carrier| carrier.messages_written()).sum(),
             open: self.policy.pending_messages(),
             listed: self.directory.listed_endpoints(),
             out_of_rotation: self.policy.unavailable_endpoints(),
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -86,7 +86,7 @@
             JournalStore::Exclusive(_) => {
                 let outs = self
                     .directory
-                    .carriers()
+                    .transports()
                     .iter()
                     .flat_map(|carrier| carrier.outstanding_attempts())
                     .collect();
--- a/crates/sender/src/event_loop/run.rs
+++ b/crates/sender/src/event_loop/run.rs
@@ -149,7 +149,7 @@
         let idle = self.journal.live().is_empty() && clients == 0;
         let clients_may_come = now < deadline - SHUTDOWN_TIMEOUT + CLIENT_GRACE;
         let nothing_in_flight =
-            || self.directory.carriers().iter().all(|transport| transport.attempts_in_flight() == 0);
+            || self.directory.transports().iter().all(|transport| transport.attempts_in_flight() == 0);
         (idle && !clients_may_come && self.unwritten_records.is_empty())
             || (now >= deadline && nothing_in_flight())
     }
--- a/crates/sender/src/event_loop/shard/leases.rs
+++ b/crates/sender/src/event_loop/shard/leases.rs
@@ -16,7 +16,7 @@
             (self.policy.pending_messages(), self.policy.calls_in_flight(), self.policy.queued_messages());
         // The module begins to shed load a sixteenth ahead of its capacity.
         let room_for = (held + come) * 16 / 15 + 2;
-        let used: usize = self.directory.carriers().iter().map(|carrier| carrier.connections()).sum();
+        let used: usize = self.directory.transports().iter().map(|carrier| carrier.connections()).sum();
         let (slots, messages, connections) = {
             let mut room = member.group().quotas();
             let slots = room.calls.update(member.id(), out, out + waiting + come);
@@ -29,7 +29,7 @@
         }
         if std::mem::replace(&mut member.leased_connections, connections.lease) != connections.lease {
             self.directory
-                .carriers()
+                .transports()
                 .iter()
                 .for_each(|carrier| carrier.set_max_connections(connections.lease));
         }
--- a/crates/sender/src/event_loop/shard/messages.rs
+++ b/crates/sender/src/event_loop/shard/messages.rs
@@ -72,11 +72,11 @@
                 fronts.iter().for_each(|front| front.set_max_clients(most));
                 if member.owners.all_drained() {
                     // Another process calls from now on: idle connections are closed.
-                    self.directory.carriers().iter().for_each(|carrier| carrier.set_max_connections(0));
+                    self.directory.transports().iter().for_each(|carrier| carrier.set_max_connections(0));
                 }
             }
             ShardMessage::Cancel(message, attempt) => {
-                self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
+                self.directory.transports().iter().for_each(|carrier| carrier.cancel(message, attempt));
             }
             ShardMessage::EndpointsUpdated(list) => {
                 self.handle_inbound(Inbound::EndpointsUpdated(list), events);
@@ -224,7 +224,7 @@
                 return member.handle.send(at, ShardMessage::Cancel(message, attempt));
             }
         }
-        self.directory.carriers().iter().for_each(|carrier| carrier.cancel(message, attempt));
+        self.directory.transports().iter().for_each(|carrier| carrier.cancel(message, attempt));
     }
 
     /// Ends an iteration: its figures are published, and migrations go on.
