--- a/crates/sender/src/http/client.rs
+++ b/crates/sender/src/http/client.rs
@@ -33,11 +33,11 @@
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Connect timeout.
-    pub connect: Micros,
+    pub connect_timeout: Micros,
     /// The idle time after which endpoints close a connection.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// Names of the fields of a load report, in the order in which their values are reported.
-    pub report: Vec<String>,
+    pub report_fields: Vec<String>,
 }
 
 /// An idle connection, and when it became idle.
@@ -309,8 +309,8 @@
             return;
         };
         tokio::task::spawn_local(async move {
-            let path = if shared.limits.report.is_empty() { "/health" } else { "/status/load" };
-            let within = Duration::from_micros(shared.limits.connect);
+            let path = if shared.limits.report_fields.is_empty() { "/health" } else { "/status/load" };
+            let within = Duration::from_micros(shared.limits.connect_timeout);
             let progress = Progress::default();
             let deadline = Instant::now() + within;
             let request = Request::get(path).header("host", target.address.to_string());
@@ -379,7 +379,7 @@
 
     fn is_reusable(&self, idle: &Idle) -> bool {
         // Discarded at 4/5 of the endpoint's idle timeout, so that no request is written while the endpoint closes.
-        idle.since.elapsed().as_micros() < u128::from(self.limits.idle / 5 * 4)
+        idle.since.elapsed().as_micros() < u128::from(self.limits.idle_timeout / 5 * 4)
     }
 
     fn take_idle(&self, target: EndpointAddress) -> Option<Connection> {
@@ -419,7 +419,7 @@
         if !self.free_connection() {
             return Err(Outcome::NotSent { no_slot: true });
         }
-        let deadline = deadline.min(Instant::now() + Duration::from_micros(self.limits.connect));
+        let deadline = deadline.min(Instant::now() + Duration::from_micros(self.limits.connect_timeout));
         match timeout_at(deadline, Connection::open(target.address)).await {
             Ok(Ok(conn)) => Ok((InUseConnection(conn, in_use), false)),
             _ => Err(Outcome::ConnectFailed),
@@ -663,7 +663,7 @@
             return vec![];
         }
         let find = |name: &String| pairs.iter().find(|p| p.0 == name).map_or(0.0, |p| p.1);
-        self.limits.report.iter().map(find).collect()
+        self.limits.report_fields.iter().map(find).collect()
     }
 }
 
--- a/crates/sender/src/process/sockets.rs
+++ b/crates/sender/src/process/sockets.rs
@@ -48,9 +48,9 @@
         let shards = shard.as_ref().map_or(1, |shard| shard.group().count());
         let max_connections = (connection_limit(config, shards) / shards).max(1);
         let limits = Limits {
-            connect: config.settings.connect_timeout.max(1),
-            idle: config.settings.idle_timeout,
-            report: config.names.report.clone(),
+            connect_timeout: config.settings.connect_timeout.max(1),
+            idle_timeout: config.settings.idle_timeout,
+            report_fields: config.names.report.clone(),
         };
         let gate_changes = gate.subscribe();
         let deadlines = config.settings.classes.iter().map(|class| class.deadline);
