--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -4,27 +4,27 @@
 
 #![allow(clippy::unwrap_used, reason = "a test double that fails is a test that fails")]
 
-mod arrival;
-mod crowd;
 mod http;
 mod load;
+mod lossy_network;
+mod many_partners;
 mod node;
 mod partner;
+mod partner_limits;
 mod platform;
-mod switch;
-mod terms;
+mod timestamped_stream;
 
 use std::thread;
 use std::time::Duration;
 
-pub use crowd::{CallBehavior, ManyPartners, Observations};
 pub use http::{Asked, Http, Reply, Served, status};
 pub use load::{ClientAddress, ClientAnswer, Load, Notifications, Plan, Submission};
+pub use lossy_network::{Fault, Switch};
+pub use many_partners::{CallBehavior, ManyPartners, Observations};
 pub use node::{Client, Node, Program, Starting, submission, submission_with};
 pub use partner::{Behavior, CallCounts, Effects, Partner};
+pub use partner_limits::{Terms, Violation};
 pub use platform::{Platform, draining, listing};
-pub use switch::{Fault, Switch};
-pub use terms::{Terms, Violation};
 
 /// How long anything is waited for.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/test-doubles/src/partner.rs
+++ b/crates/test-doubles/src/partner.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, SystemTime};
 
 use crate::Http;
-use crate::arrival::Stamped;
-use crate::terms::{Record, Terms, Violation, Written};
+use crate::partner_limits::{Record, Terms, Violation, Written};
+use crate::timestamped_stream::Stamped;
 
 /// What a partner does with a call once its last byte has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
