--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -1,4 +1,4 @@
-//! Servers whose requests go to the test one by one.
+//! A server whose requests the test receives and answers one by one.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -11,19 +11,19 @@
 
 use crate::TIMEOUT;
 
-/// A request or an answer: its first line, its headers in lower case, its body.
+/// A request or an answer.
 #[derive(Debug, Clone)]
 pub struct Http {
-    /// The first line.
+    /// The request line or the status line.
     pub first: String,
-    /// Headers by their names in lower case.
+    /// The headers, by name in lower case.
     pub headers: HashMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Http {
-    /// Reads one; none where the connection ends before.
+    /// Reads a request or an answer; `None` if the connection ends before it is complete.
     pub fn read(stream: &mut impl BufRead) -> Option<Self> {
         let mut line = String::new();
         let mut next = |stream: &mut dyn BufRead| {
@@ -44,56 +44,56 @@
         Some(Self { first, headers, body })
     }
 
-    /// An answer's status.
+    /// Returns the status of an answer.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).unwrap().parse().unwrap()
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap()
     }
 }
 
-/// What an endpoint or the platform does with a request.
+/// How an endpoint or the platform replies to a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Status, headers and body.
+    /// Answers with this status, these headers and this body.
     Answer(u16, Vec<(&'static str, String)>, String),
-    /// These, and then the connection goes on.
+    /// Writes these bytes and keeps the connection open.
     Bytes(&'static [u8]),
-    /// The connection ends.
+    /// Closes the connection without an answer.
     Close,
-    /// Answers with 200, and breaks the connection as soon as anything more comes, which it tells of.
+    /// Answers with 200, then resets the connection as soon as anything more arrives on it, and notifies this sender.
     Forget(Sender<()>),
 }
 
-/// An answer that is a status alone.
+/// Returns an answer with that status and no body.
 pub fn status(code: u16) -> Reply {
     Reply::Answer(code, vec![], String::new())
 }
 
-/// A request that waits for what the test makes of it.
+/// A received request that waits for the test's reply.
 pub struct Asked {
-    /// As it came.
+    /// The request.
     pub http: Http,
-    /// Tells connections apart.
+    /// The number of the connection it arrived on.
     pub connection: usize,
     reply: Sender<Reply>,
-    /// Hears when the other side has closed without waiting for the answer.
+    /// Receives an item if the client closes the connection before it is answered.
     pub closed: Receiver<()>,
 }
 
 impl Asked {
-    /// Answers.
+    /// Replies to the request.
     pub fn reply(self, reply: Reply) {
         let _ = self.reply.send(reply);
     }
 }
 
-/// A server whose requests go to the test one by one.
+/// A server whose requests the test receives and answers one by one.
 pub struct Served {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     pub(crate) asked: Receiver<Asked>,
 }
@@ -105,55 +105,55 @@
 }
 
 impl Served {
-    /// Listens.
+    /// Starts a server on a free loopback port.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (ask, asked) = channel();
+        let (request_sender, asked) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (ask, stream) = (ask.clone(), stream.unwrap());
-                thread::spawn(move || converse(stream, connection, &ask));
+                let (request_sender, stream) = (request_sender.clone(), stream.unwrap());
+                thread::spawn(move || serve(stream, connection, &request_sender));
             }
         });
         Self { address, asked }
     }
 
-    /// The next request.
+    /// Waits for the next request.
     pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(TIMEOUT).expect("a request comes")
+        self.asked.recv_timeout(TIMEOUT).expect("no request arrived")
     }
 
-    /// A request that has come already.
+    /// Returns a request if one has already arrived.
     pub fn poll(&self) -> Option<Asked> {
         self.asked.try_recv().ok()
     }
 
-    /// Whether a request has come that the test has not seen.
+    /// Returns whether a request has arrived that the test has not received yet; that request is dropped.
     pub fn unseen(&self) -> bool {
         self.poll().is_some()
     }
 }
 
-fn converse(stream: TcpStream, connection: usize, ask: &Sender<Asked>) {
-    let mut out = stream.try_clone().unwrap();
+fn serve(stream: TcpStream, connection: usize, request_sender: &Sender<Asked>) {
+    let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     while let Some(http) = Http::read(&mut input) {
         let (reply, replied) = channel();
-        let (close, closed) = channel();
-        if ask.send(Asked { http, connection, reply, closed }).is_err() {
+        let (closed_sender, closed) = channel();
+        if request_sender.send(Asked { http, connection, reply, closed }).is_err() {
             return;
         }
-        // Without an answer the other side sends nothing more: what can be read is its end.
-        let watched = out.try_clone().unwrap();
-        let told = loop {
+        // A client sends nothing more before it has its answer: an end of the stream means that it closed the connection.
+        let watched = output.try_clone().unwrap();
+        let chosen = loop {
             match replied.recv_timeout(Duration::from_millis(5)) {
-                Ok(told) => break told,
+                Ok(chosen) => break chosen,
                 Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
                 Err(_) => {
                     watched.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
                     if matches!(watched.peek(&mut [0]), Ok(0)) {
-                        let _ = close.send(());
+                        let _ = closed_sender.send(());
                         return;
                     }
                     watched.set_read_timeout(None).unwrap();
@@ -161,28 +161,28 @@
             }
         };
         watched.set_read_timeout(None).unwrap();
-        match told {
+        match chosen {
             Reply::Answer(code, headers, body) => {
                 let mut text = format!("HTTP/1.1 {code} X\r\ncontent-length: {}\r\n", body.len());
                 for (name, value) in headers {
                     text += &format!("{name}: {value}\r\n");
                 }
-                if out.write_all(format!("{text}\r\n{body}").as_bytes()).is_err() {
+                if output.write_all(format!("{text}\r\n{body}").as_bytes()).is_err() {
                     return;
                 }
             }
             Reply::Bytes(bytes) => {
-                if out.write_all(bytes).is_err() {
+                if output.write_all(bytes).is_err() {
                     return;
                 }
             }
             Reply::Close => return,
-            Reply::Forget(tell) => {
+            Reply::Forget(reset_sender) => {
                 let answer = b"HTTP/1.1 200 X\r\ncontent-length: 0\r\n\r\n";
-                if out.write_all(answer).is_ok() && matches!(watched.peek(&mut [0]), Ok(1)) {
-                    let _ = tell.send(());
+                if output.write_all(answer).is_ok() && matches!(watched.peek(&mut [0]), Ok(1)) {
+                    let _ = reset_sender.send(());
                 }
-                // What has not been read makes the close a reset.
+                // Closing a socket with unread input resets the connection.
                 return;
             }
         }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for all that a real sender meets, over loopback sockets: a platform, endpoints and clients that do as a
-//! test or load test says, and the sender itself as a process. All waiting is on events; a patience bounds it, so that a
-//! failure ends the test. Nothing here decides whether a sender did well.
+//! Test doubles for everything a sender process talks to, on loopback sockets: a platform, endpoints and clients that a
+//! test or load test controls, and a handle on the sender process itself. They wait for events rather than for fixed
+//! times, and every wait has a timeout, so that a failure ends the test. They record what happened; the tests decide
+//! whether the sender behaved correctly.
 
-#![allow(clippy::unwrap_used, reason = "a test double that fails is a test that fails")]
+#![allow(clippy::unwrap_used, reason = "a failure in a test double fails the test")]
 
 mod http;
 mod load;
@@ -26,14 +27,17 @@
 pub use partner_limits::{Terms, Violation};
 pub use platform::{Platform, draining, listing};
 
-/// How long anything is waited for.
+/// The timeout of every wait for an event.
 pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Looks again and again until it is so.
-pub fn wait_until(mut so: impl FnMut() -> bool) {
-    let begun = std::time::Instant::now();
-    while !so() {
-        assert!(begun.elapsed() < TIMEOUT, "it comes to be so");
+/// Polls the condition until it is true.
+///
+/// # Panics
+/// If the condition is still false after [`TIMEOUT`].
+pub fn wait_until(mut condition: impl FnMut() -> bool) {
+    let started_at = std::time::Instant::now();
+    while !condition() {
+        assert!(started_at.elapsed() < TIMEOUT, "the condition was not met within {TIMEOUT:?}");
         thread::yield_now();
     }
 }
--- a/crates/test-doubles/src/many_partners.rs
+++ b/crates/test-doubles/src/many_partners.rs
@@ -1,5 +1,6 @@
-//! Thousands of partners in one thread. They share a few hundred listeners on addresses of their own; whom a call is for
-//! stands in its id, which begins with `d7-` for destination 7 and ends with the time at which it was handed in.
+//! Thousands of partners served by one thread. They share a few hundred listeners, each on an address of its own. The
+//! message id names the destination that a call is for: it begins with `d7-` for destination 7 and ends with the time at
+//! which the message was submitted.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -9,72 +10,73 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes of a call at most.
-const CALL_LIMIT: usize = 128 * 1024;
+/// The maximum size of a call in bytes.
+const MAX_CALL_BYTES: usize = 128 * 1024;
 
-/// What one of them does with calls.
+/// How a partner treats calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CallBehavior {
     /// Answers 200.
     #[default]
     Healthy,
-    /// Answers 503 with a `Retry-After` that ends so long after its first call since, and 200 from then on.
+    /// Answers 503 with a `Retry-After` that ends this long after the first call that gets it, and 200 from then on.
     RetryAfter(Duration),
     /// Never answers.
     Silent,
-    /// Closes once a call has come.
+    /// Closes the connection without an answer when a call has arrived.
     Closes,
 }
 
-/// One of them, and what it saw.
+/// The state of one partner.
 #[derive(Debug, Clone, Copy, Default)]
-struct Member {
-    way: CallBehavior,
-    /// When it first told a wait, and until when nothing may come.
-    told: Option<(Instant, Instant)>,
-    last: Option<Instant>,
-    out: u32,
-    /// No call was answered since it had none for long.
-    fresh: bool,
+struct PartnerState {
+    behavior: CallBehavior,
+    /// When it first sent the `Retry-After`, and when that ends.
+    retry_after: Option<(Instant, Instant)>,
+    last_call_at: Option<Instant>,
+    in_flight: u32,
+    /// It has answered no call 200 since it started or was last idle.
+    awaiting_first_answer: bool,
 }
 
-/// What all of them saw.
+/// What all the partners observed.
 #[derive(Debug, Clone, Default)]
 pub struct Observations {
-    /// Calls in all.
+    /// The number of calls.
     pub calls: u64,
-    /// Calls that came before a wait was over that had been told, and how long before they came.
+    /// Calls that arrived before a `Retry-After` ended: the destination, and the time since it was first sent.
     pub early: Vec<(u16, Duration)>,
-    /// Calls beside another one, to one that had answered none since it woke.
+    /// Destinations that got a call beside another one before they had answered any since they were last idle.
     pub concurrent: Vec<u16>,
-    /// Ids of messages that were answered 200, each time.
+    /// The message ids of calls answered 200; an id answered several times is listed each time.
     pub answered: Vec<String>,
-    /// Destination, when it came since the beginning, and how long after it was handed in; of the watched ones.
+    /// For the partners whose calls are timed: the destination, the arrival since the start, and the time since the message
+    /// was submitted.
     pub times: Vec<(u16, Duration, Duration)>,
-    /// Connections that were open at once at most, and are now.
+    /// The largest number of connections open at once, and the number open now.
     pub connections: (usize, usize),
 }
 
 struct State {
-    members: Vec<Member>,
-    idle: Duration,
-    watched: u16,
-    begun: Instant,
-    saw: Observations,
+    partners: Vec<PartnerState>,
+    idle_after: Duration,
+    timed: u16,
+    started_at: Instant,
+    observations: Observations,
 }
 
-/// All of them.
+/// A handle on all the partners.
 #[derive(Clone)]
 pub struct ManyPartners {
-    /// Where they listen; a destination has the place of its number modulo their count.
+    /// The listeners' addresses. A destination uses the one at its number modulo their count.
     pub addresses: Arc<Vec<SocketAddr>>,
     state: Arc<Mutex<State>>,
 }
 
 impl ManyPartners {
-    /// So many partners on so many addresses. One that had no call for `idle` has slept; of the first `watched` each
-    /// call's time is kept.
-    pub fn new(count: u16, addresses: u16, idle: Duration, watched: u16) -> Self {
+    /// Starts `count` partners on `addresses` listeners. A partner without a call for `idle_after` counts as idle. The
+    /// calls to the first `timed` partners are recorded with their times.
+    pub fn new(count: u16, addresses: u16, idle_after: Duration, timed: u16) -> Self {
         let mut listeners = Vec::new();
         for n in 0..addresses {
             let [high, low] = n.to_be_bytes();
@@ -83,94 +85,101 @@
             listeners.push(listener);
         }
         let addresses = Arc::new(listeners.iter().map(|l| l.local_addr().unwrap()).collect());
-        let members = vec![Member { fresh: true, ..Member::default() }; usize::from(count)];
-        let state = State { members, idle, watched, begun: Instant::now(), saw: Observations::default() };
-        let crowd = Self { addresses, state: Arc::new(Mutex::new(state)) };
-        let serving = crowd.clone();
+        let partners =
+            vec![PartnerState { awaiting_first_answer: true, ..PartnerState::default() }; usize::from(count)];
+        let state = State {
+            partners,
+            idle_after,
+            timed,
+            started_at: Instant::now(),
+            observations: Observations::default(),
+        };
+        let handle = Self { addresses, state: Arc::new(Mutex::new(state)) };
+        let server = handle.clone();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
-                let mut all = tokio::task::JoinSet::new();
+                let mut tasks = tokio::task::JoinSet::new();
                 for listener in listeners {
                     let listener = TcpListener::from_std(listener).unwrap();
-                    let crowd = serving.clone();
-                    all.spawn(async move {
+                    let handle = server.clone();
+                    tasks.spawn(async move {
                         while let Ok((stream, _)) = listener.accept().await {
-                            let crowd = crowd.clone();
+                            let handle = handle.clone();
                             tokio::spawn(async move {
-                                crowd.connections(1);
-                                crowd.serve(stream).await;
-                                crowd.connections(-1);
+                                handle.count_connection(1);
+                                handle.serve(stream).await;
+                                handle.count_connection(-1);
                             });
                         }
                     });
                 }
-                while all.join_next().await.is_some() {}
+                while tasks.join_next().await.is_some() {}
             });
         });
-        crowd
+        handle
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap()
     }
 
-    fn connections(&self, change: isize) {
-        let (most, now) = &mut self.state().saw.connections;
+    fn count_connection(&self, change: isize) {
+        let (most, now) = &mut self.state().observations.connections;
         *now = now.saturating_add_signed(change);
         *most = (*most).max(*now);
     }
 
-    /// The address of a destination.
+    /// Returns the address of a destination.
     pub fn address(&self, destination: u16) -> SocketAddr {
         self.addresses[usize::from(destination) % self.addresses.len()]
     }
 
-    /// What an id says of a message that is handed in now.
+    /// Returns the id for a message to that destination that is submitted now.
     pub fn id(&self, destination: u16, rest: &str) -> String {
-        format!("d{destination}-{rest}-{}", self.state().begun.elapsed().as_micros())
+        format!("d{destination}-{rest}-{}", self.state().started_at.elapsed().as_micros())
     }
 
-    /// One of them does so from now on.
-    pub fn set(&self, destination: u16, way: CallBehavior) {
-        let member = &mut self.state().members[usize::from(destination)];
-        member.way = way;
-        // A wait that is over makes room for a further one.
-        member.told = member.told.filter(|told| Instant::now() < told.1);
+    /// Sets how a partner treats calls from now on.
+    pub fn set(&self, destination: u16, behavior: CallBehavior) {
+        let partner = &mut self.state().partners[usize::from(destination)];
+        partner.behavior = behavior;
+        // Forgets a Retry-After that has ended, so that a further one can start.
+        partner.retry_after = partner.retry_after.filter(|retry_after| Instant::now() < retry_after.1);
     }
 
-    /// What they saw so far.
+    /// Returns what the partners have observed so far.
     pub fn observations(&self) -> Observations {
-        self.state().saw.clone()
+        self.state().observations.clone()
     }
 
-    /// Since the beginning, as the times are.
+    /// Returns the time since the start, on the clock of [`Observations::times`].
     pub fn now(&self) -> Duration {
-        self.state().begun.elapsed()
+        self.state().started_at.elapsed()
     }
 
     async fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut read = Vec::new();
         loop {
-            let Some((id, length)) = call(&mut stream, &mut read).await else { return };
+            let Some((id, length)) = read_call(&mut stream, &mut read).await else { return };
             read.drain(..length);
             let Some(destination) =
                 id.strip_prefix('d').and_then(|rest| rest.split('-').next()?.parse().ok())
             else {
                 return;
             };
-            let Some(status) = self.begins(destination, &id) else {
-                // Until the other side gives it up.
+            let Some(status) = self.call_arrived(destination, &id) else {
+                // Waits until the caller closes the connection.
                 let _ = stream.read(&mut [0]).await;
-                self.ends(destination, None);
+                self.call_ended(destination, None);
                 return;
             };
             if status.is_empty() {
-                self.ends(destination, None);
+                self.call_ended(destination, None);
                 return;
             }
-            self.ends(destination, status.starts_with("200").then_some(id));
+            self.call_ended(destination, status.starts_with("200").then_some(id));
             let answer = format!("HTTP/1.1 {status}\r\ncontent-length: 0\r\n\r\n");
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
@@ -178,37 +187,43 @@
         }
     }
 
-    /// A call has come: its answer, an empty one for none and an end, nothing for silence.
-    fn begins(&self, destination: u16, id: &str) -> Option<String> {
+    /// Records the arrival of a call and returns the status line of its answer with further header lines: empty to close the
+    /// connection without an answer, `None` to never answer.
+    fn call_arrived(&self, destination: u16, id: &str) -> Option<String> {
         let now = Instant::now();
         let state = &mut *self.state();
-        let (saw, idle) = (&mut state.saw, state.idle);
-        let member = state.members.get_mut(usize::from(destination))?;
-        saw.calls += 1;
-        if destination < state.watched
+        let (observations, idle_after) = (&mut state.observations, state.idle_after);
+        let partner = state.partners.get_mut(usize::from(destination))?;
+        observations.calls += 1;
+        if destination < state.timed
             && let Some(at) = id.rsplit('-').next().and_then(|at| at.parse().ok())
         {
-            let came = state.begun.elapsed();
-            saw.times.push((destination, came, came.saturating_sub(Duration::from_micros(at))));
+            let arrived = state.started_at.elapsed();
+            observations.times.push((
+                destination,
+                arrived,
+                arrived.saturating_sub(Duration::from_micros(at)),
+            ));
         }
-        member.fresh |= member.last.is_none_or(|last| now.duration_since(last) > idle);
-        member.last = Some(now);
-        if let Some((told, _)) = member.told.filter(|told| now < told.1) {
-            saw.early.push((destination, now.duration_since(told)));
+        partner.awaiting_first_answer |=
+            partner.last_call_at.is_none_or(|last| now.duration_since(last) > idle_after);
+        partner.last_call_at = Some(now);
+        if let Some((sent_at, _)) = partner.retry_after.filter(|retry_after| now < retry_after.1) {
+            observations.early.push((destination, now.duration_since(sent_at)));
         }
-        if member.fresh && member.out > 0 {
-            saw.concurrent.push(destination);
+        if partner.awaiting_first_answer && partner.in_flight > 0 {
+            observations.concurrent.push(destination);
         }
-        member.out += 1;
-        match member.way {
+        partner.in_flight += 1;
+        match partner.behavior {
             CallBehavior::Healthy => Some("200 OK".to_owned()),
             CallBehavior::Silent => None,
             CallBehavior::Closes => Some(String::new()),
             CallBehavior::RetryAfter(wait) => {
-                let (_, until) = *member.told.get_or_insert((now, now + wait));
+                let (_, until) = *partner.retry_after.get_or_insert((now, now + wait));
                 let left = until.saturating_duration_since(now);
                 if left.is_zero() {
-                    member.way = CallBehavior::Healthy;
+                    partner.behavior = CallBehavior::Healthy;
                     return Some("200 OK".to_owned());
                 }
                 Some(format!("503 Full\r\nretry-after: {:.6}", left.as_secs_f64() + 0.000_001))
@@ -216,19 +231,19 @@
         }
     }
 
-    fn ends(&self, destination: u16, answered: Option<String>) {
+    fn call_ended(&self, destination: u16, answered: Option<String>) {
         let mut state = self.state();
-        let member = &mut state.members[usize::from(destination)];
-        member.out -= 1;
+        let partner = &mut state.partners[usize::from(destination)];
+        partner.in_flight -= 1;
         if answered.is_some() {
-            member.fresh = false;
+            partner.awaiting_first_answer = false;
         }
-        state.saw.answered.extend(answered);
+        state.observations.answered.extend(answered);
     }
 }
 
-/// The next call on a connection: its id, and how many bytes of what was read it has.
-async fn call(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<(String, usize)> {
+/// Reads the next call on a connection: returns its message id, and its length in the read buffer.
+async fn read_call(stream: &mut TcpStream, read: &mut Vec<u8>) -> Option<(String, usize)> {
     loop {
         if let Some(head) = read.windows(4).position(|four| four == b"\r\n\r\n") {
             let text = String::from_utf8_lossy(&read[..head]).into_owned();
@@ -243,7 +258,7 @@
                 return Some((field("req-id")?, length));
             }
         }
-        if read.len() > CALL_LIMIT || stream.read_buf(read).await.ok()? == 0 {
+        if read.len() > MAX_CALL_BYTES || stream.read_buf(read).await.ok()? == 0 {
             return None;
         }
     }
--- a/crates/test-doubles/src/node.rs
+++ b/crates/test-doubles/src/node.rs
@@ -1,4 +1,4 @@
-//! The sender as a process, and its clients.
+//! The sender as a child process, and connections of its clients.
 
 use std::collections::VecDeque;
 use std::ffi::OsString;
@@ -16,91 +16,92 @@
 
 use crate::{Http, Platform, TIMEOUT};
 
-/// Lines of a log that are kept.
-const LOG_LINES: usize = 1000;
+/// The number of latest log lines that are kept.
+const MAX_LOG_LINES: usize = 1000;
 
-/// One sender as a process, with the folder that outlasts it.
+/// A running sender process, with its folder, which is kept across restarts. Dropping it kills the process.
 pub struct Node {
     child: Child,
     program: Program,
-    /// Where clients connect.
+    /// The address for clients.
     pub address: SocketAddr,
-    /// Where it answers on-call staff, if it does.
+    /// The address of its admin interface for on-call staff, if it has one.
     pub admin: Option<SocketAddr>,
     log: Arc<Mutex<VecDeque<String>>>,
     folder: Arc<tempfile::TempDir>,
 }
 
-/// The program that is the sender: its path, and arguments that come before any others.
+/// The program of the sender, with arguments.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// Its file.
+    /// The path of the executable.
     pub path: PathBuf,
-    /// Arguments.
+    /// The arguments.
     pub arguments: Vec<OsString>,
-    /// The listening socket that it inherits as descriptor 4.
+    /// The listening socket that it inherits as file descriptor 4.
     pub inherits: Option<Arc<TcpListener>>,
 }
 
 impl Program {
-    /// The program in that file.
+    /// Creates a program without arguments.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Self { path: path.into(), arguments: vec![], inherits: None }
     }
 
-    /// The same with a listening socket that the platform holds.
+    /// Makes the program inherit a listening socket, which the platform holds open.
     #[must_use]
-    pub fn inheriting(mut self, held: &TcpListener) -> Self {
-        self.inherits = Some(Arc::new(held.try_clone().unwrap()));
+    pub fn inheriting(mut self, socket: &TcpListener) -> Self {
+        self.inherits = Some(Arc::new(socket.try_clone().unwrap()));
         self
     }
 
-    /// The same with a further argument.
+    /// Appends an argument.
     #[must_use]
     pub fn arg(mut self, argument: impl Into<OsString>) -> Self {
         self.arguments.push(argument.into());
         self
     }
 
-    /// What starts it on a folder with its configuration.
+    /// Returns the command that starts it on a folder that has its configuration.
     pub fn command(&self, folder: &Path) -> Command {
-        let Some(held) = &self.inherits else {
+        let Some(socket) = &self.inherits else {
             let mut command = Command::new(&self.path);
             command.args(&self.arguments);
-            surround(&mut command, folder);
+            set_environment(&mut command, folder);
             return command;
         };
-        // A shell moves it to its number.
+        // The socket is passed as standard input; a shell moves it to descriptor 4.
         let mut command = Command::new("sh");
         command
             .args(["-c", "exec 4<&0 0</dev/null; exec \"$0\" \"$@\""])
             .arg(&self.path)
             .args(&self.arguments);
-        command.stdin(Stdio::from(OwnedFd::from(held.try_clone().unwrap()))).env("NODE_LISTEN_FD", "4");
-        surround(&mut command, folder);
+        command.stdin(Stdio::from(OwnedFd::from(socket.try_clone().unwrap()))).env("NODE_LISTEN_FD", "4");
+        set_environment(&mut command, folder);
         command
     }
 }
 
 impl Program {
-    /// What starts it with files that can't grow beyond so many blocks of 512 bytes: writing the journal fails then.
-    pub fn short_of_disk(&self, folder: &Path, blocks: u32) -> Command {
+    /// Returns the command that starts it with a file size limit in blocks of 512 bytes: writing the journal fails beyond it.
+    pub fn command_with_file_limit(&self, folder: &Path, blocks: u32) -> Command {
         let mut shell = Command::new("sh");
         shell.args(["-c", &format!("trap '' XFSZ; ulimit -f {blocks}; exec \"$0\" \"$@\"")]);
         shell.arg(&self.path).args(&self.arguments);
-        surround(&mut shell, folder);
+        set_environment(&mut shell, folder);
         shell
     }
 }
 
-fn surround(command: &mut Command, folder: &Path) {
+/// Passes the configuration and the state folder to the process, and removes variables that would override the configuration.
+fn set_environment(command: &mut Command, folder: &Path) {
     command.env_remove("NODE_LISTEN").env_remove("NODE_DISCOVERY").env_remove("NODE_NAME");
     command.env_remove("NODE_OPS");
     command.env("NODE_CONFIG", folder.join("config.json")).env("NODE_STATE", folder.join("state"));
 }
 
 impl Node {
-    /// Starts a sender that knows these endpoints; `change` alters its configuration.
+    /// Starts a sender with this endpoint list; `change` edits its configuration.
     pub fn start(
         program: &Program,
         platform: &Platform,
@@ -112,14 +113,14 @@
         Self::run(program, folder, command)
     }
 
-    /// The same with files that can't grow beyond a block: writing the journal fails.
+    /// Starts a sender with a file size limit of one block: writing the journal fails.
     pub fn start_short_of_disk(program: &Program, platform: &Platform, endpoints: &[Value]) -> Self {
         let folder = Self::configure(platform, endpoints, |_| {});
-        let command = program.short_of_disk(folder.path(), 1);
+        let command = program.command_with_file_limit(folder.path(), 1);
         Self::run(program, folder, command)
     }
 
-    /// Starts a sender that is to end by itself: tells its exit code and its log.
+    /// Starts a sender that is expected to exit by itself, and returns its exit code and its log.
     pub fn fails_to_start(
         program: &Program,
         platform: &Platform,
@@ -164,128 +165,129 @@
     fn run(program: &Program, folder: Arc<tempfile::TempDir>, command: Command) -> Self {
         match Starting::new(program, folder, command).ready(TIMEOUT) {
             Ok(node) => node,
-            Err(failed) => panic!("it does not come to be ready: {:?}", failed.1),
+            Err(failed) => panic!("the sender did not become ready: {:?}", failed.1),
         }
     }
 
-    /// SIGKILL, then a new process on the same folder.
+    /// Kills the process with SIGKILL and starts a new one on the same folder.
     pub fn kill_and_restart(self) -> Self {
         self.kill_and_restart_with(None)
     }
 
-    /// The same; the new process may write no file beyond so many blocks of 512 bytes, if that is told.
+    /// Kills the process with SIGKILL and starts a new one on the same folder, optionally with a file size limit in blocks of
+    /// 512 bytes.
     pub fn kill_and_restart_with(self, blocks: Option<u32>) -> Self {
         self.restart(blocks, || {})
     }
 
-    /// SIGKILL, then something else, then a new process on the same folder.
-    pub fn kill_and_restart_after(self, between: impl FnOnce()) -> Self {
-        self.restart(None, between)
+    /// Kills the process with SIGKILL, calls `while_stopped`, and starts a new process on the same folder.
+    pub fn kill_and_restart_after(self, while_stopped: impl FnOnce()) -> Self {
+        self.restart(None, while_stopped)
     }
 
-    fn restart(mut self, blocks: Option<u32>, between: impl FnOnce()) -> Self {
+    fn restart(mut self, blocks: Option<u32>, while_stopped: impl FnOnce()) -> Self {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
-        between();
+        while_stopped();
         let command = match blocks {
-            Some(blocks) => self.program.short_of_disk(self.folder.path(), blocks),
+            Some(blocks) => self.program.command_with_file_limit(self.folder.path(), blocks),
             None => self.program.command(self.folder.path()),
         };
         Self::run(&self.program, self.folder.clone(), command)
     }
 
-    /// A second process on the same folder, beside this one.
+    /// Starts a second process on the same folder while this one runs, and waits until it is ready.
     pub fn start_successor(&self) -> Self {
         let command = self.program.command(self.folder.path());
         Self::run(&self.program, self.folder.clone(), command)
     }
 
-    /// The same, told before it is ready.
+    /// Starts a second process on the same folder while this one runs, without waiting until it is ready.
     pub fn starting_successor(&self) -> Starting {
         Starting::new(&self.program, self.folder.clone(), self.program.command(self.folder.path()))
     }
 
-    /// Whether the process has ended.
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
 
-    /// Ends it and leaves the folder.
+    /// Kills the process and returns its folder.
     pub fn into_folder(self) -> Arc<tempfile::TempDir> {
         self.folder.clone()
     }
 
-    /// The process's number.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// The latest lines that it wrote to its log.
+    /// Returns the latest lines of its log.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap().iter().cloned().collect()
     }
 
-    /// Stops the process, and comes back once the system shows it stopped.
+    /// Suspends the process with SIGSTOP, and returns once the system shows it as stopped.
     pub fn stop(&self) {
         self.signal("-STOP");
         let path = format!("/proc/{}/stat", self.pid());
-        // The state stands behind the name, which is in brackets.
+        // The state follows the process name, which is in parentheses.
         let state = || std::fs::read_to_string(&path).unwrap().rsplit_once(") ").unwrap().1.starts_with('T');
         crate::wait_until(state);
     }
 
-    /// Sends the process a signal, as `kill` names it.
+    /// Sends the process a signal, named as for `kill`.
     pub fn signal(&self, name: &str) {
         assert!(signal(&self.child, name));
     }
 
-    /// Puts this in the place of the configuration.
+    /// Replaces the configuration file.
     pub fn reconfigure(&self, text: &str) {
         let new = self.folder.path().join("config.new");
         std::fs::write(&new, text).unwrap();
         std::fs::rename(new, self.folder.path().join("config.json")).unwrap();
     }
 
-    /// The configuration as it is.
+    /// Returns the current configuration.
     pub fn configuration(&self) -> Value {
         serde_json::from_slice(&std::fs::read(self.folder.path().join("config.json")).unwrap()).unwrap()
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits by itself, and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
 
-    /// What the process holds of memory.
+    /// Returns the resident memory of the process.
     pub fn memory_kb(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
     }
 
-    /// The folder that outlasts the process.
+    /// Returns the path of the state folder, which is kept across restarts.
     pub fn state(&self) -> PathBuf {
         self.folder.path().join("state")
     }
 
-    /// Bytes of the journal's files.
+    /// Returns the total size of the journal's files in bytes.
     pub fn journal_length(&self) -> u64 {
         self.length_of("journal")
     }
 
-    /// Bytes of the files in the folder that outlasts the process whose names begin so.
+    /// Returns the total size in bytes of the files in the state folder with that name prefix.
     pub fn length_of(&self, prefix: &str) -> u64 {
         let files = std::fs::read_dir(self.state()).unwrap().filter_map(Result::ok);
         let named = files.filter(|file| file.file_name().to_string_lossy().starts_with(prefix));
         named.filter_map(|file| Some(file.metadata().ok()?.len())).sum()
     }
 
-    /// One call of on-call staff.
+    /// Sends a request to the admin interface and returns the answer.
     pub fn ops(&self, method: &str, call: &str) -> Http {
-        self.try_admin(method, call).expect("an answer at a second address")
+        self.try_admin(method, call).expect("no answer from the admin interface")
     }
 
-    /// The same of a sender that may be gone.
+    /// Sends a request to the admin interface of a sender that may have exited; `None` without an answer.
     pub fn try_admin(&self, method: &str, call: &str) -> Option<Http> {
         let mut caller = Client::connect(self.admin?, TIMEOUT).ok()?;
         caller
@@ -293,39 +295,40 @@
         caller.answer()
     }
 
-    /// One of the figures that on-call staff are shown.
+    /// Returns the value of a metric.
     pub fn figure(&self, name: &str) -> u64 {
         let text = String::from_utf8(self.ops("GET", "/status/metrics").body).unwrap();
         let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-        value.unwrap_or_else(|| panic!("{name} is not in {text}")).parse().unwrap()
+        value.unwrap_or_else(|| panic!("metric {name} not found in {text}")).parse().unwrap()
     }
 
-    /// One request on a connection of its own.
+    /// Sends a request on a new connection and returns the answer.
     pub fn ask(&self, text: &[u8]) -> Http {
         Client::new(self).ask(text)
     }
 
-    /// Hands a message in.
+    /// Submits a message and returns the answer.
     pub fn submit(&self, id: &str, class: &str, dest: u16, within_ms: u32) -> Http {
         self.ask(&submission(id, class, dest, within_ms))
     }
 }
 
-/// Sends a process a signal, as `kill` names it; false where it is gone.
+/// Sends a process a signal, named as for `kill`; false if the process is gone.
 fn signal(child: &Child, name: &str) -> bool {
     let sent = Command::new("kill").args([name, &child.id().to_string()]).stderr(Stdio::null()).status();
     sent.unwrap().success()
 }
 
-/// A sender that is not ready yet. Who drops it leaves the process alone: it is ended by [`Starting::end`], or becomes a node.
+/// A sender process that is not ready yet. Dropping it does not kill the process; [`Starting::end`] does, and
+/// [`Starting::ready`] turns it into a [`Node`].
 pub struct Starting {
     child: Child,
     program: Program,
     folder: Arc<tempfile::TempDir>,
     log: Arc<Mutex<VecDeque<String>>>,
     ready: Receiver<(SocketAddr, Option<SocketAddr>)>,
-    /// What it told, once it was asked for.
-    told: Option<(SocketAddr, Option<SocketAddr>)>,
+    /// The addresses that it logged, for clients and for on-call staff, once they were received from `ready`.
+    addresses: Option<(SocketAddr, Option<SocketAddr>)>,
 }
 
 impl Starting {
@@ -333,8 +336,8 @@
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let log = Arc::new(Mutex::new(VecDeque::new()));
-        let (tell, ready) = channel();
-        let kept = log.clone();
+        let (address_sender, ready) = channel();
+        let log_lines = log.clone();
         thread::spawn(move || {
             let mut ops = None;
             for line in lines.map_while(Result::ok) {
@@ -343,37 +346,37 @@
                 }
                 let address =
                     line.split("ready on ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-                let mut kept = kept.lock().unwrap();
-                if kept.len() == LOG_LINES {
-                    kept.pop_front();
+                let mut log_lines = log_lines.lock().unwrap();
+                if log_lines.len() == MAX_LOG_LINES {
+                    log_lines.pop_front();
                 }
-                kept.push_back(line);
-                drop(kept);
+                log_lines.push_back(line);
+                drop(log_lines);
                 if let Some(address) = address {
-                    let _ = tell.send((address, ops));
+                    let _ = address_sender.send((address, ops));
                 }
             }
         });
-        Self { child, program: program.clone(), folder, log, ready, told: None }
+        Self { child, program: program.clone(), folder, log, ready, addresses: None }
     }
 
-    /// Sends the process a signal, as `kill` names it; false where it is gone.
+    /// Sends the process a signal, named as for `kill`; false if the process is gone.
     pub fn signal(&self, name: &str) -> bool {
         signal(&self.child, name)
     }
 
-    /// Whether it has said that it is ready.
+    /// Returns whether it has logged that it is ready.
     pub fn is_ready(&mut self) -> bool {
-        self.told = self.told.or_else(|| self.ready.try_recv().ok());
-        self.told.is_some()
+        self.addresses = self.addresses.or_else(|| self.ready.try_recv().ok());
+        self.addresses.is_some()
     }
 
-    /// Whether the process has ended.
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
 
-    /// Ends it, and tells the latest lines of its log.
+    /// Kills the process and returns the latest lines of its log.
     pub fn end(mut self) -> Vec<String> {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -383,10 +386,10 @@
     /// Waits until it is ready.
     ///
     /// # Errors
-    /// Fails when it has ended, or is not ready within that time: tells itself, and the latest lines of its log.
+    /// Fails if it exits or is not ready within that time; returns itself and the latest lines of its log.
     pub fn ready(mut self, within: Duration) -> Result<Node, Box<(Self, Vec<String>)>> {
-        self.told = self.told.or_else(|| self.ready.recv_timeout(within).ok());
-        let Some((address, ops)) = self.told else {
+        self.addresses = self.addresses.or_else(|| self.ready.recv_timeout(within).ok());
+        let Some((address, ops)) = self.addresses else {
             let log = self.log.lock().unwrap().iter().cloned().collect();
             return Err(Box::new((self, log)));
         };
@@ -406,50 +409,50 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects.
+    /// Connects to a sender.
     pub fn new(node: &Node) -> Self {
         Self::connect(node.address, TIMEOUT).unwrap()
     }
 
-    /// Connects; an answer is waited for no longer than that.
+    /// Connects to an address; the timeout applies to the connection and to each wait for an answer.
     ///
     /// # Errors
-    /// Fails when no connection is made.
-    pub fn connect(address: SocketAddr, patience: Duration) -> std::io::Result<Self> {
-        let stream = TcpStream::connect_timeout(&address, patience)?;
-        stream.set_read_timeout(Some(patience))?;
+    /// Fails if the connection cannot be made.
+    pub fn connect(address: SocketAddr, timeout: Duration) -> std::io::Result<Self> {
+        let stream = TcpStream::connect_timeout(&address, timeout)?;
+        stream.set_read_timeout(Some(timeout))?;
         stream.set_nodelay(true)?;
         Ok(Self(BufReader::new(stream)))
     }
 
-    /// Writes, and reads the answer.
+    /// Writes a request and reads the answer.
     pub fn ask(&mut self, text: &[u8]) -> Http {
         self.write(text);
-        self.answer().expect("an answer")
+        self.answer().expect("the connection ended without an answer")
     }
 
-    /// Writes; the other side may have closed already.
+    /// Writes bytes. An error is ignored, since the sender may have closed the connection already.
     pub fn write(&mut self, text: &[u8]) {
         let _ = self.0.get_mut().write_all(text);
     }
 
-    /// The next answer, if the connection does not end before.
+    /// Reads the next answer; `None` if the connection ends before it is complete.
     pub fn answer(&mut self) -> Option<Http> {
         Http::read(&mut self.0)
     }
 
-    /// Whether the other side has ended the connection, which it does at last.
+    /// Waits until the sender closes the connection; false if it sends something or the timeout expires first.
     pub fn ended(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
 }
 
-/// A request that hands a message in; a `note` has a key.
+/// Returns a request that submits a message with a default body. A message of class `note` gets an idempotency key.
 pub fn submission(id: &str, class: &str, dest: u16, within_ms: u32) -> Vec<u8> {
     submission_with(id, class, dest, within_ms, format!("body\0of {id}").as_bytes())
 }
 
-/// The same with this body.
+/// Returns a request that submits a message with this body.
 pub fn submission_with(id: &str, class: &str, dest: u16, within_ms: u32, body: &[u8]) -> Vec<u8> {
     let key = if class == "note" { format!("Idempotency-Key: key-{id}\r\n") } else { String::new() };
     let mut text = format!(
--- a/crates/test-doubles/src/partner.rs
+++ b/crates/test-doubles/src/partner.rs
@@ -1,4 +1,4 @@
-//! Partners that answer by themselves, and count what took effect.
+//! Partners that answer calls on their own and count which messages took effect.
 
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -8,98 +8,99 @@
 use std::time::{Duration, SystemTime};
 
 use crate::Http;
-use crate::partner_limits::{Record, Terms, Violation, Written};
-use crate::timestamped_stream::Stamped;
+use crate::partner_limits::{CallHistory, Terms, Violation, WriteInterval};
+use crate::timestamped_stream::TimestampedStream;
 
-/// What a partner does with a call once its last byte has come.
+/// How a partner treats a call once its last byte has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Behavior {
-    /// It takes effect, and is answered 200 after that time.
+    /// The message takes effect; the call is answered 200 after that time.
     Healthy(Duration),
-    /// It takes effect, and is answered 500.
+    /// The message takes effect; the call is answered 500.
     Failing,
-    /// It takes no effect, and is answered 503.
+    /// The message takes no effect; the call is answered 503.
     Rejecting,
-    /// It takes effect, and is never answered.
+    /// The message takes effect; the call is never answered.
     Silent,
-    /// Connections end as soon as they are made.
+    /// Connections are closed as soon as they are accepted.
     Unreachable,
 }
 
-/// What came of one message.
+/// What happened to one message.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Effects {
-    /// How often it took effect.
+    /// The number of times it took effect.
     pub ran: u32,
-    /// How often it was answered 200.
+    /// The number of times it was answered 200.
     pub answered: u32,
 }
 
-/// What a partner counted.
+/// Counts of the calls at a partner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls.
+    /// The number of calls.
     pub calls: u64,
-    /// Calls at once, at most.
+    /// The largest number of calls in flight at once.
     pub at_once: usize,
-    /// Waits that were told.
+    /// The number of `Retry-After`s that were written.
     pub waits: u64,
 }
 
 #[derive(Debug)]
 struct State {
-    mood: Behavior,
-    /// Calls that were answered 200.
+    behavior: Behavior,
+    /// The number of calls answered 200.
     answered: u64,
     effects: HashMap<String, Effects>,
-    record: Record,
-    out: usize,
+    history: CallHistory,
+    in_flight: usize,
     at_once: usize,
 }
 
-/// A call that is out, until it is answered or its connection ends.
-struct Out<'a>(&'a Partner);
+/// Counts a call as in flight until it is answered or its connection ends.
+struct InFlightCall<'a>(&'a Partner);
 
-impl Drop for Out<'_> {
+impl Drop for InFlightCall<'_> {
     fn drop(&mut self) {
-        self.0.state().out -= 1;
+        self.0.state().in_flight -= 1;
     }
 }
 
-/// A partner's endpoint. It knows no keys: each call that it lets in takes effect, so that a count tells of copies.
+/// A partner with one endpoint. It ignores idempotency keys: every call that it accepts takes effect, so that the counts
+/// show duplicates.
 #[derive(Debug, Clone)]
 pub struct Partner {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl Partner {
-    /// Listens.
-    pub fn new(mood: Behavior) -> Self {
-        Self::with_terms(mood, Terms::default())
+    /// Starts a partner without limits.
+    pub fn new(behavior: Behavior) -> Self {
+        Self::with_terms(behavior, Terms::default())
     }
 
-    /// The same with terms.
-    pub fn with_terms(mood: Behavior, terms: Terms) -> Self {
+    /// Starts a partner with limits.
+    pub fn with_terms(behavior: Behavior, terms: Terms) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let partner = Self {
             address,
             state: Arc::new(Mutex::new(State {
-                mood,
+                behavior,
                 answered: 0,
                 effects: HashMap::new(),
-                record: Record::new(terms),
-                out: 0,
+                history: CallHistory::new(terms),
+                in_flight: 0,
                 at_once: 0,
             })),
         };
-        let serving = partner.clone();
+        let server = partner.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let partner = serving.clone();
-                if partner.state().mood != Behavior::Unreachable {
+                let partner = server.clone();
+                if partner.state().behavior != Behavior::Unreachable {
                     thread::spawn(move || partner.serve(stream));
                 }
             }
@@ -111,79 +112,82 @@
         self.state.lock().unwrap()
     }
 
-    /// Calls whose last byte comes from now on fare so.
-    pub fn set(&self, mood: Behavior) {
-        self.state().mood = mood;
+    /// Sets how calls are treated whose last byte arrives from now on.
+    pub fn set(&self, behavior: Behavior) {
+        self.state().behavior = behavior;
     }
 
-    /// What came of each message that took effect, by `Req-Id`.
+    /// Returns what happened to each message that took effect, by `Req-Id`.
     pub fn effects(&self) -> HashMap<String, Effects> {
         self.state().effects.clone()
     }
 
-    /// What it counted.
+    /// Returns the counts of its calls.
     pub fn counts(&self) -> CallCounts {
         let state = self.state();
-        CallCounts { calls: state.record.calls(), at_once: state.at_once, waits: state.record.waits() }
+        CallCounts { calls: state.history.calls(), at_once: state.at_once, waits: state.history.waits() }
     }
 
-    /// Calls that came when they might not have.
+    /// Returns the calls that violated its limits.
     pub fn violations(&self) -> Vec<Violation> {
-        self.state().record.violations()
+        self.state().history.violations()
     }
 
-    /// Calls that were answered 200, so far.
+    /// Returns the number of calls answered 200 so far.
     pub fn answered(&self) -> u64 {
         self.state().answered
     }
 
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let Ok(mut out) = stream.try_clone() else { return };
-        let Ok(stream) = Stamped::new(stream) else { return };
+        let Ok(mut output) = stream.try_clone() else { return };
+        let Ok(stream) = TimestampedStream::new(stream) else { return };
         let mut input = BufReader::new(stream);
         while let Some(call) = Http::read(&mut input) {
             let id = call.headers.get("req-id").cloned().unwrap_or_default();
-            let (mood, says) = {
+            let (behavior, required) = {
                 let mut state = self.state();
-                let says = state.record.call_arrived(input.get_ref().came());
-                state.out += 1;
-                state.at_once = state.at_once.max(state.out);
-                if says.status.is_none() && !matches!(state.mood, Behavior::Rejecting | Behavior::Unreachable)
+                let required = state.history.call_arrived(input.get_ref().last_arrival());
+                state.in_flight += 1;
+                state.at_once = state.at_once.max(state.in_flight);
+                if required.status.is_none()
+                    && !matches!(state.behavior, Behavior::Rejecting | Behavior::Unreachable)
                 {
                     state.effects.entry(id.clone()).or_default().ran += 1;
                 }
-                (state.mood, says)
+                (state.behavior, required)
             };
-            let counts = Out(self);
-            let status = match mood {
-                _ if says.status.is_some() => says.status.unwrap_or_default(),
-                Behavior::Healthy(after) => {
-                    thread::sleep(after);
+            let in_flight = InFlightCall(self);
+            let status = match behavior {
+                _ if required.status.is_some() => required.status.unwrap_or_default(),
+                Behavior::Healthy(delay) => {
+                    thread::sleep(delay);
                     200
                 }
                 Behavior::Failing => 500,
                 Behavior::Rejecting => 503,
                 Behavior::Unreachable => return,
                 Behavior::Silent => {
-                    // Until the other side gives the call up.
+                    // Waits until the caller closes the connection.
                     let _ = std::io::Read::read(&mut input, &mut [0]);
                     return;
                 }
             };
-            let wait = says.wait.map(|wait| format!("retry-after: {:.3}\r\n", wait.as_secs_f64()));
-            let report = says.report.map(|(left, limit)| format!("srv-load: x0={left:.3},x1={limit}\r\n"));
-            let (wait, report) = (wait.unwrap_or_default(), report.unwrap_or_default());
-            let answer = format!("HTTP/1.1 {status} X\r\n{wait}{report}content-length: 0\r\n\r\n");
-            // Whoever reads the answer may call again at once.
-            drop(counts);
-            let from = SystemTime::now();
-            if out.write_all(answer.as_bytes()).is_err() {
+            let retry_after =
+                required.retry_after.map(|wait| format!("retry-after: {:.3}\r\n", wait.as_secs_f64()));
+            let report =
+                required.report.map(|(left, limit)| format!("srv-load: x0={left:.3},x1={limit}\r\n"));
+            let (retry_after, report) = (retry_after.unwrap_or_default(), report.unwrap_or_default());
+            let answer = format!("HTTP/1.1 {status} X\r\n{retry_after}{report}content-length: 0\r\n\r\n");
+            // The call is no longer in flight when its answer is written: the caller may send the next one at once.
+            drop(in_flight);
+            let start = SystemTime::now();
+            if output.write_all(answer.as_bytes()).is_err() {
                 return;
             }
-            let written = Written { from, to: SystemTime::now() };
+            let written = WriteInterval { start, end: SystemTime::now() };
             let mut state = self.state();
-            state.record.answer_written(&says, written);
+            state.history.answer_written(&required, written);
             if status == 200 {
                 state.answered += 1;
                 state.effects.entry(id).or_default().answered += 1;
--- a/crates/test-doubles/src/partner_limits.rs
+++ b/crates/test-doubles/src/partner_limits.rs
@@ -1,156 +1,161 @@
-//! What a partner asks of all its callers together, and what they made of it, judged from the partner's side when all is
-//! over: by when calls came and when answers were written, not by when the partner's threads had their turn.
+//! Limits that a partner sets for all its callers together, and the check whether they kept to them. The check runs on the
+//! partner's side after the test, from the times at which calls arrived and answers were written; when the partner's
+//! threads were scheduled does not matter.
 
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime};
 
-/// What a partner asks of all its callers together, and counts.
+/// The limits that a partner sets for all its callers together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Terms {
-    /// Each so many calls one is told to wait so long, of all that are out to it.
+    /// `(n, wait)`: every n-th call is answered with 429 and a `Retry-After` of `wait`, which binds all callers.
     pub waits: Option<(u64, Duration)>,
-    /// So many calls in two seconds; more are turned away. Reports tell of it.
+    /// The number of calls accepted in two seconds; further ones get 503. Load reports in the answers announce the limit.
     pub limit: Option<u32>,
 }
 
-/// Calls are counted against a limit over so long.
-const SPAN: Duration = Duration::from_secs(2);
-/// Calls that come so soon after an answer that tells callers something are let through: the protocol's slack for waits.
-const LET_THROUGH: Duration = Duration::from_millis(100);
+/// The sliding window over which calls are counted against [`Terms::limit`].
+const LIMIT_WINDOW: Duration = Duration::from_secs(2);
+/// A call that arrives this soon after an answer that announced a limit is no violation: the slack that the protocol allows
+/// for a `Retry-After`.
+const GRACE_PERIOD: Duration = Duration::from_millis(100);
 
-/// An answer that told something, written between these two moments: which of them it was is not known any closer.
+/// The interval in which an answer was written. The exact time within it is not known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Written {
-    /// Before the write.
-    pub from: SystemTime,
-    /// After it.
-    pub to: SystemTime,
+pub struct WriteInterval {
+    /// The time right before the write.
+    pub start: SystemTime,
+    /// The time right after the write.
+    pub end: SystemTime,
 }
 
-/// A call that came when it might not have.
+/// A call that arrived although a limit that its callers knew of forbade it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Violation {
-    /// When its last byte came.
+    /// When the last byte of the call arrived.
     pub arrived: SystemTime,
-    /// The answer that told its sender better.
-    pub answer: Written,
-    /// The wait that ran; none where it was beyond the limit that the first report told of.
+    /// When the answer that announced the limit was written.
+    pub answer: WriteInterval,
+    /// The `Retry-After` that was running; `None` if the call exceeded the announced [`Terms::limit`].
     pub wait: Option<Duration>,
 }
 
 impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let after = |at| self.arrived.duration_since(at).unwrap_or_default().as_secs_f64() * 1e3;
-        let (from, to) = (after(self.answer.from), after(self.answer.to));
+        let (from, to) = (after(self.answer.start), after(self.answer.end));
         match self.wait {
-            Some(wait) => write!(f, "came {to:.1} to {from:.1} ms after a wait of {wait:?} was written"),
-            None => write!(f, "came beyond the limit, {to:.1} to {from:.1} ms after the first report of it"),
+            Some(wait) => {
+                write!(f, "arrived {to:.1} to {from:.1} ms after a Retry-After of {wait:?} was written")
+            }
+            None => write!(f, "exceeded the limit, {to:.1} to {from:.1} ms after it was first reported"),
         }
     }
 }
 
-/// All that came and was told.
+/// The calls that arrived at a partner and the limits that its answers announced.
 #[derive(Debug, Clone, Default)]
-pub struct Record {
+pub struct CallHistory {
     terms: Terms,
-    /// When the last byte of each call came.
-    came: Vec<SystemTime>,
-    /// Those of the limit's span.
-    latest: VecDeque<SystemTime>,
-    waits: Vec<(Written, Duration)>,
-    /// The first answer with a report of the limit.
-    reported: Option<Written>,
-    /// Calls that were turned away for the limit.
-    beyond: Vec<SystemTime>,
+    /// When the last byte of each call arrived.
+    arrivals: Vec<SystemTime>,
+    /// The arrivals within the latest [`LIMIT_WINDOW`], in order.
+    window: VecDeque<SystemTime>,
+    /// Each `Retry-After`, and when it was written.
+    waits: Vec<(WriteInterval, Duration)>,
+    /// When the first answer with a load report was written.
+    first_report: Option<WriteInterval>,
+    /// Arrivals of the calls that were rejected by [`Terms::limit`].
+    over_limit: Vec<SystemTime>,
 }
 
-/// What a call's answer is to say by the terms.
+/// What the limits require of the answer to a call.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AnswerTerms {
-    /// A status in place of what the partner would say.
+pub struct RequiredAnswer {
+    /// A status that replaces the partner's own.
     pub status: Option<u16>,
-    /// A wait.
-    pub wait: Option<Duration>,
-    /// The share of the limit that is left, and the limit in calls a second.
+    /// A `Retry-After`.
+    pub retry_after: Option<Duration>,
+    /// The load report: the unused share of the limit, and the limit in calls per second.
     pub report: Option<(f64, f64)>,
 }
 
-impl Record {
-    /// Nothing has come yet.
+impl CallHistory {
+    /// Returns an empty history.
     pub fn new(terms: Terms) -> Self {
         Self { terms, ..Self::default() }
     }
 
-    /// A call's last byte came then.
-    pub fn call_arrived(&mut self, at: SystemTime) -> AnswerTerms {
-        self.came.push(at);
-        let mut says = AnswerTerms::default();
+    /// Records a call whose last byte arrived at that time, and returns what its answer must contain.
+    pub fn call_arrived(&mut self, at: SystemTime) -> RequiredAnswer {
+        self.arrivals.push(at);
+        let mut required = RequiredAnswer::default();
         if let Some(limit) = self.terms.limit {
-            // Threads may be heard in another order than calls came.
-            let place = self.latest.partition_point(|came| *came <= at);
-            self.latest.insert(place, at);
-            while self.latest.front().is_some_and(|came| *came + SPAN < at) {
-                self.latest.pop_front();
+            // The partner's threads may report calls in another order than that of their arrival.
+            let index = self.window.partition_point(|arrival| *arrival <= at);
+            self.window.insert(index, at);
+            while self.window.front().is_some_and(|arrival| *arrival + LIMIT_WINDOW < at) {
+                self.window.pop_front();
             }
-            let left = (f64::from(limit) - self.latest.len() as f64) / f64::from(limit);
-            says.report = Some((left.max(0.0), f64::from(limit) / SPAN.as_secs_f64()));
-            if self.latest.len() > limit as usize {
-                self.beyond.push(at);
-                says.status = Some(503);
-                return says;
+            let left = (f64::from(limit) - self.window.len() as f64) / f64::from(limit);
+            required.report = Some((left.max(0.0), f64::from(limit) / LIMIT_WINDOW.as_secs_f64()));
+            if self.window.len() > limit as usize {
+                self.over_limit.push(at);
+                required.status = Some(503);
+                return required;
             }
         }
-        if let Some((every, wait)) = self.terms.waits
-            && (self.came.len() as u64).is_multiple_of(every)
+        if let Some((every_nth, wait)) = self.terms.waits
+            && (self.arrivals.len() as u64).is_multiple_of(every_nth)
         {
-            (says.status, says.wait) = (Some(429), Some(wait));
+            (required.status, required.retry_after) = (Some(429), Some(wait));
         }
-        says
+        required
     }
 
-    /// The answer that says so has been written.
-    pub fn answer_written(&mut self, says: &AnswerTerms, written: Written) {
-        if let Some(wait) = says.wait {
+    /// Records that the answer with the required contents was written.
+    pub fn answer_written(&mut self, required: &RequiredAnswer, written: WriteInterval) {
+        if let Some(wait) = required.retry_after {
             self.waits.push((written, wait));
         }
-        if says.report.is_some() && self.reported.is_none_or(|first| written.to < first.to) {
-            self.reported = Some(written);
+        if required.report.is_some() && self.first_report.is_none_or(|first| written.end < first.end) {
+            self.first_report = Some(written);
         }
     }
 
-    /// Calls.
+    /// Returns the number of calls.
     pub fn calls(&self) -> u64 {
-        self.came.len() as u64
+        self.arrivals.len() as u64
     }
 
-    /// Waits that were told.
+    /// Returns the number of `Retry-After`s that were written.
     pub fn waits(&self) -> u64 {
         self.waits.len() as u64
     }
 
-    /// Calls that came over a tenth of a second after a wait was written and surely before it was over; and those beyond
-    /// the limit that came over a tenth of a second after the first report of it: before that no caller can know it.
+    /// Returns the violations: calls that arrived over [`GRACE_PERIOD`] after a `Retry-After` was written and certainly
+    /// before it ended, and calls over the limit that arrived over [`GRACE_PERIOD`] after it was first reported. Before that
+    /// report no caller can know the limit.
     pub fn violations(&self) -> Vec<Violation> {
-        let mut came = self.came.clone();
-        came.sort_unstable();
-        let mut breaches = Vec::new();
-        for came in &came {
-            let told = self
-                .waits
-                .iter()
-                .find(|(written, wait)| *came > written.to + LET_THROUGH && *came < written.from + *wait);
-            breaches.extend(told.map(|(told, wait)| Violation {
-                arrived: *came,
-                answer: *told,
+        let mut arrivals = self.arrivals.clone();
+        arrivals.sort_unstable();
+        let mut violations = Vec::new();
+        for arrived in &arrivals {
+            let broken = self.waits.iter().find(|(written, wait)| {
+                *arrived > written.end + GRACE_PERIOD && *arrived < written.start + *wait
+            });
+            violations.extend(broken.map(|(answer, wait)| Violation {
+                arrived: *arrived,
+                answer: *answer,
                 wait: Some(*wait),
             }));
         }
-        let reported = self.reported.iter();
-        breaches.extend(reported.flat_map(|told| {
-            let late = self.beyond.iter().filter(|came| **came > told.to + LET_THROUGH);
-            late.map(|came| Violation { arrived: *came, answer: *told, wait: None })
+        let first_report = self.first_report.iter();
+        violations.extend(first_report.flat_map(|answer| {
+            let late = self.over_limit.iter().filter(|arrived| **arrived > answer.end + GRACE_PERIOD);
+            late.map(|arrived| Violation { arrived: *arrived, answer: *answer, wait: None })
         }));
-        breaches
+        violations
     }
 }
 
--- a/crates/test-doubles/src/platform.rs
+++ b/crates/test-doubles/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: discovery and the place for notices.
+//! A test double for the platform: the endpoint list (discovery) and the receiver of final-outcome notifications.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, channel};
@@ -11,43 +11,45 @@
 use crate::TIMEOUT;
 use crate::http::{Asked, Reply, Served, status};
 
-/// Discovery and the place for notices.
+/// The platform: it serves the endpoint list and receives notifications.
 pub struct Platform {
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// The paths of requests for the list, as they come.
+    /// Receives the path of each request for the endpoint list.
     pub watched: Receiver<String>,
     list: Arc<(Mutex<Value>, Condvar)>,
-    load: Arc<Mutex<Load>>,
-    /// Requests with notices, as they come.
+    capacity: Arc<Mutex<ListCapacity>>,
+    /// Receives the requests that carry notifications.
     pub notifications: Receiver<Asked>,
 }
 
-/// What calls for the list cost a discovery that has few places for them.
+/// The capacity of discovery for requests for the list, and its use.
 #[derive(Debug, Default)]
-struct Load {
-    /// Each takes so long, one after the other; turned away once they would wait longer than that.
-    costs: Option<(Duration, Duration)>,
+struct ListCapacity {
+    /// The time that a request takes, and the longest that one may wait for those before it; requests are served one after
+    /// the other, and one that would wait longer is rejected. Unlimited if `None`.
+    cost: Option<(Duration, Duration)>,
     busy_until: Option<Instant>,
-    turned_away: u64,
-    answered: u64,
+    rejected: u64,
+    accepted: u64,
 }
 
-impl Load {
-    /// How long a call waits for its turn, if it is let in; one that is turned away costs half.
-    fn begins(&mut self) -> Result<Duration, ()> {
-        let Some((each, longest)) = self.costs else { return Ok(Duration::ZERO) };
+impl ListCapacity {
+    /// Accepts a request and returns how long it takes until it is served, or rejects it. A rejected request takes half
+    /// the time of an accepted one.
+    fn admit(&mut self) -> Result<Duration, ()> {
+        let Some((service_time, max_wait)) = self.cost else { return Ok(Duration::ZERO) };
         let now = Instant::now();
-        let free = self.busy_until.map_or(now, |until| until.max(now));
-        let waits = free.duration_since(now);
-        if waits > longest {
-            self.busy_until = Some(free + each / 2);
-            self.turned_away += 1;
+        let free_at = self.busy_until.map_or(now, |until| until.max(now));
+        let delay = free_at.duration_since(now);
+        if delay > max_wait {
+            self.busy_until = Some(free_at + service_time / 2);
+            self.rejected += 1;
             return Err(());
         }
-        self.busy_until = Some(free + each);
-        self.answered += 1;
-        Ok(waits + each)
+        self.busy_until = Some(free_at + service_time);
+        self.accepted += 1;
+        Ok(delay + service_time)
     }
 }
 
@@ -58,57 +60,58 @@
 }
 
 impl Platform {
-    /// Listens; its list is empty and of version 1.
+    /// Starts a platform with an empty list of version 1.
     pub fn new() -> Self {
         let served = Served::new();
         let list = Arc::new((Mutex::new(json!({"index": 1})), Condvar::new()));
-        let (notice, notices) = channel();
-        let (watch, watched) = channel();
-        let told = list.clone();
-        let load = Arc::new(Mutex::new(Load::default()));
-        let costs = load.clone();
+        let (notification_sender, notifications) = channel();
+        let (watch_sender, watched) = channel();
+        let shared_list = list.clone();
+        let capacity = Arc::new(Mutex::new(ListCapacity::default()));
+        let served_capacity = capacity.clone();
         let address = served.address;
         thread::spawn(move || {
-            while let Ok(asked) = served.asked.recv() {
-                if asked.http.first.starts_with("POST /reports ") {
-                    let _ = notice.send(asked);
+            while let Ok(request) = served.asked.recv() {
+                if request.http.first.starts_with("POST /reports ") {
+                    let _ = notification_sender.send(request);
                     continue;
                 }
-                let path = asked.http.first.split(' ').nth(1).unwrap().to_owned();
-                let _ = watch.send(path.clone());
+                let path = request.http.first.split(' ').nth(1).unwrap().to_owned();
+                let _ = watch_sender.send(path.clone());
                 let from = path.split("from=").nth(1).and_then(|f| f.split('&').next());
                 let from: u64 = from.map_or(0, |from| from.parse().unwrap());
-                let told = told.clone();
-                let Ok(waits) = costs.lock().unwrap().begins() else {
-                    asked.reply(status(503));
+                let shared_list = shared_list.clone();
+                let Ok(delay) = served_capacity.lock().unwrap().admit() else {
+                    request.reply(status(503));
                     continue;
                 };
                 thread::spawn(move || {
-                    thread::sleep(waits);
-                    let (list, changed) = &*told;
+                    thread::sleep(delay);
+                    let (list, changed) = &*shared_list;
                     let mut list = list.lock().unwrap();
                     while list["index"].as_u64().unwrap() <= from {
                         list = changed.wait(list).unwrap();
                     }
-                    asked.reply(Reply::Answer(200, vec![], list.to_string()));
+                    request.reply(Reply::Answer(200, vec![], list.to_string()));
                 });
             }
         });
-        Self { address, watched, list, load, notifications: notices }
+        Self { address, watched, list, capacity, notifications }
     }
 
-    /// From now on a call for the list takes so long, one after the other, and is turned away where it would wait longer.
-    pub fn overbook(&self, each: Duration, longest: Duration) {
-        self.load.lock().unwrap().costs = Some((each, longest));
+    /// Limits the capacity for requests for the list: each takes `service_time`, one after the other, and one that would
+    /// wait longer than `max_wait` is rejected.
+    pub fn overbook(&self, service_time: Duration, max_wait: Duration) {
+        self.capacity.lock().unwrap().cost = Some((service_time, max_wait));
     }
 
-    /// Calls for the list that were let in, and turned away, since it is overbooked.
+    /// Returns how many requests for the list were accepted and rejected since the capacity was limited.
     pub fn list_calls(&self) -> (u64, u64) {
-        let load = self.load.lock().unwrap();
-        (load.answered, load.turned_away)
+        let capacity = self.capacity.lock().unwrap();
+        (capacity.accepted, capacity.rejected)
     }
 
-    /// The whole list is this from now on; tells its version.
+    /// Replaces the endpoint list and returns its new version.
     pub fn publish(&self, endpoints: &[Value]) -> u64 {
         let (list, changed) = &*self.list;
         let mut list = list.lock().unwrap();
@@ -118,27 +121,27 @@
         index
     }
 
-    /// Hands over what brings the notices, once.
+    /// Takes the receiver of notifications; a second call returns one that is disconnected.
     pub fn take_notifications(&mut self) -> Receiver<Asked> {
         std::mem::replace(&mut self.notifications, channel().1)
     }
 
-    /// The next notice, which is answered so.
+    /// Answers the next request with notifications with that status, and returns the notifications.
     pub fn answer_notification(&self, code: u16) -> Vec<Value> {
-        let asked = self.notifications.recv_timeout(TIMEOUT).expect("a notice comes");
-        let text = String::from_utf8(asked.http.body.clone()).unwrap();
-        asked.reply(status(code));
+        let request = self.notifications.recv_timeout(TIMEOUT).expect("no notification arrived");
+        let text = String::from_utf8(request.http.body.clone()).unwrap();
+        request.reply(status(code));
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
     }
 }
 
-/// An entry of the list.
+/// Returns an entry of the endpoint list for an active endpoint.
 pub fn listing(name: &str, group: u16, kind: &str, address: SocketAddr) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "a", "type": kind, "group": group,
            "status": "active", "weight": 50.0, "since_ms": 0})
 }
 
-/// An endpoint that wants nothing new: its destination is known, and nothing goes there.
+/// Returns an entry for a draining endpoint: its destination is known, but no message is sent there.
 pub fn draining(name: &str, group: u16) -> Value {
     let mut entry = listing(name, group, "plain", SocketAddr::from(([127, 0, 0, 1], 9)));
     entry["status"] = json!("leaving");
--- a/crates/test-doubles/src/timestamped_stream.rs
+++ b/crates/test-doubles/src/timestamped_stream.rs
@@ -1,5 +1,6 @@
-//! When bytes came, as the system noted it: a partner that is read late, because the machine is busy, does not make its
-//! callers late. Source: the kernel's notes on `SO_TIMESTAMPING` (software stamps of what is received).
+//! Arrival times of received bytes, taken from the kernel (`SO_TIMESTAMPING`, software timestamps on receive; see the
+//! kernel's documentation of that option). A test double that reads late because the machine is busy would otherwise make
+//! its callers appear late.
 
 use std::io::{self, IoSliceMut, Read};
 use std::net::TcpStream;
@@ -11,43 +12,43 @@
 };
 use nix::sys::time::TimeSpec;
 
-/// A stream that tells when the last bytes read from it came.
+/// A stream that knows when the bytes last read from it arrived.
 #[derive(Debug)]
-pub struct Stamped {
+pub struct TimestampedStream {
     stream: TcpStream,
     arrived: SystemTime,
 }
 
-impl Stamped {
-    /// Asks the system to note when bytes come.
+impl TimestampedStream {
+    /// Enables the kernel's receive timestamps on the stream.
     ///
     /// # Errors
-    /// Fails where the system does not.
+    /// Fails if the system does not support them.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
-        let software =
+        let flags =
             TimestampingFlag::SOF_TIMESTAMPING_RX_SOFTWARE | TimestampingFlag::SOF_TIMESTAMPING_SOFTWARE;
-        setsockopt(&stream, sockopt::Timestamping, &software)?;
+        setsockopt(&stream, sockopt::Timestamping, &flags)?;
         Ok(Self { stream, arrived: SystemTime::now() })
     }
 
-    /// When the last byte that was read came, by the wall's clock; when it was read, where the system tells nothing.
-    pub fn came(&self) -> SystemTime {
+    /// Returns when the last byte that was read arrived, by the wall clock; without a kernel timestamp, when it was read.
+    pub fn last_arrival(&self) -> SystemTime {
         self.arrived
     }
 }
 
-impl Read for Stamped {
+impl Read for TimestampedStream {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        let mut notes = nix::cmsg_space!(Timestamps);
-        let mut into = [IoSliceMut::new(buffer)];
+        let mut control_messages = nix::cmsg_space!(Timestamps);
+        let mut buffers = [IoSliceMut::new(buffer)];
         let fd = self.stream.as_raw_fd();
-        let read = recvmsg::<SockaddrIn>(fd, &mut into, Some(&mut notes), MsgFlags::empty())?;
+        let read = recvmsg::<SockaddrIn>(fd, &mut buffers, Some(&mut control_messages), MsgFlags::empty())?;
         self.arrived = SystemTime::now();
-        for note in read.cmsgs()? {
-            if let ControlMessageOwned::ScmTimestampsns(stamps) = note
-                && stamps.system != TimeSpec::new(0, 0)
+        for control_message in read.cmsgs()? {
+            if let ControlMessageOwned::ScmTimestampsns(timestamps) = control_message
+                && timestamps.system != TimeSpec::new(0, 0)
             {
-                self.arrived = UNIX_EPOCH + Duration::from(stamps.system);
+                self.arrived = UNIX_EPOCH + Duration::from(timestamps.system);
             }
         }
         Ok(read.bytes)
