--- a/crates/fleet-sim/src/lib.rs
+++ b/crates/fleet-sim/src/lib.rs
@@ -1,6 +1,6 @@
-//! A fleet of senders in one small world: the real decision modules, one clock, one seed, and partners that have a
-//! limit, a capacity, outages and places for connections. What the fleet does is counted at the partner, since what is
-//! harmless from one sender may not be from a hundred. It opens no socket and reads no clock.
+//! A deterministic simulation of a fleet of senders: it runs the real decision modules with one simulated clock and one
+//! seed, against partners that have a rate limit, a capacity, outages and slow starts. Calls are counted at the partner,
+//! because behaviour that is harmless in one sender may not be in a hundred. It opens no sockets and reads no real clock.
 //!
 //! ```
 //! use fleet_sim::{Partner, World};
@@ -13,5 +13,5 @@
 mod partner;
 mod world;
 
-pub use partner::{Count, LimitModel, Partner, SLOW_START};
-pub use world::{GossipFaults, Verdicts, World, settings};
+pub use partner::{Counts, LimitModel, Partner, SLOW_START};
+pub use world::{GossipOptions, Violations, World, settings};
--- a/crates/fleet-sim/src/partner.rs
+++ b/crates/fleet-sim/src/partner.rs
@@ -1,201 +1,206 @@
-//! A partner's side: what it takes, what it turns away, and what it counts.
+//! A simulated partner: which calls it accepts and rejects, and what it counts.
 
 use std::collections::VecDeque;
 
 use decision::interface::{Micros, Outcome};
 
-const SECOND: f64 = 1e6;
+/// Microseconds per second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What happened at a partner.
+/// Counts of what happened at a partner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Count {
-    /// Calls that reached it, refused ones too.
+pub struct Counts {
+    /// Calls that arrived, including rejected and failed ones.
     pub calls: u32,
-    /// Calls refused above the limit.
+    /// Calls rejected because the limit was used up.
     pub refused: u32,
     /// Calls that failed while it was down.
     pub failed: u32,
     /// Messages delivered.
     pub delivered: u32,
-    /// Messages delivered within their aim.
-    pub in_time: u32,
-    /// Messages handed in for it.
-    pub offered: u32,
+    /// Messages delivered within their latency objective.
+    pub on_time: u32,
+    /// Messages submitted for it.
+    pub submitted: u32,
 }
 
-impl Count {
-    /// Part of the messages that were delivered within their aim.
-    pub fn part_in_time(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.offered.max(1))
+impl Counts {
+    /// Returns the share of the messages that were delivered within their latency objective.
+    pub fn on_time_share(&self) -> f64 {
+        f64::from(self.on_time) / f64::from(self.submitted.max(1))
     }
 
-    /// Part of the calls that were refused above the limit.
-    pub fn part_refused(&self) -> f64 {
+    /// Returns the share of the calls that were rejected because the limit was used up.
+    pub fn rejected_share(&self) -> f64 {
         f64::from(self.refused) / f64::from(self.calls.max(1))
     }
 }
 
-impl std::iter::Sum for Count {
+impl std::iter::Sum for Counts {
     fn sum<I: Iterator<Item = Self>>(counts: I) -> Self {
         counts.fold(Self::default(), |a, b| Self {
             calls: a.calls + b.calls,
             refused: a.refused + b.refused,
             failed: a.failed + b.failed,
             delivered: a.delivered + b.delivered,
-            in_time: a.in_time + b.in_time,
-            offered: a.offered + b.offered,
+            on_time: a.on_time + b.on_time,
+            submitted: a.submitted + b.submitted,
         })
     }
 }
 
-/// How a limit is counted.
+/// How the rate limit is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitModel {
-    /// What is left grows evenly, up to [`Partner::depth`] seconds of the limit.
+    /// A token bucket that refills at the limit, up to [`Partner::depth`] seconds of it.
     TokenBucket,
-    /// So many calls in each span of [`Partner::depth`] seconds.
+    /// A fixed number of calls in each window of [`Partner::depth`] seconds.
     FixedWindow,
 }
 
-/// What a partner that was down bears when it is back: the share of its capacity at first, how long until it has all, the
-/// multiple of what it has that it bears, and the seconds in which that is counted.
+/// The slow start of a partner after an outage: the share of its capacity that it starts with, the seconds until it has all
+/// of it, the multiple of its current capacity at which it becomes overloaded, and the seconds over which its calls are
+/// counted for that.
 pub const SLOW_START: (f64, f64, f64, f64) = (0.18, 14.0, 2.0, 3.0);
 
 /// A destination with one endpoint.
 #[derive(Debug, Clone)]
 pub struct Partner {
-    /// Calls a second that it takes from all senders together.
+    /// Calls per second that it accepts from all senders together.
     pub limit: f64,
-    /// What its listing says of that, as a factor: the list is rough.
-    pub listed: f64,
+    /// The weight in the endpoint list as a multiple of the limit, since the listed weights are inexact.
+    pub listed_factor: f64,
     /// How the limit is counted.
     pub limit_model: LimitModel,
-    /// Seconds of the limit that may come at once, or that are counted together.
+    /// Seconds of the limit that a token bucket holds, or the length of a fixed window.
     pub depth: f64,
-    /// Whether refused calls use the limit up like any other, also beyond what is left.
+    /// Whether rejected calls use up the limit like accepted ones, even below zero.
     pub refused_count: bool,
-    /// Calls a second that it can do when it is warm.
+    /// Calls per second that it can process after its slow start.
     pub capacity: f64,
-    /// Stretches of time, in seconds from the start, with the part of the limit that holds then.
-    pub lowered: Vec<(f64, f64, f64)>,
-    /// Stretches of time, in seconds from the start, in which it refuses connections.
+    /// Periods with a lower limit: start and end in seconds since the start of the simulation, and the share of the limit
+    /// that applies.
+    pub limit_reductions: Vec<(f64, f64, f64)>,
+    /// Outages: start and end in seconds since the start of the simulation. Connections fail during them.
     pub down: Vec<(f64, f64)>,
-    /// Messages that one call carries at most.
+    /// The maximum number of messages in a call.
     pub max_batch: usize,
-    /// How long a call takes, in seconds.
+    /// The mean time that a call takes, in seconds.
     pub call_seconds: f64,
-    /// Seconds after which a report is made anew.
+    /// The interval in seconds at which the load report is updated.
     pub reports_every: f64,
-    /// Seconds by which it is late.
-    pub reports_late: f64,
-    /// Reports of late, with the number of their span.
+    /// The delay in seconds until an updated load report appears in answers.
+    pub report_delay: f64,
+    /// The latest load reports, each with the number of its interval.
     pub reports: VecDeque<(u64, Vec<f32>)>,
-    /// All that happened.
-    pub count: Count,
-    /// What happened in each second.
-    pub seconds: Vec<Count>,
-    /// Most that came while it was cold, as a part of what it bore then: over 1, it falls over.
+    /// The counts since the start.
+    pub count: Counts,
+    /// The counts of each second.
+    pub seconds: Vec<Counts>,
+    /// The highest load during a slow start, as a share of what it can bear then. Above 1 it is overloaded.
     pub overload: f64,
-    /// When calls came since it is back, in seconds from the start.
+    /// Arrival times of the calls counted for the slow start, in seconds since the start of the simulation.
     pub cold_calls: VecDeque<f64>,
-    /// Calls that are left of the limit; less than none where refused calls used it up.
+    /// The calls left of the limit; negative if rejected calls used it up.
     pub tokens: f64,
-    /// When that was so, in seconds from the start.
-    pub at: f64,
+    /// When `tokens` was last updated, in seconds since the start of the simulation.
+    pub tokens_at: f64,
 }
 
 impl Default for Partner {
     fn default() -> Self {
         Self {
             limit: 60.0,
-            listed: 1.0,
+            listed_factor: 1.0,
             limit_model: LimitModel::TokenBucket,
             depth: 0.7,
             refused_count: true,
             capacity: f64::INFINITY,
-            lowered: vec![],
+            limit_reductions: vec![],
             down: vec![],
             max_batch: 1,
             call_seconds: 0.08,
             reports_every: 0.5,
-            reports_late: 0.18,
+            report_delay: 0.18,
             reports: VecDeque::new(),
-            count: Count::default(),
+            count: Counts::default(),
             seconds: vec![],
             overload: 0.0,
             cold_calls: VecDeque::new(),
             tokens: 0.0,
-            at: 0.0,
+            tokens_at: 0.0,
         }
     }
 }
 
 impl Partner {
-    /// The limit that holds then.
+    /// Returns the limit that applies at that time.
     fn limit_at(&self, at: f64) -> f64 {
-        let lowered = self.lowered.iter().find(|span| (span.0..span.1).contains(&at));
-        self.limit * lowered.map_or(1.0, |span| span.2)
+        let reduction = self.limit_reductions.iter().find(|span| (span.0..span.1).contains(&at));
+        self.limit * reduction.map_or(1.0, |span| span.2)
     }
 
-    /// Counts in all and in that second.
-    pub(crate) fn count(&mut self, now: Micros, change: impl Fn(&mut Count)) {
-        let second = (now as f64 / SECOND) as usize;
+    /// Changes the counts since the start and those of the current second.
+    pub(crate) fn count(&mut self, now: Micros, change: impl Fn(&mut Counts)) {
+        let second = (now as f64 / MICROS_PER_SECOND) as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Count::default());
+            self.seconds.resize(second + 1, Counts::default());
         }
         change(&mut self.seconds[second]);
         change(&mut self.count);
     }
 
-    /// Weighs a call against what the partner bears while it is cold.
-    fn bear(&mut self, at: f64) {
-        let (share, warm, multiple, window) = SLOW_START;
-        let back =
+    /// Records a call during a slow start in [`Partner::overload`].
+    fn measure_overload(&mut self, at: f64) {
+        let (initial_share, ramp, multiple, window) = SLOW_START;
+        let recovered_at =
             self.down.iter().map(|span| span.1).filter(|end| *end <= at).fold(f64::NEG_INFINITY, f64::max);
-        if at >= back + warm {
+        if at >= recovered_at + ramp {
             return;
         }
         self.cold_calls.push_back(at);
-        while self.cold_calls.front().is_some_and(|first| *first < (at - window).max(back)) {
+        while self.cold_calls.front().is_some_and(|first| *first < (at - window).max(recovered_at)) {
             self.cold_calls.pop_front();
         }
-        let has = self.capacity * (share + (1.0 - share) * (at - back) / warm);
-        self.overload = self.overload.max(self.cold_calls.len() as f64 / (multiple * has * window));
+        let capacity = self.capacity * (initial_share + (1.0 - initial_share) * (at - recovered_at) / ramp);
+        self.overload = self.overload.max(self.cold_calls.len() as f64 / (multiple * capacity * window));
     }
 
-    /// What is left of the limit once more time has passed.
+    /// Refills the limit for the time since the last update.
     fn refill(&mut self, at: f64, limit: f64) {
         let depth = limit * self.depth;
-        let gained = match self.limit_model {
-            LimitModel::TokenBucket => limit * (at - self.at),
-            LimitModel::FixedWindow => depth * ((at / self.depth).floor() - (self.at / self.depth).floor()),
+        let refilled = match self.limit_model {
+            LimitModel::TokenBucket => limit * (at - self.tokens_at),
+            LimitModel::FixedWindow => {
+                depth * ((at / self.depth).floor() - (self.tokens_at / self.depth).floor())
+            }
         };
-        self.tokens = (self.tokens + gained).min(depth);
-        self.at = at;
+        self.tokens = (self.tokens + refilled).min(depth);
+        self.tokens_at = at;
     }
 
-    /// A call arrives, at a time that is not before the last one's. Tells how it ends, and the report beside the answer: the share of the limit that is left and
-    /// the limit.
+    /// Processes a call, which must not arrive before the previous one. Returns its outcome and the load report in the
+    /// answer: the unused share of the limit, and the limit.
     pub fn call(&mut self, now: Micros) -> (Outcome, Vec<f32>) {
-        let at = now as f64 / SECOND;
+        let at = now as f64 / MICROS_PER_SECOND;
         self.count(now, |count| count.calls += 1);
         if self.down.iter().any(|span| (span.0..span.1).contains(&at)) {
             self.count(now, |count| count.failed += 1);
             return (Outcome::ConnectFailed, vec![]);
         }
-        self.bear(at);
+        self.measure_overload(at);
         let limit = self.limit_at(at);
         let depth = limit * self.depth;
         self.refill(at, limit);
         self.tokens -= 1.0;
-        let fresh = vec![(self.tokens / depth).max(0.0) as f32, limit as f32];
-        let span = (at / self.reports_every) as u64;
-        if self.reports.back().is_none_or(|last| last.0 < span) {
-            self.reports.push_back((span, fresh));
+        let current = vec![(self.tokens / depth).max(0.0) as f32, limit as f32];
+        let interval = (at / self.reports_every) as u64;
+        if self.reports.back().is_none_or(|last| last.0 < interval) {
+            self.reports.push_back((interval, current));
         }
-        // What was so when the latest span but the report's delay began.
-        let seen = ((at - self.reports_late) / self.reports_every) as u64;
-        while self.reports.len() > 1 && self.reports[1].0 <= seen {
+        // Answers carry the report of the interval that was current one report delay ago.
+        let visible_period = ((at - self.report_delay) / self.reports_every) as u64;
+        while self.reports.len() > 1 && self.reports[1].0 <= visible_period {
             self.reports.pop_front();
         }
         let report = self.reports.front().map(|first| first.1.clone()).unwrap_or_default();
--- a/crates/fleet-sim/tests/restart_with_snapshot.rs
+++ b/crates/fleet-sim/tests/restart_with_snapshot.rs
@@ -1,62 +1,70 @@
-//! A release, with what was learnt and without, side by side. Several seeds; each failure names its own.
+//! Compares rolling restarts with and without health snapshots, for several seeds. Each failure names its seed.
 
-use fleet_sim::{Count, Partner, Verdicts, World};
+use fleet_sim::{Counts, Partner, Violations, World};
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// What came of a run: at the partner in the ten seconds after the release began, its messages in time, and the most that was
-/// sent to it while it was cold, as a part of what it bears.
+/// The result of a run at the partner: its counts in the ten seconds after the rolling restart began, and its highest load
+/// during a slow start, as a share of what it can bear then.
 #[derive(Debug, Clone, Copy)]
-struct Came {
-    after: Count,
-    pushed: f64,
+struct RunResult {
+    after_restart: Counts,
+    overload: f64,
 }
 
-/// 92 of 100 senders are killed within two seconds, and one in `kept` of them gets messages again at once. What they learnt
-/// is kept to the end, or as it was so many seconds before, or not.
-fn release(partner: Partner, rate: f64, kept: usize, snapshots: Option<f64>, seed: u64) -> Came {
+/// Runs a rolling restart: 92 of 100 senders are killed within two seconds, and one in `with_traffic` of them gets messages
+/// again at once. Their health snapshots are current when they are killed (age 0), or of `snapshot_age` seconds before the
+/// restart, or do not exist (`None`).
+fn restart_fleet(
+    partner: Partner,
+    rate: f64,
+    with_traffic: usize,
+    snapshot_age: Option<f64>,
+    seed: u64,
+) -> RunResult {
     let mut world = World::new(100, vec![partner], seed);
-    let old = snapshots.unwrap_or(0.0);
-    world.run(8.0 - old, rate);
-    if old > 0.0 {
-        world.keep_all();
+    let age = snapshot_age.unwrap_or(0.0);
+    world.run(8.0 - age, rate);
+    if age > 0.0 {
+        world.save_all_snapshots();
     }
-    world.run(old, rate);
-    world.keeps_snapshots = snapshots == Some(0.0);
-    world.release(92, 2.0, kept);
+    world.run(age, rate);
+    world.saves_snapshots_on_exit = snapshot_age == Some(0.0);
+    world.rolling_restart(92, 2.0, with_traffic);
     world.run(16.0, rate);
-    assert_eq!(world.verdicts, Verdicts::default(), "seed {seed}, {snapshots:?}");
+    assert_eq!(world.violations, Violations::default(), "seed {seed}, {snapshot_age:?}");
     let partner = &world.partners[0];
-    Came { after: partner.seconds[8..18].iter().copied().sum(), pushed: partner.overload }
+    RunResult { after_restart: partner.seconds[8..18].iter().copied().sum(), overload: partner.overload }
 }
 
-/// Plays a case with and without, and holds each seed to it that the partner fares no worse with.
-fn side_by_side(name: &str, partner: &Partner, rate: f64, kept: usize, age: f64) -> (Count, Count) {
+/// Runs a case with and without snapshots, asserts for each seed that the partner is no worse off with them, and returns the
+/// sums of the counts with and without.
+fn compare(name: &str, partner: &Partner, rate: f64, with_traffic: usize, age: f64) -> (Counts, Counts) {
     let pairs = SEEDS.map(|seed| {
-        let with = release(partner.clone(), rate, kept, Some(age), seed);
-        let without = release(partner.clone(), rate, kept, None, seed);
-        assert!(with.pushed <= without.pushed.max(1.0), "{name}, seed {seed}: {with:?} and {without:?}");
-        let bad = |came: &Came| came.after.refused + came.after.failed;
-        let (with_bad, without_bad) = (bad(&with), bad(&without));
+        let with = restart_fleet(partner.clone(), rate, with_traffic, Some(age), seed);
+        let without = restart_fleet(partner.clone(), rate, with_traffic, None, seed);
+        assert!(with.overload <= without.overload.max(1.0), "{name}, seed {seed}: {with:?} and {without:?}");
+        let unsuccessful = |result: &RunResult| result.after_restart.refused + result.after_restart.failed;
+        let (with_unsuccessful, without_unsuccessful) = (unsuccessful(&with), unsuccessful(&without));
         assert!(
-            with_bad <= without_bad + without_bad / 5 + 8,
+            with_unsuccessful <= without_unsuccessful + without_unsuccessful / 5 + 8,
             "{name}, seed {seed}: {with:?} and {without:?}"
         );
-        (with.after, without.after, with.pushed, without.pushed)
+        (with.after_restart, without.after_restart, with.overload, without.overload)
     });
-    let pushed = |of: fn(&(Count, Count, f64, f64)) -> f64| pairs.iter().map(of).fold(0.0, f64::max);
-    let with: Count = pairs.iter().map(|pair| pair.0).sum();
-    let without: Count = pairs.iter().map(|pair| pair.1).sum();
+    let overload = |of: fn(&(Counts, Counts, f64, f64)) -> f64| pairs.iter().map(of).fold(0.0, f64::max);
+    let with: Counts = pairs.iter().map(|pair| pair.0).sum();
+    let without: Counts = pairs.iter().map(|pair| pair.1).sum();
     println!(
-        "{name}: in time {:.3} and {:.3}, refused {:.3} and {:.3}, failed {} and {}, pushed {:.2} and {:.2}",
-        with.part_in_time(),
-        without.part_in_time(),
-        with.part_refused(),
-        without.part_refused(),
+        "{name}: with and without snapshots: on time {:.3} and {:.3}, rejected {:.3} and {:.3}, failed {} and {}, overload {:.2} and {:.2}",
+        with.on_time_share(),
+        without.on_time_share(),
+        with.rejected_share(),
+        without.rejected_share(),
         with.failed,
         without.failed,
-        pushed(|pair| pair.2),
-        pushed(|pair| pair.3),
+        overload(|pair| pair.2),
+        overload(|pair| pair.3),
     );
     (with, without)
 }
@@ -65,37 +73,45 @@
     Partner { limit: 57.0, max_batch: 5, capacity: 90.0, ..Partner::default() }
 }
 
-/// That each draws the moment of its first call, so that all together keep to the limit, costs that time.
+/// With a snapshot each sender draws a random time for its first call, so that the fleet as a whole keeps to the limit. That
+/// delay is the cost that this test bounds.
 #[test]
-fn a_release_while_all_is_well_costs_little_more_with_what_was_learnt() {
-    for kept in [1, 3] {
-        let (with, without) = side_by_side(&format!("well, one in {kept}"), &partner(), 140.0, kept, 0.0);
-        assert!(with.part_in_time() >= without.part_in_time() - 0.04);
+fn rolling_restart_of_healthy_fleet_costs_little_time_with_snapshots() {
+    for with_traffic in [1, 3] {
+        let (with, without) = compare(
+            &format!("healthy, traffic at one in {with_traffic}"),
+            &partner(),
+            140.0,
+            with_traffic,
+            0.0,
+        );
+        assert!(with.on_time_share() >= without.on_time_share() - 0.04);
     }
 }
 
-/// The partner is down when most come back: they know it.
+/// The partner is down when most senders restart, and their snapshots say so.
 #[test]
-fn a_release_into_an_outage_costs_fewer_calls_with_what_was_learnt() {
+fn rolling_restart_during_outage_fails_fewer_calls_with_snapshots() {
     let partner = Partner { down: vec![(6.0, 12.0)], ..partner() };
-    let (with, without) = side_by_side("down", &partner, 120.0, 2, 0.0);
+    let (with, without) = compare("outage", &partner, 120.0, 2, 0.0);
     assert!(with.failed < without.failed, "{} and {}", with.failed, without.failed);
 }
 
-/// Its limit was lowered by half when they were killed, and they know that; or it was lowered only after what they know.
+/// The limit was lowered by half before the senders are killed: their snapshots have that (age 0), or are from the time
+/// before (age 4 s).
 #[test]
-fn a_lowered_limit_is_known_or_found_out_within_bounds() {
-    let lowered = Partner { lowered: vec![(6.0, 16.0, 0.5)], ..partner() };
+fn lowered_limit_is_restored_or_detected_after_rolling_restart() {
+    let limit_reductions = Partner { limit_reductions: vec![(6.0, 16.0, 0.5)], ..partner() };
     for age in [0.0, 4.0] {
-        side_by_side(&format!("lowered, {age} s old"), &lowered, 120.0, 2, age);
+        compare(&format!("lowered limit, snapshot {age} s old"), &limit_reductions, 120.0, 2, age);
     }
 }
 
-/// What was known is of a time before the outage, which has begun since; and of an outage that is over.
+/// The snapshots are outdated: an outage has begun since they were saved, or one that they have is over.
 #[test]
-fn what_was_learnt_of_another_time_does_a_partner_no_harm() {
-    for (name, down) in [("begun since", (6.5, 12.0)), ("over since", (2.0, 5.5))] {
+fn outdated_snapshots_do_not_harm_the_partner() {
+    for (name, down) in [("outage began since", (6.5, 12.0)), ("outage over since", (2.0, 5.5))] {
         let partner = Partner { down: vec![down], ..partner() };
-        side_by_side(name, &partner, 120.0, 2, 4.0);
+        compare(name, &partner, 120.0, 2, 4.0);
     }
 }
