--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! The bench's wire: frames, records and the settings' JSON. No decisions are made here.
+//! The simulator's wire format: frames, records and the settings in JSON. Decisions are made in `decision`.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,13 +11,18 @@
     IdempotencyScope, Listing, Message, MessageId, Micros, Outcome, Rules, Settings, Tenant, Weights,
 };
 
+/// The size of an event record in bytes.
 const EVENT_SIZE: usize = 48;
+/// The size of an action record in bytes.
 const ACTION_SIZE: usize = 24;
+/// The size of an endpoint list entry in bytes.
 const ENTRY_SIZE: usize = 24;
-const LISTS: usize = 16;
+/// The number of endpoint lists that can be stored.
+const MAX_LISTS: usize = 16;
+/// The recipient of a gossip message that goes to all peers.
 const ALL_PEERS: u16 = u16::MAX;
 
-/// What is wrong with the input, in one line.
+/// An error in the input, described in one line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WireError(String);
 
@@ -29,34 +34,34 @@
 
 impl std::error::Error for WireError {}
 
-fn fault<T>(text: impl Into<String>) -> Result<T, WireError> {
+fn wire_error<T>(text: impl Into<String>) -> Result<T, WireError> {
     Err(WireError(text.into().replace(['\n', '\r'], " ")))
 }
 
-/// A frame as it was read: the clock, the number of records and the bytes behind the header.
+/// An input frame: a batch of records with the time of the batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
-    /// The clock of the batch.
+    /// The time of the batch.
     pub now: Micros,
-    /// The number of records.
+    /// The number of event records.
     pub count: usize,
-    /// Records and tail.
+    /// The event records, followed by the variable-length data that they refer to.
     pub body: Vec<u8>,
 }
 
-/// What a record says to one instance.
+/// What a record means for one instance of the decision module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
     /// The instance starts.
     Boot {
-        /// Seed of its random numbers.
+        /// The seed of its random numbers.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
     /// The instance is killed.
     Teardown,
-    /// Something happened to it.
+    /// An event for the instance.
     Event(Event),
 }
 
@@ -65,29 +70,29 @@
 /// # Errors
 /// Fails when the input ends within a frame or cannot be read.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, WireError> {
-    let mut head = Vec::with_capacity(16);
+    let mut header = Vec::with_capacity(16);
     let read = |e: io::Error| WireError(format!("input cannot be read: {e}"));
-    input.take(16).read_to_end(&mut head).map_err(read)?;
-    if head.is_empty() {
+    input.take(16).read_to_end(&mut header).map_err(read)?;
+    if header.is_empty() {
         return Ok(None);
     }
-    if head.len() < 16 {
-        return fault(format!("truncated frame header: {} of 16 bytes", head.len()));
+    if header.len() < 16 {
+        return wire_error(format!("truncated frame header: {} of 16 bytes", header.len()));
     }
-    let head = Bytes(&head);
-    let (length, count, now) = (head.u32(0) as usize, head.u32(4) as usize, head.u64(8));
+    let header = Bytes(&header);
+    let (length, count, now) = (header.u32(0) as usize, header.u32(4) as usize, header.u64(8));
     if count.checked_mul(EVENT_SIZE).is_none_or(|n| n > length) {
-        return fault(format!("frame of {length} bytes cannot hold {count} records"));
+        return wire_error(format!("frame of {length} bytes cannot hold {count} records"));
     }
     let mut body = Vec::new();
     input.take(length as u64).read_to_end(&mut body).map_err(read)?;
     if body.len() < length {
-        return fault(format!("truncated frame: {} of {length} bytes", body.len()));
+        return wire_error(format!("truncated frame: {} of {length} bytes", body.len()));
     }
     Ok(Some(Frame { now, count, body }))
 }
 
-/// Little-endian fields at byte positions that are known to be in range.
+/// Reads little-endian fields at byte positions, which the caller must know to be in range.
 struct Bytes<'a>(&'a [u8]);
 
 impl Bytes<'_> {
@@ -117,44 +122,44 @@
     fn report(&self, at: usize) -> Result<Vec<f32>, WireError> {
         match self.0[at] {
             n @ 0..=4 => Ok((0..n as usize).map(|k| self.f32(at + 1 + 4 * k)).collect()),
-            n => fault(format!("load report with {n} values")),
+            n => wire_error(format!("load report with {n} values")),
         }
     }
 }
 
-fn outcome(how: u16, note: u32) -> Result<Outcome, WireError> {
-    Ok(match how {
+fn outcome(code: u16, detail: u32) -> Result<Outcome, WireError> {
+    Ok(match code {
         0 => Outcome::Delivered,
         1 => Outcome::Error,
-        2 => Outcome::Rejected((note > 0).then_some(Micros::from(note) * 1000)),
+        2 => Outcome::Rejected((detail > 0).then_some(Micros::from(detail) * 1000)),
         3 => Outcome::TimedOut,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::NotSent { no_slot: note == 1 },
-        n => return fault(format!("unknown outcome {n}")),
+        7 => Outcome::NotSent { no_slot: detail == 1 },
+        n => return wire_error(format!("unknown outcome {n}")),
     })
 }
 
-/// Decodes frames; keeps the numbered lists that the process was told.
+/// Decodes frames, and stores the numbered endpoint lists that they define.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    lists: [Option<Vec<EndpointEntry>>; LISTS],
-    /// How many classes each instance that was ever started knows.
+    lists: [Option<Vec<EndpointEntry>>; MAX_LISTS],
+    /// The number of classes of each instance that was ever started.
     classes: BTreeMap<u16, usize>,
 }
 
 impl Decoder {
-    /// Decodes a frame into what it says to each instance, in order.
+    /// Decodes a frame into the inputs of the instances, in order.
     ///
     /// # Errors
-    /// Fails on anything malformed.
+    /// Fails if anything in the frame is malformed.
     pub fn decode(&mut self, frame: &Frame) -> Result<Vec<(u16, Input)>, WireError> {
         if frame.count.checked_mul(EVENT_SIZE).is_none_or(|n| n > frame.body.len()) {
-            return fault("frame shorter than its records");
+            return wire_error("frame shorter than its records");
         }
         let (records, tail) = frame.body.split_at(frame.count * EVENT_SIZE);
-        let mut used = 0;
+        let mut data_end = 0;
         let mut inputs = Vec::with_capacity(frame.count);
         for record in records.chunks_exact(EVENT_SIZE) {
             let r = Bytes(record);
@@ -163,10 +168,10 @@
                 let end = n.checked_mul(size).and_then(|n| n.checked_add(start));
                 match end.and_then(|end| tail.get(start..end)) {
                     Some(bytes) => {
-                        used = used.max(start + bytes.len());
+                        data_end = data_end.max(start + bytes.len());
                         Ok(bytes)
                     }
-                    None => fault(format!("data at {start} for {n} lies outside the tail")),
+                    None => wire_error(format!("data at {start} for {n} lies outside the tail")),
                 }
             };
             let event = match record[0] {
@@ -178,8 +183,8 @@
                         .map(|e| entry(&Bytes(e)))
                         .collect::<Result<_, _>>()?;
                     match self.lists.get_mut(id) {
-                        Some(place) => *place = Some(list),
-                        None => return fault(format!("list number {id} out of range")),
+                        Some(slot) => *slot = Some(list),
+                        None => return wire_error(format!("list number {id} out of range")),
                     }
                     continue;
                 }
@@ -200,12 +205,14 @@
                     match r.u16(7) {
                         class if usize::from(class) < known => accepted(&r)?,
                         class => {
-                            return fault(format!("message of class {class}; its instance knows {known}"));
+                            return wire_error(format!(
+                                "message of class {class}; its instance knows {known}"
+                            ));
                         }
                     }
                 }
                 5 => Event::Withdrawn(r.message(3)),
-                6 => self.news(&r)?,
+                6 => self.list_update(&r)?,
                 7 => Event::AttemptCompleted {
                     message: r.message(3),
                     attempt: r.u16(13),
@@ -221,32 +228,35 @@
                     outcome: outcome(r.u16(13), 0)?,
                     report: r.report(15)?,
                 },
-                code => return fault(format!("unknown event code {code}")),
+                code => return wire_error(format!("unknown event code {code}")),
             };
             if !self.classes.contains_key(&r.u16(1)) {
-                return fault(format!("event for instance {}, which was never started", r.u16(1)));
+                return wire_error(format!("event for instance {}, which was never started", r.u16(1)));
             }
             inputs.push((r.u16(1), Input::Event(event)));
         }
-        if used < tail.len() {
-            return fault(format!("over-long frame: {} bytes belong to no record", tail.len() - used));
+        if data_end < tail.len() {
+            return wire_error(format!(
+                "over-long frame: {} bytes belong to no record",
+                tail.len() - data_end
+            ));
         }
         Ok(inputs)
     }
 
-    fn news(&self, r: &Bytes) -> Result<Event, WireError> {
+    fn list_update(&self, r: &Bytes) -> Result<Event, WireError> {
         let kind = r.0[3];
         if kind == 1 {
             return Ok(Event::DiscoveryFailed);
         }
         let id = r.u32(4) as usize;
         let Some(Some(list)) = self.lists.get(id) else {
-            return fault(format!("news refers to list {id}, which was never told"));
+            return wire_error(format!("news refers to list {id}, which was never told"));
         };
         match kind {
             0 => Ok(Event::EndpointChanges(list.clone())),
             2 | 3 => Ok(Event::EndpointList(list.clone())),
-            n => fault(format!("unknown kind of list news {n}")),
+            n => wire_error(format!("unknown kind of list news {n}")),
         }
     }
 }
@@ -254,7 +264,7 @@
 fn accepted(r: &Bytes) -> Result<Event, WireError> {
     let destination = r.f32(29);
     if destination.fract() != 0.0 || !(0.0..=f32::from(u16::MAX)).contains(&destination) {
-        return fault(format!("destination {destination} is no number of one"));
+        return wire_error(format!("destination {destination} is no number of one"));
     }
     let (key, options) = (r.u64(13), r.u16(33));
     Ok(Event::Accepted(Message {
@@ -279,68 +289,68 @@
             0 => Listing::Gone,
             1 => Listing::Ready,
             2 => Listing::Draining,
-            n => return fault(format!("unknown status {n} in a list")),
+            n => return wire_error(format!("unknown status {n} in a list")),
         },
     })
 }
 
-/// Encodes the reply to a batch: for each instance its actions, in order.
+/// Encodes the reply to a batch: the actions of each instance, in order.
 pub fn encode(reply: &[(u16, Vec<Action>)]) -> Vec<u8> {
     let (mut records, mut tail) = (Vec::new(), Vec::new());
     for (instance, action) in reply.iter().flat_map(|(i, actions)| actions.iter().map(move |a| (i, a))) {
         let mut r = Vec::with_capacity(ACTION_SIZE);
-        let mut begin = |code: u8| {
+        let mut begin_record = |code: u8| {
             r.push(code);
             r.extend(instance.to_le_bytes());
         };
         match action {
             Action::Attempt { message, endpoint, timeout, .. } => {
-                begin(65);
+                begin_record(65);
                 r.extend(message.0.to_le_bytes());
                 r.extend(endpoint.0);
-                r.extend(short(*timeout).to_le_bytes());
+                r.extend(micros_u32(*timeout).to_le_bytes());
             }
             Action::Reject { message, retry_after } => {
-                begin(66);
+                begin_record(66);
                 r.extend(message.0.to_le_bytes());
-                r.extend(short(*retry_after).to_le_bytes());
+                r.extend(micros_u32(*retry_after).to_le_bytes());
             }
             Action::Fail(message) => {
-                begin(67);
+                begin_record(67);
                 r.extend(message.0.to_le_bytes());
             }
             Action::Cancel { message, attempt } => {
-                begin(68);
+                begin_record(68);
                 r.extend(message.0.to_le_bytes());
                 r.extend(attempt.to_le_bytes());
             }
             Action::SetTimer { at, token } => {
-                begin(69);
+                begin_record(69);
                 r.extend(at.to_le_bytes());
                 r.extend(token.to_le_bytes());
             }
             Action::HealthCheck(endpoint) => {
-                begin(70);
+                begin_record(70);
                 r.extend(endpoint.0);
             }
             Action::CloseIdleConnections(endpoint) => {
-                begin(71);
+                begin_record(71);
                 r.extend(endpoint.0);
             }
             Action::SendGossip { to, content } => {
-                begin(72);
+                begin_record(72);
                 r.extend(to.unwrap_or(ALL_PEERS).to_le_bytes());
-                append(&mut r, &mut tail, content);
+                append_data(&mut r, &mut tail, content);
             }
             Action::Log(text) => {
-                begin(73);
-                append(&mut r, &mut tail, text.as_bytes());
+                begin_record(73);
+                append_data(&mut r, &mut tail, text.as_bytes());
             }
             Action::WatchEndpoints => {
-                begin(75);
+                begin_record(75);
                 r.push(1);
             }
-            Action::FetchEndpoints => begin(76),
+            Action::FetchEndpoints => begin_record(76),
         }
         r.resize(ACTION_SIZE, 0);
         records.extend(r);
@@ -354,11 +364,13 @@
     frame
 }
 
-fn short(span: Micros) -> u32 {
-    u32::try_from(span).unwrap_or(u32::MAX)
+/// Converts a time or duration to 32 bits; larger values become `u32::MAX`.
+fn micros_u32(time: Micros) -> u32 {
+    u32::try_from(time).unwrap_or(u32::MAX)
 }
 
-fn append(record: &mut Vec<u8>, tail: &mut Vec<u8>, data: &[u8]) {
+/// Appends data to the tail, and its position and length to the record.
+fn append_data(record: &mut Vec<u8>, tail: &mut Vec<u8>, data: &[u8]) {
     record.extend((tail.len() as u32).to_le_bytes());
     record.extend((data.len() as u32).to_le_bytes());
     tail.extend(data);
@@ -373,7 +385,7 @@
     dedup_window_us: Option<f64>,
     on_time_us: f64,
     hard_limit_us: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     importance: f64,
     #[serde(default)]
     late_worth: Option<f64>,
@@ -445,6 +457,7 @@
     probe: f64,
 }
 
+/// The settings with the simulator's own keys.
 #[derive(Deserialize)]
 struct RawSettings {
     classes: Vec<RawClass>,
@@ -465,28 +478,28 @@
     discovery: Option<String>,
     #[serde(default)]
     weights: Option<String>,
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     over_share_worth: f64,
     period_us: f64,
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
-/// Whole microseconds of a figure; what is negative or not a number is 0.
-fn micros(figure: f64) -> Micros {
-    figure as Micros
+/// Converts to whole microseconds; negative values and NaN become 0.
+fn micros(value: f64) -> Micros {
+    value as Micros
 }
 
-/// Reads the settings from their JSON; unknown keys are ignored.
+/// Parses the settings from JSON; unknown keys are ignored.
 ///
 /// # Errors
-/// Fails when the text is not JSON or lacks what is needed.
+/// Fails if the text is not valid JSON, or lacks a required key, or has an unknown value.
 pub fn settings(json: &[u8]) -> Result<Settings, WireError> {
     let raw: RawSettings = match serde_json::from_slice(json) {
         Ok(raw) => raw,
-        Err(e) => return fault(format!("settings: {e}")),
+        Err(e) => return wire_error(format!("settings: {e}")),
     };
     let field = |name: &str| raw.load_report.fields.iter().position(|f| f == name);
     let family = &raw.family_info;
@@ -505,7 +518,7 @@
         decay: match family.decay.as_deref() {
             None | Some("line") => Decay::Linear,
             Some("halves") => Decay::Halving,
-            Some(other) => return fault(format!("settings: unknown decay {other:?}")),
+            Some(other) => return wire_error(format!("settings: unknown decay {other:?}")),
         },
         max_calls: family.calls_out,
         max_messages: raw.limits.max_open,
@@ -555,7 +568,7 @@
             },
             window: micros(raw.dedup_window_us.unwrap_or(0.0)),
         },
-        other => return fault(format!("settings: unknown effect {other:?}")),
+        other => return wire_error(format!("settings: unknown effect {other:?}")),
     };
     Ok(Class {
         idempotency: effect,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many instances of the decision module on the bench's wire: frames in, frames out.
+//! Runs many instances of the decision module for the simulator: reads input frames from standard input, and writes one reply
+//! frame for each to standard output.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
@@ -25,8 +26,8 @@
     let mut instances: BTreeMap<u16, Policy> = BTreeMap::new();
     while let Some(frame) = read_frame(&mut input)? {
         let mut events: BTreeMap<u16, Vec<Event>> = BTreeMap::new();
-        for (instance, said) in decoder.decode(&frame)? {
-            match said {
+        for (instance, instance_input) in decoder.decode(&frame)? {
+            match instance_input {
                 Input::Boot { seed, settings } => {
                     instances.insert(instance, Policy::new(*settings, seed, frame.now));
                     events.insert(instance, Vec::new());
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames in and out, and what is malformed.
+//! Decoding and encoding of frames, and errors on malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_passed_over() {
-    let s = settings(SETTINGS.as_bytes()).expect("well formed");
+fn parses_settings_and_ignores_unknown_keys() {
+    let s = settings(SETTINGS.as_bytes()).expect("valid settings");
     assert_eq!(
         s.classes[0].idempotency,
         Idempotency::Keyed { scope: IdempotencyScope::Zone, window: 9_000_000 }
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_message_is_read() {
+fn decodes_message() {
     let fields: &[(usize, &[u8])] = &[
         (1, &[3]),
         (3, &7u32.to_le_bytes()),
@@ -96,10 +96,10 @@
 }
 
 #[test]
-fn an_outcome_is_read_with_its_wait_in_milliseconds() {
+fn decodes_outcome_with_retry_after_in_milliseconds() {
     let fields: &[(usize, &[u8])] =
         &[(1, &[3]), (3, &[7]), (7, &[2]), (9, &250u32.to_le_bytes()), (13, &[1]), (15, &[1, 2, 3, 4, 5, 6])];
-    let inputs = after_boot(&[record(7, fields)], b"").expect("well formed");
+    let inputs = after_boot(&[record(7, fields)], b"").expect("valid frame");
     let Input::Event(Event::AttemptCompleted { outcome, attempt, endpoint, terminal, .. }) = &inputs[0]
     else {
         panic!("{inputs:?}")
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn a_list_number_is_resolved_in_the_order_of_events() {
+fn resolves_list_numbers_in_order_of_records() {
     let mut entries = vec![0u8; 48];
     entries[15] = 1;
     entries[24 + 15] = 2;
     let list = |offset: u8| record(4, &[(5, &[offset, 0, 0, 0, 1, 0, 0, 0])]);
-    let news = record(6, &[(1, &[3]), (3, &[2])]);
-    let inputs =
-        after_boot(&[list(0), news.clone(), list(24), news], &entries).expect("a repeated number is legal");
+    let list_update = record(6, &[(1, &[3]), (3, &[2])]);
+    let inputs = after_boot(&[list(0), list_update.clone(), list(24), list_update], &entries)
+        .expect("a list number may be reused");
     let listing = |input: &Input| match input {
         Input::Event(Event::EndpointList(list)) => list[0].listing,
         other => panic!("{other:?}"),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_contract_shows() {
+fn encodes_actions_in_the_documented_format() {
     let endpoint = EndpointId([0x0a, 0x12, 0x4a, 0x07, 0x5b, 0x1b]);
     let message = MessageId(0x5d3a_91c4);
     let reply = encode(&[
@@ -166,17 +166,17 @@
 }
 
 #[test]
-fn empty_batches_are_legal() {
+fn accepts_empty_batches() {
     assert_eq!(decode(&frame(&[], b"")), Ok(vec![]));
     assert_eq!(decode(b""), Ok(vec![]));
 }
 
 #[test]
-fn what_is_malformed_is_named() {
-    let news = record(6, &[(1, &[3]), (3, &[2])]);
+fn errors_name_the_malformed_part() {
+    let list_update = record(6, &[(1, &[3]), (3, &[2])]);
     let cases: Vec<(Result<Vec<Input>, String>, &str)> = vec![
         (after_boot(&[record(99, &[])], b""), "unknown event code 99"),
-        (after_boot(&[news], b""), "list 0, which was never told"),
+        (after_boot(&[list_update], b""), "list 0, which was never told"),
         (after_boot(&[record(4, &[(5, &[9, 0, 0, 0, 1])])], b""), "outside the tail"),
         (after_boot(&[record(4, &[(1, &[16])])], b""), "list number 16 out of range"),
         (after_boot(&[], b"xx"), "over-long frame"),
@@ -188,7 +188,7 @@
     ];
     for (result, text) in cases {
         let error = result.expect_err(text);
-        assert!(error.contains(text) && !error.contains('\n'), "{error:?} names {text:?}");
+        assert!(error.contains(text) && !error.contains('\n'), "{error:?} does not name {text:?}");
     }
     for (bytes, text) in [
         (&frame(&[], b"abc")[..18], "truncated frame"),
@@ -199,10 +199,10 @@
         (&boot(&SETTINGS.replace("once", "maybe"))[..], "unknown effect"),
     ] {
         let error = decode(bytes).expect_err(text);
-        assert!(error.contains(text) && !error.contains('\n'), "{error:?} names {text:?}");
+        assert!(error.contains(text) && !error.contains('\n'), "{error:?} does not name {text:?}");
     }
-    let short = Frame { now: 0, count: 1, body: vec![] };
-    assert!(Decoder::default().decode(&short).is_err());
+    let truncated = Frame { now: 0, count: 1, body: vec![] };
+    assert!(Decoder::default().decode(&truncated).is_err());
 }
 
 fn adapter(input: &[u8]) -> Output {
@@ -211,40 +211,45 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    child.stdin.take().expect("piped").write_all(input).expect("the adapter reads");
-    child.wait_with_output().expect("the adapter ends")
+        .expect("the adapter did not start");
+    child
+        .stdin
+        .take()
+        .expect("standard input is piped")
+        .write_all(input)
+        .expect("the adapter did not read its input");
+    child.wait_with_output().expect("the adapter did not exit")
 }
 
 #[test]
-fn the_adapter_answers_each_batch_and_ends_with_its_input() {
+fn adapter_answers_each_batch_and_exits_at_end_of_input() {
     let mut input = frame(&[], b"");
     input.extend(boot(SETTINGS));
-    // Killed and started in one batch, then an outcome of a message no longer held.
+    // The instance is killed and started in one batch; then an outcome arrives for a message that it no longer has.
     let length = (SETTINGS.len() as u32).to_le_bytes();
-    let start = record(8, &[(1, &[3]), (15, &length)]);
-    input.extend(frame(&[record(9, &[(1, &[3])]), start], SETTINGS.as_bytes()));
+    let boot_record = record(8, &[(1, &[3]), (15, &length)]);
+    input.extend(frame(&[record(9, &[(1, &[3])]), boot_record], SETTINGS.as_bytes()));
     input.extend(frame(&[record(7, &[(1, &[3])]), record(10, &[(1, &[3])])], b""));
     let output = adapter(&input);
     assert!(output.status.success());
     assert!(output.stderr.is_empty());
-    let mut rest = &output.stdout[..];
+    let mut remaining = &output.stdout[..];
     let mut replies = 0;
-    while !rest.is_empty() {
-        let length = u32::from_le_bytes([rest[0], rest[1], rest[2], rest[3]]) as usize;
-        rest = &rest[8 + length..];
+    while !remaining.is_empty() {
+        let length = u32::from_le_bytes([remaining[0], remaining[1], remaining[2], remaining[3]]) as usize;
+        remaining = &remaining[8 + length..];
         replies += 1;
     }
     assert_eq!(replies, 4);
 }
 
 #[test]
-fn the_adapter_names_a_fault_in_one_line_and_stops() {
+fn adapter_reports_an_error_in_one_line_and_exits() {
     let mut input = frame(&[], b"");
     input.extend(frame(&[record(99, &[])], b""));
     let output = adapter(&input);
     assert!(!output.status.success());
-    let text = String::from_utf8(output.stderr).expect("plain text");
+    let text = String::from_utf8(output.stderr).expect("the error is UTF-8");
     assert_eq!(text, "myrtleyard-adapter: unknown event code 99\n");
     assert_eq!(output.stdout, [0; 8], "the reply to the good batch and nothing more");
 }
