--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -91,11 +91,11 @@
     }
 }
 
-/// A server whose requests the test receives and answers one by one.
+/// A server on loopback. Its requests wait until the test answers them.
 pub struct Served {
     /// The address it listens on.
     pub address: SocketAddr,
-    pub(crate) asked: Receiver<Asked>,
+    pub(crate) requests: Receiver<Asked>,
 }
 
 impl Default for Served {
@@ -109,24 +109,24 @@
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (request_sender, asked) = channel();
+        let (request_sender, requests) = channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
                 let (request_sender, stream) = (request_sender.clone(), stream.unwrap());
                 thread::spawn(move || serve(stream, connection, &request_sender));
             }
         });
-        Self { address, asked }
+        Self { address, requests }
     }
 
     /// Waits for the next request.
     pub fn next(&self) -> Asked {
-        self.asked.recv_timeout(TIMEOUT).expect("no request arrived")
+        self.requests.recv_timeout(TIMEOUT).expect("no request arrived")
     }
 
     /// Returns a request if one has already arrived.
     pub fn poll(&self) -> Option<Asked> {
-        self.asked.try_recv().ok()
+        self.requests.try_recv().ok()
     }
 
     /// Returns whether a request has arrived that the test has not received yet; that request is dropped.
--- a/crates/test-doubles/src/partner.rs
+++ b/crates/test-doubles/src/partner.rs
@@ -82,7 +82,7 @@
     }
 
     /// Starts a partner with limits.
-    pub fn with_terms(behavior: Behavior, terms: Terms) -> Self {
+    pub fn with_terms(behavior: Behavior, limits: Terms) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let partner = Self {
@@ -91,7 +91,7 @@
                 behavior,
                 answered: 0,
                 effects: HashMap::new(),
-                history: CallHistory::new(terms),
+                history: CallHistory::new(limits),
                 in_flight: 0,
                 at_once: 0,
             })),
--- a/crates/test-doubles/src/partner_limits.rs
+++ b/crates/test-doubles/src/partner_limits.rs
@@ -56,7 +56,7 @@
 /// The calls that arrived at a partner and the limits that its answers announced.
 #[derive(Debug, Clone, Default)]
 pub struct CallHistory {
-    terms: Terms,
+    limits: Terms,
     /// When the last byte of each call arrived.
     arrivals: Vec<SystemTime>,
     /// The arrivals within the latest [`LIMIT_WINDOW`], in order.
@@ -82,15 +82,15 @@
 
 impl CallHistory {
     /// Returns an empty history.
-    pub fn new(terms: Terms) -> Self {
-        Self { terms, ..Self::default() }
+    pub fn new(limits: Terms) -> Self {
+        Self { limits, ..Self::default() }
     }
 
     /// Records a call whose last byte arrived at that time, and returns what its answer must contain.
     pub fn call_arrived(&mut self, at: SystemTime) -> RequiredAnswer {
         self.arrivals.push(at);
         let mut required = RequiredAnswer::default();
-        if let Some(limit) = self.terms.limit {
+        if let Some(limit) = self.limits.limit {
             // The partner's threads may report calls in another order than that of their arrival.
             let index = self.window.partition_point(|arrival| *arrival <= at);
             self.window.insert(index, at);
@@ -105,7 +105,7 @@
                 return required;
             }
         }
-        if let Some((every_nth, wait)) = self.terms.waits
+        if let Some((every_nth, wait)) = self.limits.waits
             && (self.arrivals.len() as u64).is_multiple_of(every_nth)
         {
             (required.status, required.retry_after) = (Some(429), Some(wait));
--- a/crates/test-doubles/src/partner_limits/tests.rs
+++ b/crates/test-doubles/src/partner_limits/tests.rs
@@ -10,8 +10,8 @@
 }
 
 fn violations_of_retry_after(calls: &[u64], (from, to): (u64, u64)) -> Vec<Violation> {
-    let terms = Terms { waits: Some((1_000, Duration::from_secs(1))), limit: None };
-    let mut history = CallHistory::new(terms);
+    let limits = Terms { waits: Some((1_000, Duration::from_secs(1))), limit: None };
+    let mut history = CallHistory::new(limits);
     for ms in calls {
         history.call_arrived(at(*ms));
     }
--- a/crates/test-doubles/src/platform.rs
+++ b/crates/test-doubles/src/platform.rs
@@ -71,7 +71,7 @@
         let served_capacity = capacity.clone();
         let address = served.address;
         thread::spawn(move || {
-            while let Ok(request) = served.asked.recv() {
+            while let Ok(request) = served.requests.recv() {
                 if request.http.first.starts_with("POST /reports ") {
                     let _ = notification_sender.send(request);
                     continue;
