--- a/crates/sender/tests/node/lost.rs
+++ b/crates/sender/tests/node/lost.rs
@@ -132,7 +132,7 @@
 
 /// Hands in so many notes, of which the first is turned away once: what comes next goes at the least pace,
 /// a call in 2 s, and one call at a time until one is accepted.
-fn turned_away(node: &Node, endpoint: &Served, ids: &[&str], within_ms: u32) -> Asked {
+fn turned_away(node: &Node, endpoint: &Served, ids: &[&str], within_ms: u32) -> PendingRequest {
     assert_eq!(node.submit(ids[0], "note", 7, within_ms).status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], ids[0]);
--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -26,7 +26,7 @@
 }
 
 /// The messages of a batch, by id.
-fn ids(asked: &Asked) -> Vec<String> {
+fn ids(asked: &PendingRequest) -> Vec<String> {
     let parts = asked.http.json();
     parts.as_array().unwrap().iter().map(|p| p["id"].as_str().unwrap().to_owned()).collect()
 }
--- a/crates/sender/tests/node/rough.rs
+++ b/crates/sender/tests/node/rough.rs
@@ -210,7 +210,7 @@
 }
 
 /// Answers a call so that its message may have run, and tells which one the platform hears of.
-fn unsafe_reply(platform: &Platform, call: Asked) -> String {
+fn unsafe_reply(platform: &Platform, call: PendingRequest) -> String {
     call.reply(status(500));
     platform.answer_notification(204)[0]["id"].as_str().unwrap().to_owned()
 }
--- a/crates/sender/tests/node/waits.rs
+++ b/crates/sender/tests/node/waits.rs
@@ -62,7 +62,7 @@
 
 /// A sender with two endpoints of one destination: a call is out at the first, and one more is decided, whose connection to
 /// the second does not come up yet.
-fn two_calls(platform: &Platform, first: &Served, second: &Clogged) -> (Node, Asked) {
+fn two_calls(platform: &Platform, first: &Served, second: &Clogged) -> (Node, PendingRequest) {
     let known = [listing("e1", 7, "plain", first.address), listing("e2", 7, "plain", second.address)];
     let node = Node::start(&program(), platform, &known, |config| {
         config["settings"]["limits"]["connect_timeout_us"] = json!(6_000_000);
@@ -73,7 +73,7 @@
     (node, asked)
 }
 
-fn told(asked: Asked) -> Instant {
+fn told(asked: PendingRequest) -> Instant {
     asked.reply(Reply::Answer(
         429,
         vec![("retry-after", format!("{:.3}", WAIT.as_secs_f64()))],
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -74,7 +74,7 @@
 }
 
 /// A received request that waits for the test's reply.
-pub struct Asked {
+pub struct PendingRequest {
     /// The request.
     pub http: Http,
     /// The number of the connection it arrived on.
@@ -84,7 +84,7 @@
     pub closed: Receiver<()>,
 }
 
-impl Asked {
+impl PendingRequest {
     /// Replies to the request.
     pub fn reply(self, reply: Reply) {
         let _ = self.reply.send(reply);
@@ -95,7 +95,7 @@
 pub struct Served {
     /// The address it listens on.
     pub address: SocketAddr,
-    pub(crate) requests: Receiver<Asked>,
+    pub(crate) requests: Receiver<PendingRequest>,
 }
 
 impl Default for Served {
@@ -120,12 +120,12 @@
     }
 
     /// Waits for the next request.
-    pub fn next(&self) -> Asked {
+    pub fn next(&self) -> PendingRequest {
         self.requests.recv_timeout(TIMEOUT).expect("no request arrived")
     }
 
     /// Returns a request if one has already arrived.
-    pub fn poll(&self) -> Option<Asked> {
+    pub fn poll(&self) -> Option<PendingRequest> {
         self.requests.try_recv().ok()
     }
 
@@ -135,13 +135,13 @@
     }
 }
 
-fn serve(stream: TcpStream, connection: usize, request_sender: &Sender<Asked>) {
+fn serve(stream: TcpStream, connection: usize, request_sender: &Sender<PendingRequest>) {
     let mut output = stream.try_clone().unwrap();
     let mut input = BufReader::new(stream);
     while let Some(http) = Http::read(&mut input) {
         let (reply, replied) = channel();
         let (closed_sender, closed) = channel();
-        if request_sender.send(Asked { http, connection, reply, closed }).is_err() {
+        if request_sender.send(PendingRequest { http, connection, reply, closed }).is_err() {
             return;
         }
         // A client sends nothing more before it has its answer: an end of the stream means that it closed the connection.
--- a/crates/test-doubles/src/platform.rs
+++ b/crates/test-doubles/src/platform.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::TIMEOUT;
-use crate::http::{Asked, Reply, Served, status};
+use crate::http::{PendingRequest, Reply, Served, status};
 
 /// The platform: it serves the endpoint list and receives notifications.
 pub struct Platform {
@@ -20,7 +20,7 @@
     list: Arc<(Mutex<Value>, Condvar)>,
     capacity: Arc<Mutex<ListCapacity>>,
     /// Receives the requests that carry notifications.
-    pub notifications: Receiver<Asked>,
+    pub notifications: Receiver<PendingRequest>,
 }
 
 /// The capacity of discovery for requests for the list, and its use.
@@ -122,7 +122,7 @@
     }
 
     /// Takes the receiver of notifications; a second call returns one that is disconnected.
-    pub fn take_notifications(&mut self) -> Receiver<Asked> {
+    pub fn take_notifications(&mut self) -> Receiver<PendingRequest> {
         std::mem::replace(&mut self.notifications, channel().1)
     }
 
