--- a/crates/loadtest/src/compaction_kills.rs
+++ b/crates/loadtest/src/compaction_kills.rs
@@ -78,7 +78,7 @@
                 heard(ClientAnswer::Accepted),
                 heard(ClientAnswer::Rejected),
                 heard(ClientAnswer::Failed),
-                heard(ClientAnswer::Nothing),
+                heard(ClientAnswer::NoAnswer),
                 newest(&node.state()),
             );
         }
--- a/crates/loadtest/src/demo.rs
+++ b/crates/loadtest/src/demo.rs
@@ -91,7 +91,7 @@
     // What is held has its end at its deadline at the latest, and a notice is due 300 ms later.
     let patience = Duration::from_millis(u64::from(plan.within_ms) + 1_000);
     let ends = Ends::wait(patience, || Ends::of(&said, &effects(), &notices.all()));
-    let nothing = said.values().filter(|m| m.answer == ClientAnswer::Nothing).count();
+    let nothing = said.values().filter(|m| m.answer == ClientAnswer::NoAnswer).count();
     if !ends.lost.is_empty() || !ends.twice.is_empty() || nothing > 0 {
         return Err(format!(
             "without an end {:?}, twice {:?}, {nothing} clients without an answer",
--- a/crates/loadtest/src/endings.rs
+++ b/crates/loadtest/src/endings.rs
@@ -226,7 +226,7 @@
     let mut came = lane.came;
     (came.delivered, came.noticed) = (ends.delivered, ends.noticed);
     came.taken = ends.delivered + ends.noticed;
-    came.unheard = said.values().filter(|message| message.answer == ClientAnswer::Nothing).count();
+    came.unheard = said.values().filter(|message| message.answer == ClientAnswer::NoAnswer).count();
     Ok(came)
 }
 
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -25,7 +25,7 @@
     /// Any other answer.
     Failed,
     /// No answer: the connection failed or could not be made, or the client timed out.
-    Nothing,
+    NoAnswer,
 }
 
 /// A message that a client submitted.
@@ -110,9 +110,9 @@
                         Some(202) => ClientAnswer::Accepted,
                         Some(503) => ClientAnswer::Rejected,
                         Some(_) => ClientAnswer::Failed,
-                        None => ClientAnswer::Nothing,
+                        None => ClientAnswer::NoAnswer,
                     };
-                    if outcome == ClientAnswer::Nothing {
+                    if outcome == ClientAnswer::NoAnswer {
                         connection = None;
                     }
                     let (latency, at) = (sent_at.elapsed(), sent_at.duration_since(start));
