--- a/crates/test-doubles/src/lossy_network.rs
+++ b/crates/test-doubles/src/lossy_network.rs
@@ -13,7 +13,7 @@
     /// The share that is lost; 1 for a link that is down.
     pub lost: f64,
     /// The share that is delivered twice.
-    pub doubled: f64,
+    pub duplicate_rate: f64,
     /// The delay.
     pub late: Duration,
 }
@@ -71,7 +71,7 @@
                         let (fault, lost, doubled) = {
                             let mut state = state.lock().unwrap();
                             let fault = state.faults[from][to];
-                            (fault, state.random() < fault.lost, state.random() < fault.doubled)
+                            (fault, state.random() < fault.lost, state.random() < fault.duplicate_rate)
                         };
                         if lost {
                             continue;
@@ -118,5 +118,5 @@
 
 impl Fault {
     /// A link that is down: every datagram is lost.
-    pub const CUT: Self = Self { lost: 1.0, doubled: 0.0, late: Duration::ZERO };
+    pub const CUT: Self = Self { lost: 1.0, duplicate_rate: 0.0, late: Duration::ZERO };
 }
