--- a/crates/test-doubles/src/lossy_network.rs
+++ b/crates/test-doubles/src/lossy_network.rs
@@ -15,7 +15,7 @@
     /// The share that is delivered twice.
     pub duplicate_rate: f64,
     /// The delay.
-    pub late: Duration,
+    pub delay: Duration,
 }
 
 struct State {
@@ -83,11 +83,11 @@
                                 let _ = reverse.send_to(&datagram, target);
                             }
                         };
-                        if fault.late.is_zero() {
+                        if fault.delay.is_zero() {
                             deliver();
                         } else {
                             thread::spawn(move || {
-                                thread::sleep(fault.late);
+                                thread::sleep(fault.delay);
                                 deliver();
                             });
                         }
@@ -118,5 +118,5 @@
 
 impl Fault {
     /// A link that is down: every datagram is lost.
-    pub const CUT: Self = Self { lost: 1.0, duplicate_rate: 0.0, late: Duration::ZERO };
+    pub const CUT: Self = Self { lost: 1.0, duplicate_rate: 0.0, delay: Duration::ZERO };
 }
