--- a/crates/sender/tests/node/shared.rs
+++ b/crates/sender/tests/node/shared.rs
@@ -62,7 +62,7 @@
     }
     wait_until(|| fleet.believes_ill(3));
     assert!(!fleet.believes_ill(4), "{}", fleet.shows(4));
-    fleet.switch.set(|_, _| Fault { lost: 0.2, duplicate_rate: 0.2, ..Fault::default() });
+    fleet.switch.set(|_, _| Fault { loss_rate: 0.2, duplicate_rate: 0.2, ..Fault::default() });
     wait_until(|| fleet.believes_ill(4));
     partner.set(Behavior::Healthy(std::time::Duration::from_millis(1)));
     wait_until(|| (0..5).all(|rank| !fleet.believes_ill(rank)));
--- a/crates/test-doubles/src/lossy_network.rs
+++ b/crates/test-doubles/src/lossy_network.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Fault {
     /// The share that is lost; 1 for a link that is down.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// The share that is delivered twice.
     pub duplicate_rate: f64,
     /// The delay.
@@ -71,7 +71,7 @@
                         let (fault, lost, doubled) = {
                             let mut state = state.lock().unwrap();
                             let fault = state.faults[from][to];
-                            (fault, state.random() < fault.lost, state.random() < fault.duplicate_rate)
+                            (fault, state.random() < fault.loss_rate, state.random() < fault.duplicate_rate)
                         };
                         if lost {
                             continue;
@@ -118,5 +118,5 @@
 
 impl Fault {
     /// A link that is down: every datagram is lost.
-    pub const CUT: Self = Self { lost: 1.0, duplicate_rate: 0.0, delay: Duration::ZERO };
+    pub const CUT: Self = Self { loss_rate: 1.0, duplicate_rate: 0.0, delay: Duration::ZERO };
 }
