--- a/crates/sender/tests/node/lost.rs
+++ b/crates/sender/tests/node/lost.rs
@@ -31,7 +31,7 @@
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     delivered(&node, &endpoint, "a", "order", status(200));
     let (tell, broken) = channel();
-    let kept = delivered(&node, &endpoint, "b", "order", Reply::Forget(tell));
+    let kept = delivered(&node, &endpoint, "b", "order", Reply::ResetOnNextBytes(tell));
     hand_in(&node, "c", "order");
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "c");
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -65,7 +65,7 @@
     /// Closes the connection without an answer.
     Close,
     /// Answers with 200, then resets the connection as soon as anything more arrives on it, and notifies this sender.
-    Forget(Sender<()>),
+    ResetOnNextBytes(Sender<()>),
 }
 
 /// Returns an answer with that status and no body.
@@ -177,7 +177,7 @@
                 }
             }
             Reply::Close => return,
-            Reply::Forget(reset_sender) => {
+            Reply::ResetOnNextBytes(reset_sender) => {
                 let answer = b"HTTP/1.1 200 X\r\ncontent-length: 0\r\n\r\n";
                 if output.write_all(answer).is_ok() && matches!(watched.peek(&mut [0]), Ok(1)) {
                     let _ = reset_sender.send(());
