--- a/crates/sender/tests/node/bad.rs
+++ b/crates/sender/tests/node/bad.rs
@@ -17,7 +17,7 @@
 /// answered; the next connection is as good as ever.
 #[test]
 fn what_is_no_message_is_told_so_and_leaves_nothing_behind() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let cases: Vec<(&str, Vec<u8>, u16)> = vec![
         ("no HTTP", b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 hello\r\n\r\n".to_vec(), 400),
@@ -70,7 +70,7 @@
 /// An id that is held already is the same message: one call, and both are told that it is taken on.
 #[test]
 fn an_id_that_comes_twice_is_one_message() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
--- a/crates/sender/tests/node/closes.rs
+++ b/crates/sender/tests/node/closes.rs
@@ -28,7 +28,7 @@
 /// Of pipelined messages the first so many have their answer, and they alone are forwarded; tells how many that is. The process ends.
 fn answered_alone_are_forwarded(
     node: &mut Node,
-    endpoint: &Served,
+    endpoint: &ScriptedServer,
     ids: &[String],
     answers: &[Http],
 ) -> usize {
@@ -58,7 +58,7 @@
 fn pipelined_requests_are_answered_in_their_order() {
     const COUNT: usize = 48;
     for (prefix, piece) in [("whole", usize::MAX), ("cut", 97)] {
-        let (platform, endpoint) = (Platform::new(), Served::new());
+        let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
         let mut text = vec![];
         for id in named(prefix, COUNT) {
@@ -91,7 +91,7 @@
 fn pipelined_requests_that_cross_a_shutdown_are_answered_or_not_accepted() {
     let mut answered = 0;
     for round in 0..ROUNDS {
-        let (platform, endpoint) = (Platform::new(), Served::new());
+        let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let known = [listing("e1", 7, "plain", endpoint.address)];
         let mut node = Node::start(&program(), &platform, &known, |_| {});
         let mut client = Client::new(&node);
@@ -114,7 +114,7 @@
 #[test]
 fn a_request_in_flight_is_answered_at_a_shutdown_though_more_lies_behind_it() {
     for round in 0..ROUNDS {
-        let (platform, endpoint) = (Platform::new(), Served::new());
+        let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let known = [listing("e1", 7, "plain", endpoint.address)];
         // Ticks far apart: the first is open as the process is asked to end.
         let mut node = Node::start(&program(), &platform, &known, |config| {
@@ -136,7 +136,7 @@
 /// Guards against accepting more than the one request that a new connection is owed after SIGTERM.
 #[test]
 fn of_requests_pipelined_after_a_shutdown_the_first_alone_is_accepted() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut kept = Client::new(&node);
     assert_eq!(kept.ask(READY).status(), 200);
@@ -157,7 +157,7 @@
 /// process ends. (Where nothing was read together with it, it is answered: `endings`. What the library has read ahead it tells nobody.)
 #[test]
 fn a_pipelined_request_that_was_read_in_part_is_answered_or_not_accepted_as_the_process_ends() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let (mut kept, mut half) = (Client::new(&node), Client::new(&node));
     assert_eq!(kept.ask(READY).status(), 200);
@@ -177,7 +177,7 @@
 #[test]
 fn a_request_that_crosses_the_end_of_an_idle_connection_is_answered_or_not_accepted() {
     const CLIENTS: usize = 12;
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| Client::new(&node)).collect();
     for client in clients.iter_mut().step_by(2) {
@@ -215,7 +215,7 @@
 #[test]
 fn a_client_that_ends_its_sending_or_goes_before_its_answer_withdraws_its_message() {
     const CLIENTS: usize = 4;
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     // Ticks far apart: the end of the sending is there before the answer.
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["settings"]["period_us"] = json!(300_000);
--- a/crates/sender/tests/node/cores.rs
+++ b/crates/sender/tests/node/cores.rs
@@ -16,7 +16,7 @@
 /// Whichever core a client's connection is on, and whichever owns the destination.
 #[test]
 fn messages_pass_through_any_core_to_any_other() {
-    let (platform, served) = (Platform::new(), Served::new());
+    let (platform, served) = (Platform::new(), ScriptedServer::new());
     let known: Vec<_> =
         (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
     let (node, _folder) = start(&platform, &known, 3);
@@ -37,7 +37,7 @@
 /// Guards a restart with another number of cores: each finds what is its own then.
 #[test]
 fn what_was_taken_on_is_found_by_another_number_of_cores() {
-    let (platform, served) = (Platform::new(), Served::new());
+    let (platform, served) = (Platform::new(), ScriptedServer::new());
     let known: Vec<_> =
         (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
     let (node, folder) = start(&platform, &known, 4);
@@ -75,7 +75,7 @@
 /// comes with it holds there.
 #[test]
 fn a_call_that_is_out_while_its_destination_moves_is_heard_by_the_new_owner() {
-    let (platform, served) = (Platform::new(), Served::new());
+    let (platform, served) = (Platform::new(), ScriptedServer::new());
     let (node, _folder) = start(&platform, &[listing("e7", 7, "plain", served.address)], 3);
     for core in [0, 1, 2, 0] {
         assert_eq!(node.submit(&format!("a{core}"), "order", 7, 20_000).status(), 202);
@@ -101,7 +101,7 @@
 /// Guards a drain and what is held out by hand against a core that has not heard of them.
 #[test]
 fn what_is_drained_or_held_out_gets_nothing_from_any_core() {
-    let (platform, served) = (Platform::new(), Served::new());
+    let (platform, served) = (Platform::new(), ScriptedServer::new());
     let known: Vec<_> =
         (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
     let (node, _folder) = start(&platform, &known, 4);
@@ -147,7 +147,7 @@
 fn a_process_with_other_cores_takes_over_what_all_had() {
     let held = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = held.local_addr().unwrap();
-    let (platform, served) = (Platform::new(), Served::new());
+    let (platform, served) = (Platform::new(), ScriptedServer::new());
     let known: Vec<_> =
         (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
     let folder = tempfile::tempdir().unwrap();
--- a/crates/sender/tests/node/crowded.rs
+++ b/crates/sender/tests/node/crowded.rs
@@ -9,7 +9,7 @@
 /// would trickle.
 #[test]
 fn a_connection_that_found_no_place_slows_nothing_down() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut listed = listing("e1", 7, "plain", endpoint.address);
     listed["weight"] = json!(20.0);
     let node = Node::start(&program(), &platform, &[listed], |_| {});
@@ -44,7 +44,7 @@
 #[test]
 fn a_refusal_with_a_report_or_on_a_kept_connection_is_a_limit() {
     for (kept, report) in [(false, true), (true, false)] {
-        let (platform, endpoint) = (Platform::new(), Served::new());
+        let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
         let ids = if kept { vec!["a", "b", "c"] } else { vec!["c"] };
         for id in &ids {
--- a/crates/sender/tests/node/duty.rs
+++ b/crates/sender/tests/node/duty.rs
@@ -18,7 +18,7 @@
 /// Guards what is held out by hand against a list that names it again, and against the end of the process.
 #[test]
 fn an_endpoint_that_is_held_out_gets_nothing_until_it_is_put_back() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let listed = [listing("e1", 7, "plain", endpoint.address)];
     let node = start(&platform, &listed);
     assert_eq!(node.ops("POST", "/maintenance/enter?target=e9").status(), 404, "no list named it");
@@ -54,7 +54,7 @@
 /// over which a message could come later.
 #[test]
 fn clients_are_sent_away_and_taken_again() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     let (mut idle, mut busy) = (Client::new(&node), Client::new(&node));
     for client in [&mut idle, &mut busy] {
@@ -82,7 +82,7 @@
 
 #[test]
 fn the_figures_are_what_clients_and_endpoints_saw() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(node.ops("GET", "/status").status(), 200);
     for id in ["a", "b", "c"] {
@@ -108,7 +108,7 @@
 /// Guards callers against others that connect and say nothing.
 #[test]
 fn silent_callers_keep_nobody_out() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     let mut silent: Vec<_> = (0..100).map(|_| TcpStream::connect(node.admin.unwrap()).unwrap()).collect();
     assert_eq!(node.ops("GET", "/status").status(), 200);
--- a/crates/sender/tests/node/endings.rs
+++ b/crates/sender/tests/node/endings.rs
@@ -14,7 +14,7 @@
 #[test]
 fn no_answer_is_waited_for_up_to_the_end_of_a_messages_time() {
     const WITHIN: Duration = Duration::from_millis(400);
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut client = Client::new(&node);
     let early = (0..200).any(|n| {
@@ -58,7 +58,7 @@
 /// when the process has long seen both.
 #[test]
 fn a_new_connection_is_answered_once_while_the_process_ends() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut kept = Client::new(&node);
     assert_eq!(kept.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n").status(), 200);
@@ -82,7 +82,7 @@
 /// Guards a request of which a part was read as the process was asked to end: it is answered, and that is the last answer.
 #[test]
 fn a_request_that_was_read_in_part_is_answered_while_the_process_ends() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
     let (mut kept, mut half) = (Client::new(&node), Client::new(&node));
@@ -135,7 +135,7 @@
 /// answer to the second was decided, and before its own, can't be held from outside.)
 #[test]
 fn who_says_it_once_more_is_owed_its_end_though_the_first_connection_goes() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     let (mut first, mut second) = (Client::new(&node), Client::new(&node));
     for client in [&mut first, &mut second] {
@@ -157,7 +157,7 @@
 /// What a restart finds taken on and untried is tried, as soon as there is somewhere to go, and what became of it is told.
 #[test]
 fn what_a_restart_finds_untried_is_tried_and_told_of() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[draining("e0", 7), draining("e1", 8)], |_| {});
     for n in 0..3 {
         assert_eq!(node.submit(&format!("m{n}"), "order", 7, 20_000).status(), 202);
@@ -186,7 +186,7 @@
 #[test]
 fn what_a_restart_finds_untried_does_not_make_way() {
     const OLD: usize = 12;
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |config| {
         config["settings"]["limits"]["max_open"] = json!(16);
     });
@@ -215,7 +215,7 @@
 /// Guards those that travel together against the end of the first before its call's, which was taken for the end of all.
 #[test]
 fn of_messages_that_travel_together_the_one_with_most_time_is_the_first() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     for (id, within) in [("short", 3_000), ("long", 20_000), ("shorter", 2_000)] {
         assert_eq!(node.submit(id, "order", 7, within).status(), 202);
@@ -231,7 +231,7 @@
 #[test]
 fn what_was_taken_on_under_other_settings_is_bound_by_both() {
     for [before, after] in [["once", "repeatable"], ["repeatable", "once"]] {
-        let (platform, endpoint) = (Platform::new(), Served::new());
+        let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let known = [listing("e1", 7, "plain", endpoint.address)];
         let node = Node::start(&program(), &platform, &known, |config| {
             config["settings"]["classes"][1]["effect"] = json!(before);
@@ -268,7 +268,7 @@
 fn an_answer_that_is_read_after_the_end_is_no_end() {
     // Of the message's time, and of what a call gets of it.
     for (within, aim) in [(400, 4000), (20_000, 400)] {
-        let (platform, endpoint) = (Platform::new(), Served::new());
+        let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let known = [listing("e1", 7, "plain", endpoint.address)];
         let node = Node::start(&program(), &platform, &known, |config| {
             config["settings"]["classes"][1]["on_time_us"] = json!(aim * 1000);
--- a/crates/sender/tests/node/kept.rs
+++ b/crates/sender/tests/node/kept.rs
@@ -27,7 +27,7 @@
 /// unseen may come again.
 #[test]
 fn an_order_that_ended_is_told_its_end_after_a_restart() {
-    let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
+    let (platform, seven, eight) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
     let known = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let (node, _folder) = start(&platform, &known, "[journal]\nretain = \"1h\"\nledger = \"10kB\"\n");
     assert_eq!(node.submit("delivered", "order", 7, 20_000).status(), 202);
@@ -72,7 +72,7 @@
 /// Guards against damage that hides an attempt: what may be affected is not sent, and it is said.
 #[test]
 fn what_a_damaged_journal_may_hide_is_not_sent_again() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     assert_eq!(node.submit("early", "order", 7, 20_000).status(), 202);
     let from = node.journal_length();
@@ -137,7 +137,7 @@
 /// journal's newest time is put an hour ahead, which looks the same.
 #[test]
 fn with_a_clock_that_was_set_back_ages_are_not_known() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
     let call = endpoint.next();
@@ -182,7 +182,7 @@
 /// The looks tell what is owed, since when, and what may have run, beside the running sender.
 #[test]
 fn the_looks_tell_what_is_owed() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let known = [listing("e1", 7, "plain", endpoint.address), draining("e0", 9)];
     let node = Node::start(&program(), &platform, &known, |_| {});
     assert_eq!(node.submit("out", "order", 7, 20_000).status(), 202);
--- a/crates/sender/tests/node/known.rs
+++ b/crates/sender/tests/node/known.rs
@@ -31,7 +31,7 @@
 /// Guards a partner that told a wait against a process that was killed meanwhile.
 #[test]
 fn a_wait_that_was_told_outlasts_a_kill() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let (node, _folder) =
         start(&platform, &[listing("e1", 7, "plain", endpoint.address)], "clock = \"boot\"\n", |_| {});
     assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
@@ -48,7 +48,7 @@
 /// Guards a partner that is down against all that a process would make to find out.
 #[test]
 fn a_partner_that_was_down_gets_one_call_from_the_next_process() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let (node, _folder) =
         start(&platform, &[listing("e1", 7, "plain", endpoint.address)], "clock = \"boot\"\n", |_| {});
     for n in 0..5 {
@@ -73,7 +73,7 @@
 /// Guards an endpoint that drains: the configuration's list is older than what the process before was told.
 #[test]
 fn a_drain_that_was_told_is_known_while_discovery_is_silent() {
-    let (platform, leaves, stays) = (Platform::new(), Served::new(), Served::new());
+    let (platform, leaves, stays) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
     let mut listed = [listing("e1", 7, "plain", leaves.address), listing("e2", 7, "plain", stays.address)];
     let (node, _folder) = start(&platform, &listed, "", |_| {});
     listed[0]["status"] = json!("leaving");
@@ -92,7 +92,7 @@
 
 #[test]
 fn without_the_table_nothing_is_kept() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     for id in ["a", "b"] {
         assert_eq!(node.submit(id, "order", 7, 20_000).status(), 202);
--- a/crates/sender/tests/node/lost.rs
+++ b/crates/sender/tests/node/lost.rs
@@ -12,7 +12,7 @@
 }
 
 /// Has a message delivered; tells on which connection.
-fn delivered(node: &Node, endpoint: &Served, id: &str, class: &str, reply: Reply) -> usize {
+fn delivered(node: &Node, endpoint: &ScriptedServer, id: &str, class: &str, reply: Reply) -> usize {
     hand_in(node, id, class);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], id);
@@ -27,7 +27,7 @@
 /// with its last byte gone it would count as one that may have run, and fail.
 #[test]
 fn a_kept_connection_that_breaks_at_the_next_request_fails_no_message() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     delivered(&node, &endpoint, "a", "order", status(200));
     let (tell, broken) = channel();
@@ -45,7 +45,7 @@
 /// Guards what must not run twice against kept connections while such are lost: others may still use them.
 #[test]
 fn after_a_kept_connection_was_lost_an_unsafe_message_gets_a_new_one() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     delivered(&node, &endpoint, "a", "note", status(200));
     let kept = delivered(&node, &endpoint, "b", "note", status(200));
@@ -68,7 +68,7 @@
 /// Guards against taking two lost connections for an outage: what comes after it would trickle.
 #[test]
 fn two_lost_connections_are_no_outage() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut listed = listing("e1", 7, "plain", endpoint.address);
     listed["weight"] = json!(1.0);
     let node = Node::start(&program(), &platform, &[listed], |_| {});
@@ -99,7 +99,7 @@
 /// Guards against turning an endpoint away for one lost connection: the others would have to do its work.
 #[test]
 fn one_lost_connection_turns_no_endpoint_away() {
-    let (platform, one, other) = (Platform::new(), Served::new(), Served::new());
+    let (platform, one, other) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
     let known = [listing("e1", 7, "plain", one.address), listing("e2", 7, "plain", other.address)];
     let node = Node::start(&program(), &platform, &known, |_| {});
     let (mut lost, mut again) = (false, false);
@@ -132,7 +132,7 @@
 
 /// Hands in so many notes, of which the first is turned away once: what comes next goes at the least pace,
 /// a call in 2 s, and one call at a time until one is accepted.
-fn turned_away(node: &Node, endpoint: &Served, ids: &[&str], within_ms: u32) -> PendingRequest {
+fn turned_away(node: &Node, endpoint: &ScriptedServer, ids: &[&str], within_ms: u32) -> PendingRequest {
     assert_eq!(node.submit(ids[0], "note", 7, within_ms).status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], ids[0]);
@@ -151,7 +151,7 @@
 /// Guards the pace where messages are over before they go: a call that was not sent there used up nothing.
 #[test]
 fn a_call_for_a_message_that_is_over_costs_no_pace() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     // At a call in 2 s, most of these would be out of time.
     let ids = ["a", "b", "c", "d", "e"];
@@ -168,7 +168,7 @@
 /// is behind: how old these get is learnt from a call that comes too late.
 #[test]
 fn messages_as_old_as_one_that_was_given_up_go_last() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let over = turned_away(&node, &endpoint, &["a", "old"], 24_000);
     assert_eq!(node.submit("new", "note", 7, 24_000).status(), 202);
@@ -184,7 +184,7 @@
 /// Guards the slots and a message's time against single calls that hang at an endpoint that is well.
 #[test]
 fn a_call_that_hangs_where_others_are_answered_is_called_off_long_before_the_aim() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     for id in ["a", "b"] {
         delivered(&node, &endpoint, id, "note", status(200));
--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_message_goes_on_unchanged_and_connections_are_reused() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let ready = node.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
     assert_eq!(ready.status(), 200);
@@ -60,7 +60,7 @@
 /// Guards against a restart that forgets, repeats an effect, or waits for somebody to hand in again.
 #[test]
 fn what_was_taken_on_outlasts_a_kill() {
-    let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
+    let (platform, seven, eight) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
     let known = [
         listing("e1", 7, "plain", seven.address),
         listing("e2", 8, "plain", eight.address),
@@ -79,7 +79,7 @@
     assert_eq!(again.http.headers["idempotency-key"], "key-keyed");
     assert_eq!(again.http.body, keyed_call.http.body);
     again.reply(status(200));
-    let nine = Served::new();
+    let nine = ScriptedServer::new();
     platform.publish(&[listing("e3", 9, "plain", nine.address)]);
     let held = nine.next();
     assert_eq!(held.http.headers["req-id"], "held");
@@ -93,7 +93,7 @@
 /// Guards against a resend outside the time for which the destination remembers the key.
 #[test]
 fn a_keyed_message_whose_window_is_over_is_not_resent_after_a_kill() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     // The window is shorter than the margin that the module keeps for the way there.
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["settings"]["classes"][0]["dedup_window_us"] = json!(1);
@@ -123,7 +123,7 @@
 /// Guards against telling a call that may have run from one that can't have.
 #[test]
 fn an_answer_that_never_came_may_have_run() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let replies = [Reply::Close, Reply::Bytes(b"\x00\xff what?\r\n\r\n"), status(500), status(299)];
     for (n, reply) in replies.into_iter().enumerate() {
@@ -142,7 +142,7 @@
     for reply in
         [status(503), status(504), Reply::Answer(429, vec![("retry-after", "0.05".into())], "".into())]
     {
-        let (platform, endpoint) = (Platform::new(), Served::new());
+        let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
         assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
         endpoint.next().reply(reply);
@@ -160,7 +160,7 @@
 /// Guards against a second copy while the first may still be read: the connection is closed at the time-out.
 #[test]
 fn a_time_out_closes_the_connection() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.submit("a", "order", 7, 1500).status(), 202);
     let call = endpoint.next();
@@ -171,7 +171,7 @@
 /// What waits for one endpoint goes as one call, whose messages may end apart.
 #[test]
 fn a_turns_messages_to_one_endpoint_travel_together() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     for id in ["a", "b", "c", "d", "e"] {
         let class = if id == "c" { "order" } else { "note" };
@@ -205,7 +205,7 @@
 /// A process that is asked to end answers, delivers what it can, leaves nothing behind and goes.
 #[test]
 fn a_terminated_process_finishes_what_it_has() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut idle = Client::new(&node);
     assert_eq!(idle.ask(&submission("a", "order", 7, 20_000)).status(), 202);
@@ -227,7 +227,7 @@
 
 #[test]
 fn strange_requests_are_told_off_and_do_no_harm() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let good = String::from_utf8(submission("a", "order", 7, 1000)).unwrap();
     for (from, to) in [
@@ -289,7 +289,7 @@
     assert_eq!(refused.status(), 503);
     assert_eq!(refused.headers["retry-after"], "1.000");
     assert!(node.journal_length() <= 20_000);
-    let endpoint = Served::new();
+    let endpoint = ScriptedServer::new();
     platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
     endpoint.next().reply(status(200));
     // The answer is on its way to the journal: there is room once it has got there.
@@ -300,7 +300,7 @@
 /// what it can.
 #[test]
 fn a_journal_that_cannot_be_written_takes_nothing_on() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node =
         Node::start_short_of_disk(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)]);
     let small = String::from_utf8(submission("big", "order", 7, 20_000)).unwrap();
@@ -321,7 +321,7 @@
 /// A list of some megabytes, whole and again without most of it: read, and taken in while messages go on.
 #[test]
 fn a_list_of_twenty_thousand_is_taken_in() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[], |_| {});
     let entry = |dest: u16| listing(&format!("e{dest}"), dest, "plain", endpoint.address);
     let all: Vec<_> = (0..20_000).map(entry).collect();
--- a/crates/sender/tests/node/rough.rs
+++ b/crates/sender/tests/node/rough.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_new_configuration_moves_the_watch_and_the_notices() {
     let (old, new, newer) = (Platform::new(), Platform::new(), Platform::new());
-    let endpoint = Served::new();
+    let endpoint = ScriptedServer::new();
     let mut node = Node::start(&program(), &old, &[draining("e0", 7)], |_| {});
     assert!(old.watched.recv_timeout(TIMEOUT).unwrap().contains("from=1&"));
     let mut config = node.configuration();
@@ -51,7 +51,7 @@
 /// Guards a message against another client that used its id: that one's close withdraws nothing.
 #[test]
 fn a_withdrawal_belongs_to_its_own_request() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     // Turns far apart: both requests are open at once.
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["settings"]["period_us"] = json!(300_000);
@@ -69,7 +69,7 @@
 /// Guards the places for clients: those that ask nothing, or never get to the end of it, do not keep others out.
 #[test]
 fn clients_that_ask_nothing_make_way() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["limits"]["sockets"] = json!(64);
     });
@@ -95,7 +95,7 @@
 /// Guards against a second request that is hidden in the first one's body.
 #[test]
 fn a_request_with_two_lengths_is_told_off_and_hides_nothing() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let hidden = String::from_utf8(submission("hidden", "order", 7, 20_000)).unwrap();
     let request = String::from_utf8(submission("a", "order", 7, 20_000)).unwrap();
@@ -131,7 +131,13 @@
 }
 
 /// Hands an unsafe message in, has its call answered so, and tells how it ends: by a notice, or sent again.
-fn unsafe_end(platform: &Platform, endpoint: &Served, node: &Node, id: &str, reply: Reply) -> &'static str {
+fn unsafe_end(
+    platform: &Platform,
+    endpoint: &ScriptedServer,
+    node: &Node,
+    id: &str,
+    reply: Reply,
+) -> &'static str {
     assert_eq!(orders(node, id, 7), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], id);
@@ -156,7 +162,7 @@
 /// would be sent twice. What is whole proves it, also behind interim answers.
 #[test]
 fn only_a_whole_answer_proves_that_a_call_never_ran() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let spoilt: [&[u8]; 8] = [
         b"HTTP/1.1 503 X\r\ncontent-length: 3000000000\r\n\r\nxxxx",
@@ -179,7 +185,7 @@
 /// Guards what is delivered against a spoilt rest, and the next message against what comes behind an answer.
 #[test]
 fn a_first_line_with_200_holds_and_nothing_behind_it_answers_another() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let delivered: [&[u8]; 6] = [
         b"HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nxxxx",
@@ -218,7 +224,7 @@
 /// Guards against taking spoilt answers for a destination that fails: its breaker would hold back the rest.
 #[test]
 fn spoilt_answers_do_not_open_a_breaker() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     // With the breaker open a message whose time is short would be refused at once.
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     for n in 0..8 {
@@ -250,7 +256,7 @@
 /// Guards discovery against its senders: who is turned away asks again after a rest that many senders have room in.
 #[test]
 fn a_discovery_that_turns_a_call_away_is_left_in_peace() {
-    let (platform, discovery) = (Platform::new(), Served::new());
+    let (platform, discovery) = (Platform::new(), ScriptedServer::new());
     let _node = Node::start(&program(), &platform, &[draining("e0", 7)], |config| {
         config["discovery"] = json!(discovery.address.to_string());
         config["settings"]["balancers"] = json!(48);
--- a/crates/sender/tests/node/upgrade.rs
+++ b/crates/sender/tests/node/upgrade.rs
@@ -45,7 +45,7 @@
 /// client that stays where it is is served.
 #[test]
 fn a_process_started_beside_takes_over_what_is_under_way() {
-    let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
+    let (platform, seven, eight) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
     let listed = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let mut old = start(&platform, &listed);
     let mut client = Client::new(&old);
@@ -87,7 +87,7 @@
 /// Guards a wait against the change of processes: both are one sender.
 #[test]
 fn a_wait_that_the_old_process_was_told_binds_the_new_one() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let old = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(old.submit("a", "order", 7, 20_000).status(), 202);
     let told = Instant::now();
@@ -108,7 +108,7 @@
 /// Guards the sender against a new process that asks and goes: the old one is as before.
 #[test]
 fn a_process_that_asks_and_dies_changes_nothing() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let old = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(old.submit("a", "order", 7, 20_000).status(), 202);
     let call = endpoint.next();
@@ -132,7 +132,7 @@
 /// Guards effects against the loss of the old process with calls out: they may have run.
 #[test]
 fn what_was_out_at_an_old_process_that_is_killed_may_have_run() {
-    let (platform, seven, eight) = (Platform::new(), Served::new(), Served::new());
+    let (platform, seven, eight) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
     let listed = [listing("e1", 7, "plain", seven.address), listing("e2", 8, "plain", eight.address)];
     let old = start(&platform, &listed);
     assert_eq!(old.submit("unsafe", "order", 7, 20_000).status(), 202);
@@ -152,7 +152,7 @@
 /// the old process had out is broken off; its waits bind all the same.
 #[test]
 fn a_state_that_is_not_understood_is_taken_over_as_after_a_kill() {
-    let (platform, endpoint) = (Platform::new(), Served::new());
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let old = start(&platform, &[listing("e1", 7, "plain", endpoint.address)]);
     assert_eq!(old.submit("keyed", "note", 7, 20_000).status(), 202);
     let call = endpoint.next();
--- a/crates/sender/tests/node/waits.rs
+++ b/crates/sender/tests/node/waits.rs
@@ -62,7 +62,7 @@
 
 /// A sender with two endpoints of one destination: a call is out at the first, and one more is decided, whose connection to
 /// the second does not come up yet.
-fn two_calls(platform: &Platform, first: &Served, second: &Clogged) -> (Node, PendingRequest) {
+fn two_calls(platform: &Platform, first: &ScriptedServer, second: &Clogged) -> (Node, PendingRequest) {
     let known = [listing("e1", 7, "plain", first.address), listing("e2", 7, "plain", second.address)];
     let node = Node::start(&program(), platform, &known, |config| {
         config["settings"]["limits"]["connect_timeout_us"] = json!(6_000_000);
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_call_whose_connection_comes_up_after_a_wait_was_told_stays_until_it_is_over() {
-    let (platform, first, second) = (Platform::new(), Served::new(), Clogged::new());
+    let (platform, first, second) = (Platform::new(), ScriptedServer::new(), Clogged::new());
     let (node, asked) = two_calls(&platform, &first, &second);
     let told = told(asked);
     let mut stream = second.unclog();
@@ -97,7 +97,7 @@
 
 #[test]
 fn a_process_that_stood_still_hears_of_a_wait_before_its_calls_go_on() {
-    let (platform, first, second) = (Platform::new(), Served::new(), Clogged::new());
+    let (platform, first, second) = (Platform::new(), ScriptedServer::new(), Clogged::new());
     let (node, asked) = two_calls(&platform, &first, &second);
     node.signal("-STOP");
     // The system brings the connection up for the process that stands still. Of all that it is to hear of this is the first.
@@ -113,7 +113,7 @@
 /// The list says that an endpoint wants nothing new while a connection to it comes up: what was to go there goes elsewhere.
 #[test]
 fn a_call_whose_connection_comes_up_after_its_endpoint_drains_goes_elsewhere() {
-    let (platform, first, second) = (Platform::new(), Served::new(), Clogged::new());
+    let (platform, first, second) = (Platform::new(), ScriptedServer::new(), Clogged::new());
     let (node, asked) = two_calls(&platform, &first, &second);
     platform.publish(&[listing("e1", 7, "plain", first.address), draining("e2", 7)]);
     // It is known once it is asked for what is newer.
@@ -157,7 +157,7 @@
 /// when it was not any more.
 #[test]
 fn a_repeat_whose_connection_comes_up_after_its_key_is_forgotten_stays() {
-    let (platform, first, second) = (Platform::new(), Served::new(), Clogged::new());
+    let (platform, first, second) = (Platform::new(), ScriptedServer::new(), Clogged::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", first.address)], |config| {
         config["settings"]["limits"]["connect_timeout_us"] = json!(6_000_000);
         // The system tries a connection again after a second: what comes up then comes too late.
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -92,19 +92,19 @@
 }
 
 /// A server on loopback. Its requests wait until the test answers them.
-pub struct Served {
+pub struct ScriptedServer {
     /// The address it listens on.
     pub address: SocketAddr,
     pub(crate) requests: Receiver<PendingRequest>,
 }
 
-impl Default for Served {
+impl Default for ScriptedServer {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Served {
+impl ScriptedServer {
     /// Starts a server on a free loopback port.
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::Duration;
 
-pub use http::{Http, PendingRequest, Reply, Served, status};
+pub use http::{Http, PendingRequest, Reply, ScriptedServer, status};
 pub use load::{ClientAddress, ClientAnswer, Load, Notifications, Plan, Submission};
 pub use lossy_network::{Fault, Switch};
 pub use many_partners::{CallBehavior, ManyPartners, Observations};
--- a/crates/test-doubles/src/platform.rs
+++ b/crates/test-doubles/src/platform.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::TIMEOUT;
-use crate::http::{PendingRequest, Reply, Served, status};
+use crate::http::{PendingRequest, Reply, ScriptedServer, status};
 
 /// The platform: it serves the endpoint list and receives notifications.
 pub struct Platform {
@@ -62,7 +62,7 @@
 impl Platform {
     /// Starts a platform with an empty list of version 1.
     pub fn new() -> Self {
-        let served = Served::new();
+        let served = ScriptedServer::new();
         let list = Arc::new((Mutex::new(json!({"index": 1})), Condvar::new()));
         let (notification_sender, notifications) = channel();
         let (watch_sender, watched) = channel();
