--- a/crates/loadtest/src/upgrade_kills.rs
+++ b/crates/loadtest/src/upgrade_kills.rs
@@ -10,7 +10,7 @@
 
 use serde_json::json;
 use test_doubles::{
-    Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, Starting, listing,
+    Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, StartingNode, listing,
 };
 
 use crate::scenario::{Ends, Options, Scenario, program};
@@ -133,7 +133,7 @@
             Fire::Kill { old, new } => ((old, new), (false, false)),
             Fire::Pause { old, new } => ((false, false), (old, new)),
         };
-        let signals = |name: &str, of: (bool, bool), old: &Node, new: &Starting| {
+        let signals = |name: &str, of: (bool, bool), old: &Node, new: &StartingNode| {
             if of.0 {
                 old.signal(name);
             }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -22,7 +22,7 @@
 pub use load::{ClientAddress, ClientAnswer, Load, Notifications, Plan, Submission};
 pub use lossy_network::{Fault, Switch};
 pub use many_partners::{CallBehavior, ManyPartners, Observations};
-pub use node::{Client, Node, Program, Starting, submission, submission_with};
+pub use node::{Client, Node, Program, StartingNode, submission, submission_with};
 pub use partner::{Behavior, CallCounts, Effects, Partner};
 pub use partner_limits::{Terms, Violation};
 pub use platform::{Platform, draining, listing};
--- a/crates/test-doubles/src/node.rs
+++ b/crates/test-doubles/src/node.rs
@@ -163,7 +163,7 @@
     }
 
     fn run(program: &Program, folder: Arc<tempfile::TempDir>, command: Command) -> Self {
-        match Starting::new(program, folder, command).ready(TIMEOUT) {
+        match StartingNode::new(program, folder, command).ready(TIMEOUT) {
             Ok(node) => node,
             Err(failed) => panic!("the sender did not become ready: {:?}", failed.1),
         }
@@ -203,8 +203,8 @@
     }
 
     /// Starts a second process on the same folder while this one runs, without waiting until it is ready.
-    pub fn starting_successor(&self) -> Starting {
-        Starting::new(&self.program, self.folder.clone(), self.program.command(self.folder.path()))
+    pub fn starting_successor(&self) -> StartingNode {
+        StartingNode::new(&self.program, self.folder.clone(), self.program.command(self.folder.path()))
     }
 
     /// Returns whether the process has exited.
@@ -319,9 +319,9 @@
     sent.unwrap().success()
 }
 
-/// A sender process that is not ready yet. Dropping it does not kill the process; [`Starting::end`] does, and
-/// [`Starting::ready`] turns it into a [`Node`].
-pub struct Starting {
+/// A sender process that is not ready yet. Dropping it does not kill the process; [`StartingNode::end`] does, and
+/// [`StartingNode::ready`] turns it into a [`Node`].
+pub struct StartingNode {
     child: Child,
     program: Program,
     folder: Arc<tempfile::TempDir>,
@@ -331,7 +331,7 @@
     addresses: Option<(SocketAddr, Option<SocketAddr>)>,
 }
 
-impl Starting {
+impl StartingNode {
     fn new(program: &Program, folder: Arc<tempfile::TempDir>, mut command: Command) -> Self {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
