--- a/crates/sender/tests/node/shared.rs
+++ b/crates/sender/tests/node/shared.rs
@@ -9,7 +9,7 @@
 
 /// Senders that share, and an operators' file that says so.
 struct Fleet {
-    switch: Switch,
+    switch: LossyNetwork,
     platform: Platform,
     nodes: Vec<Node>,
     _file: tempfile::NamedTempFile,
@@ -17,7 +17,7 @@
 
 impl Fleet {
     fn new(senders: usize, endpoints: &[Value]) -> Self {
-        let (switch, platform) = (Switch::new(senders, 7), Platform::new());
+        let (switch, platform) = (LossyNetwork::new(senders, 7), Platform::new());
         let mut file = tempfile::NamedTempFile::new().unwrap();
         file.write_all(b"[shared]\non = true\nbytes = \"4kB\"\n").unwrap();
         let program = program().arg("--operators").arg(file.path());
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use http::{Http, PendingRequest, Reply, ScriptedServer, status};
 pub use load::{ClientAddress, ClientAnswer, Load, Notifications, Plan, Submission};
-pub use lossy_network::{Fault, Switch};
+pub use lossy_network::{Fault, LossyNetwork};
 pub use many_partners::{CallBehavior, ManyPartners, Observations};
 pub use node::{Client, Node, Program, StartingNode, submission, submission_with};
 pub use partner::{Behavior, CallCounts, Effects, Partner};
--- a/crates/test-doubles/src/lossy_network.rs
+++ b/crates/test-doubles/src/lossy_network.rs
@@ -35,7 +35,7 @@
 
 /// The links between a number of senders. Each link has its own address: a sender sends to the address of the link to its
 /// peer, and receives from the address of the link back to that peer.
-pub struct Switch {
+pub struct LossyNetwork {
     /// The address that each sender has to listen on.
     pub listens: Vec<SocketAddr>,
     /// By sender: the address at which it reaches each sender; its own entry has its own address.
@@ -44,7 +44,7 @@
     carried: Arc<AtomicU64>,
 }
 
-impl Switch {
+impl LossyNetwork {
     /// Creates a network without faults for that many senders; random numbers follow from the seed.
     ///
     /// # Panics
