--- a/crates/loadtest/src/cores.rs
+++ b/crates/loadtest/src/cores.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 use test_doubles::{
-    Behavior, Client, Node, Partner, Platform, Terms, Violation, listing, submission_with, wait_until,
+    Behavior, Client, Node, Partner, PartnerLimits, Platform, Violation, listing, submission_with, wait_until,
 };
 
 use crate::scenario::{Options, Scenario, program};
@@ -161,7 +161,7 @@
 }
 
 fn partners(terms: Option<(u64, Duration)>) -> Vec<Partner> {
-    let terms = |n: u16| Terms {
+    let terms = |n: u16| PartnerLimits {
         waits: terms.filter(|_| n % 2 == 1),
         limit: terms.filter(|_| n.is_multiple_of(4)).map(|_| LIMIT),
     };
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -24,7 +24,7 @@
 pub use many_partners::{CallBehavior, ManyPartners, Observations};
 pub use node::{Client, Node, Program, StartingNode, submission, submission_with};
 pub use partner::{Behavior, CallCounts, Effects, Partner};
-pub use partner_limits::{Terms, Violation};
+pub use partner_limits::{PartnerLimits, Violation};
 pub use platform::{Platform, draining, listing};
 
 /// The timeout of every wait for an event.
--- a/crates/test-doubles/src/partner.rs
+++ b/crates/test-doubles/src/partner.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime};
 
 use crate::Http;
-use crate::partner_limits::{CallHistory, Terms, Violation, WriteInterval};
+use crate::partner_limits::{CallHistory, PartnerLimits, Violation, WriteInterval};
 use crate::timestamped_stream::TimestampedStream;
 
 /// How a partner treats a call once its last byte has arrived.
@@ -78,11 +78,11 @@
 impl Partner {
     /// Starts a partner without limits.
     pub fn new(behavior: Behavior) -> Self {
-        Self::with_terms(behavior, Terms::default())
+        Self::with_terms(behavior, PartnerLimits::default())
     }
 
     /// Starts a partner with limits.
-    pub fn with_terms(behavior: Behavior, limits: Terms) -> Self {
+    pub fn with_terms(behavior: Behavior, limits: PartnerLimits) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let partner = Self {
--- a/crates/test-doubles/src/partner_limits.rs
+++ b/crates/test-doubles/src/partner_limits.rs
@@ -7,14 +7,14 @@
 
 /// The limits that a partner sets for all its callers together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Terms {
+pub struct PartnerLimits {
     /// `(n, wait)`: every n-th call is answered with 429 and a `Retry-After` of `wait`, which binds all callers.
     pub waits: Option<(u64, Duration)>,
     /// The number of calls accepted in two seconds; further ones get 503. Load reports in the answers announce the limit.
     pub limit: Option<u32>,
 }
 
-/// The sliding window over which calls are counted against [`Terms::limit`].
+/// The sliding window over which calls are counted against [`PartnerLimits::limit`].
 const LIMIT_WINDOW: Duration = Duration::from_secs(2);
 /// A call that arrives this soon after an answer that announced a limit is no violation: the slack that the protocol allows
 /// for a `Retry-After`.
@@ -36,7 +36,7 @@
     pub arrived: SystemTime,
     /// When the answer that announced the limit was written.
     pub answer: WriteInterval,
-    /// The `Retry-After` that was running; `None` if the call exceeded the announced [`Terms::limit`].
+    /// The `Retry-After` that was running; `None` if the call exceeded the announced [`PartnerLimits::limit`].
     pub wait: Option<Duration>,
 }
 
@@ -56,7 +56,7 @@
 /// The calls that arrived at a partner and the limits that its answers announced.
 #[derive(Debug, Clone, Default)]
 pub struct CallHistory {
-    limits: Terms,
+    limits: PartnerLimits,
     /// When the last byte of each call arrived.
     arrivals: Vec<SystemTime>,
     /// The arrivals within the latest [`LIMIT_WINDOW`], in order.
@@ -65,7 +65,7 @@
     waits: Vec<(WriteInterval, Duration)>,
     /// When the first answer with a load report was written.
     first_report: Option<WriteInterval>,
-    /// Arrivals of the calls that were rejected by [`Terms::limit`].
+    /// Arrivals of the calls that were rejected by [`PartnerLimits::limit`].
     over_limit: Vec<SystemTime>,
 }
 
@@ -82,7 +82,7 @@
 
 impl CallHistory {
     /// Returns an empty history.
-    pub fn new(limits: Terms) -> Self {
+    pub fn new(limits: PartnerLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
--- a/crates/test-doubles/src/partner_limits/tests.rs
+++ b/crates/test-doubles/src/partner_limits/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn violations_of_retry_after(calls: &[u64], (from, to): (u64, u64)) -> Vec<Violation> {
-    let limits = Terms { waits: Some((1_000, Duration::from_secs(1))), limit: None };
+    let limits = PartnerLimits { waits: Some((1_000, Duration::from_secs(1))), limit: None };
     let mut history = CallHistory::new(limits);
     for ms in calls {
         history.call_arrived(at(*ms));
@@ -42,7 +42,7 @@
 
 #[test]
 fn applies_limit_by_arrival_time_after_first_report() {
-    let mut history = CallHistory::new(Terms { waits: None, limit: Some(2) });
+    let mut history = CallHistory::new(PartnerLimits { waits: None, limit: Some(2) });
     let required: Vec<_> = [0, 10, 20].map(|ms| history.call_arrived(at(ms))).into();
     assert_eq!(required[1].report, Some((0.0, 1.0)));
     assert_eq!(required[2].status, Some(503));
