--- a/crates/fleet-sim/src/partner.rs
+++ b/crates/fleet-sim/src/partner.rs
@@ -52,9 +52,9 @@
 /// How the rate limit is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitModel {
-    /// A token bucket that refills at the limit, up to [`Partner::depth`] seconds of it.
+    /// A token bucket that refills at the limit, up to [`Partner::window_seconds`] seconds of it.
     TokenBucket,
-    /// A fixed number of calls in each window of [`Partner::depth`] seconds.
+    /// A fixed number of calls in each window of [`Partner::window_seconds`] seconds.
     FixedWindow,
 }
 
@@ -73,7 +73,7 @@
     /// How the limit is counted.
     pub limit_model: LimitModel,
     /// Seconds of the limit that a token bucket holds, or the length of a fixed window.
-    pub depth: f64,
+    pub window_seconds: f64,
     /// Whether rejected calls use up the limit like accepted ones, even below zero.
     pub refused_count: bool,
     /// Calls per second that it can process after its slow start.
@@ -113,7 +113,7 @@
             limit: 60.0,
             listed_factor: 1.0,
             limit_model: LimitModel::TokenBucket,
-            depth: 0.7,
+            window_seconds: 0.7,
             refused_count: true,
             capacity: f64::INFINITY,
             limit_reductions: vec![],
@@ -168,11 +168,11 @@
 
     /// Refills the limit for the time since the last update.
     fn refill(&mut self, at: f64, limit: f64) {
-        let depth = limit * self.depth;
+        let depth = limit * self.window_seconds;
         let refilled = match self.limit_model {
             LimitModel::TokenBucket => limit * (at - self.tokens_at),
             LimitModel::FixedWindow => {
-                depth * ((at / self.depth).floor() - (self.tokens_at / self.depth).floor())
+                depth * ((at / self.window_seconds).floor() - (self.tokens_at / self.window_seconds).floor())
             }
         };
         self.tokens = (self.tokens + refilled).min(depth);
@@ -190,7 +190,7 @@
         }
         self.measure_overload(at);
         let limit = self.limit_at(at);
-        let depth = limit * self.depth;
+        let depth = limit * self.window_seconds;
         self.refill(at, limit);
         self.tokens -= 1.0;
         let current = vec![(self.tokens / depth).max(0.0) as f32, limit as f32];
--- a/crates/fleet-sim/tests/small_limits.rs
+++ b/crates/fleet-sim/tests/small_limits.rs
@@ -11,7 +11,7 @@
     let partner = |(at, limit): (usize, &f64)| Partner {
         limit: *limit,
         limit_model: LimitModel::FixedWindow,
-        depth: if at % 2 == 0 { 2.0 } else { 1.0 },
+        window_seconds: if at % 2 == 0 { 2.0 } else { 1.0 },
         refused_count: at % 4 == 0,
         max_batch: if at % 3 == 2 { 5 } else { 1 },
         reports_every: 0.4,
@@ -75,8 +75,12 @@
 #[test]
 fn quota_shares_recover_after_a_shortage() {
     let (on_time, rejected) = means(|seed| {
-        let partner =
-            Partner { limit: 57.0, limit_model: LimitModel::FixedWindow, depth: 1.5, ..Partner::default() };
+        let partner = Partner {
+            limit: 57.0,
+            limit_model: LimitModel::FixedWindow,
+            window_seconds: 1.5,
+            ..Partner::default()
+        };
         let mut world = World::new(12, vec![partner], seed);
         for period in 0..10 {
             world.run(2.5, 57.0 * 0.9 * if period % 2 == 0 { 0.7 } else { 1.5 });
--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -58,7 +58,7 @@
     let partner = |(at, limit): (usize, &f64)| Partner {
         limit: *limit,
         limit_model: LimitModel::FixedWindow,
-        depth: if at % 2 == 0 { 2.0 } else { 1.0 },
+        window_seconds: if at % 2 == 0 { 2.0 } else { 1.0 },
         refused_count: at % 4 == 0,
         max_batch: if at % 3 == 2 { 5 } else { 1 },
         capacity: limit * 1.5,
