--- a/crates/fleet-sim/src/partner.rs
+++ b/crates/fleet-sim/src/partner.rs
@@ -82,7 +82,7 @@
     /// that applies.
     pub limit_reductions: Vec<(f64, f64, f64)>,
     /// Outages: start and end in seconds since the start of the simulation. Connections fail during them.
-    pub down: Vec<(f64, f64)>,
+    pub outages: Vec<(f64, f64)>,
     /// The maximum number of messages in a call.
     pub max_batch: usize,
     /// The mean time that a call takes, in seconds.
@@ -117,7 +117,7 @@
             refused_count: true,
             capacity: f64::INFINITY,
             limit_reductions: vec![],
-            down: vec![],
+            outages: vec![],
             max_batch: 1,
             call_seconds: 0.08,
             reports_every: 0.5,
@@ -154,7 +154,7 @@
     fn measure_overload(&mut self, at: f64) {
         let (initial_share, ramp, multiple, window) = SLOW_START;
         let recovered_at =
-            self.down.iter().map(|span| span.1).filter(|end| *end <= at).fold(f64::NEG_INFINITY, f64::max);
+            self.outages.iter().map(|span| span.1).filter(|end| *end <= at).fold(f64::NEG_INFINITY, f64::max);
         if at >= recovered_at + ramp {
             return;
         }
@@ -184,7 +184,7 @@
     pub fn call(&mut self, now: Micros) -> (Outcome, Vec<f32>) {
         let at = now as f64 / MICROS_PER_SECOND;
         self.count(now, |count| count.calls += 1);
-        if self.down.iter().any(|span| (span.0..span.1).contains(&at)) {
+        if self.outages.iter().any(|span| (span.0..span.1).contains(&at)) {
             self.count(now, |count| count.failed += 1);
             return (Outcome::ConnectFailed, vec![]);
         }
--- a/crates/fleet-sim/tests/gossip.rs
+++ b/crates/fleet-sim/tests/gossip.rs
@@ -50,7 +50,7 @@
 /// in `docs/gossip.md`: all senders are in slow start then, and those with few messages wait longer for a call in the ramp.
 #[test]
 fn outage_fails_fewer_calls_with_gossip() {
-    let partner = Partner { limit: 60.0, capacity: 90.0, down: vec![(4.0, 9.0)], ..Partner::default() };
+    let partner = Partner { limit: 60.0, capacity: 90.0, outages: vec![(4.0, 9.0)], ..Partner::default() };
     let [without, with] =
         compare("outage", &partner, 45.0, 15.0, GossipOptions { loss_rate: 0.2, ..LOSSLESS });
     assert!(2 * with.failed < without.failed, "{} and {} failed calls", with.failed, without.failed);
@@ -69,7 +69,7 @@
 /// With gossip switched on but every message lost, results are no worse than without it.
 #[test]
 fn senders_without_incoming_gossip_are_no_worse() {
-    let partner = Partner { limit: 60.0, capacity: 90.0, down: vec![(4.0, 9.0)], ..Partner::default() };
+    let partner = Partner { limit: 60.0, capacity: 90.0, outages: vec![(4.0, 9.0)], ..Partner::default() };
     let [without, with] = compare(
         "all gossip lost",
         &partner,
--- a/crates/fleet-sim/tests/large_fleet.rs
+++ b/crates/fleet-sim/tests/large_fleet.rs
@@ -88,7 +88,7 @@
     for seed in 1..2 {
         let (partners, rates) = partners(|at, partner| {
             if at % 5 < 2 {
-                partner.down = vec![(5.0, 10.0)];
+                partner.outages = vec![(5.0, 10.0)];
             }
         });
         let mut world = world(partners, seed);
--- a/crates/fleet-sim/tests/outages.rs
+++ b/crates/fleet-sim/tests/outages.rs
@@ -7,8 +7,13 @@
 
 /// Runs a hundred senders with a partner that accepts five messages per call and is down for five seconds.
 fn outage(seed: u64) -> World {
-    let partner =
-        Partner { limit: 65.0, max_batch: 5, capacity: 80.0, down: vec![(6.0, 11.0)], ..Partner::default() };
+    let partner = Partner {
+        limit: 65.0,
+        max_batch: 5,
+        capacity: 80.0,
+        outages: vec![(6.0, 11.0)],
+        ..Partner::default()
+    };
     let mut world = World::new(100, vec![partner], seed);
     world.run(25.0, 150.0);
     assert_eq!(world.violations, Violations::default(), "seed {seed}");
@@ -32,7 +37,8 @@
 #[test]
 fn few_calls_fail_in_outage_with_two_senders() {
     for seed in SEEDS {
-        let mut world = World::new(2, vec![Partner { down: vec![(6.0, 11.0)], ..Partner::default() }], seed);
+        let mut world =
+            World::new(2, vec![Partner { outages: vec![(6.0, 11.0)], ..Partner::default() }], seed);
         world.run(15.0, 40.0);
         let failed = world.total().failed;
         assert!(failed <= 24, "seed {seed}: {failed} failed calls in five seconds");
@@ -84,7 +90,7 @@
             limit: 57.0,
             max_batch: 5,
             capacity: 90.0,
-            down: vec![(6.0, 11.0)],
+            outages: vec![(6.0, 11.0)],
             ..Partner::default()
         };
         let mut world = World::new(100, vec![partner], seed);
--- a/crates/fleet-sim/tests/restart_with_snapshot.rs
+++ b/crates/fleet-sim/tests/restart_with_snapshot.rs
@@ -92,7 +92,7 @@
 /// The partner is down when most senders restart, and their snapshots say so.
 #[test]
 fn rolling_restart_during_outage_fails_fewer_calls_with_snapshots() {
-    let partner = Partner { down: vec![(6.0, 12.0)], ..partner() };
+    let partner = Partner { outages: vec![(6.0, 12.0)], ..partner() };
     let (with, without) = compare("outage", &partner, 120.0, 2, 0.0);
     assert!(with.failed < without.failed, "{} and {}", with.failed, without.failed);
 }
@@ -111,7 +111,7 @@
 #[test]
 fn outdated_snapshots_do_not_harm_the_partner() {
     for (name, down) in [("outage began since", (6.5, 12.0)), ("outage over since", (2.0, 5.5))] {
-        let partner = Partner { down: vec![down], ..partner() };
+        let partner = Partner { outages: vec![down], ..partner() };
         compare(name, &partner, 120.0, 2, 4.0);
     }
 }
--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -64,7 +64,7 @@
         capacity: limit * 1.5,
         reports_every: 0.4,
         call_seconds: 0.15,
-        down: if at == DOWN.0 { vec![DOWN.1] } else { vec![] },
+        outages: if at == DOWN.0 { vec![DOWN.1] } else { vec![] },
         ..Partner::default()
     };
     LIMITS.iter().enumerate().map(partner).collect()
--- a/crates/loadtest/src/limited.rs
+++ b/crates/loadtest/src/limited.rs
@@ -101,7 +101,7 @@
     fn is_down(&self, number: usize) -> bool {
         let state = self.state();
         let at = state.begun.elapsed().as_secs_f64();
-        state.partners[number].down.iter().any(|span| (span.0..span.1).contains(&at))
+        state.partners[number].outages.iter().any(|span| (span.0..span.1).contains(&at))
     }
 
     fn call(&self, number: usize) -> (Outcome, Vec<f32>, Duration) {
