--- a/crates/golden/src/wire/scripted.rs
+++ b/crates/golden/src/wire/scripted.rs
@@ -231,7 +231,7 @@
 
     /// Waits until one of the figures has that value.
     pub fn wait_for_figure(&self, name: &str, value: u64) {
-        wait_until(|| self.node.figure(name) == value);
+        wait_until(|| self.node.metric(name) == value);
     }
 
     /// Waits until so many messages are pending.
--- a/crates/loadtest/src/cores.rs
+++ b/crates/loadtest/src/cores.rs
@@ -274,9 +274,9 @@
             let place = |prefix| (node_at.address, node_at.pid(), prefix);
             let fast = load(place("f"), &stand, &table, (clients, None), time);
             // What the clients of before left is over first.
-            wait_until(|| node_at.figure("svc_open_requests") == 0);
+            wait_until(|| node_at.metric("svc_open_requests") == 0);
             let open = load(place("o"), &stand, &table, (clients, Some(SHARE * fast.rate())), time);
-            let moves = if *cores > 1 { node_at.figure("svc_destinations_moved") } else { 0 };
+            let moves = if *cores > 1 { node_at.metric("svc_destinations_moved") } else { 0 };
             drop(node_at);
             let judged = Judged::of(&stand);
             let (platform, stand) = (Platform::new(), partners(Some(wait)));
--- a/crates/sender/tests/node/cores.rs
+++ b/crates/sender/tests/node/cores.rs
@@ -57,15 +57,15 @@
         calls.append(&mut again);
     }
     calls.into_iter().rev().take(8).for_each(|call| call.reply(status(200)));
-    wait_until(|| node.figure("svc_open_requests") == 0);
+    wait_until(|| node.metric("svc_open_requests") == 0);
 }
 
 /// Tells a destination to go to a core, and waits until it has.
 fn move_to(node: &Node, destination: u16, core: u8) {
-    let before = node.figure("svc_destinations_moved");
+    let before = node.metric("svc_destinations_moved");
     let told = node.ops("POST", &format!("/cores/move?destination={destination}&core={core}"));
     if told.status() == 202 {
-        wait_until(|| node.figure("svc_destinations_moved") > before);
+        wait_until(|| node.metric("svc_destinations_moved") > before);
     } else {
         assert_eq!(told.status(), 200, "it is there already");
     }
@@ -81,7 +81,7 @@
         assert_eq!(node.submit(&format!("a{core}"), "order", 7, 20_000).status(), 202);
         let call = served.next();
         move_to(&node, 7, core);
-        wait_until(|| node.figure("svc_open_requests") == 1);
+        wait_until(|| node.metric("svc_open_requests") == 1);
         let told = std::time::Instant::now();
         call.reply(Reply::Answer(429, vec![("retry-after", "0.400".into())], String::new()));
         let again = served.next();
@@ -92,7 +92,7 @@
         );
         assert_eq!(again.http.headers["req-id"], format!("a{core}"));
         again.reply(status(200));
-        wait_until(|| node.figure("svc_open_requests") == 0);
+        wait_until(|| node.metric("svc_open_requests") == 0);
     }
     assert_eq!(node.ops("POST", "/cores/move?destination=7&core=3").status(), 404);
     assert_eq!(node.ops("POST", "/cores/move?destination=7").status(), 400);
@@ -108,7 +108,7 @@
     for dest in 1..9 {
         assert_eq!(node.ops("POST", &format!("/maintenance/enter?target=e{dest}")).status(), 200);
     }
-    assert_eq!(node.figure("svc_out_of_rotation"), 8);
+    assert_eq!(node.metric("svc_out_of_rotation"), 8);
     for dest in 1..9 {
         assert_eq!(node.submit(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
     }
@@ -120,8 +120,8 @@
         assert_eq!(node.ops("POST", &format!("/maintenance/exit?target=e{dest}")).status(), 200);
         served.next().reply(status(200));
     }
-    wait_until(|| node.figure("svc_open_requests") == 0);
-    assert_eq!(node.figure("svc_registry_entries"), 8);
+    wait_until(|| node.metric("svc_open_requests") == 0);
+    assert_eq!(node.metric("svc_registry_entries"), 8);
 }
 
 /// Guards order over all destinations, which a core does not see.
@@ -168,10 +168,10 @@
             .collect();
         cores(count);
         let next = node.start_successor();
-        assert_eq!(next.figure("svc_open_requests"), 8, "all of it is known there: {:?}", next.log());
+        assert_eq!(next.metric("svc_open_requests"), 8, "all of it is known there: {:?}", next.log());
         // They end on the old one's connections, after it handed over.
         calls.into_iter().for_each(|call| call.reply(status(200)));
-        wait_until(|| next.figure("svc_open_requests") == 0);
+        wait_until(|| next.metric("svc_open_requests") == 0);
         wait_until(|| node.has_ended());
         node = next;
     }
--- a/crates/sender/tests/node/duty.rs
+++ b/crates/sender/tests/node/duty.rs
@@ -26,28 +26,28 @@
     assert_eq!(node.ops("GET", "/maintenance/enter?target=e1").status(), 405);
     assert_eq!(node.ops("POST", "/maintenance/enter?target=e1").status(), 200);
     assert_eq!(node.ops("POST", "/maintenance/enter?target=e1").status(), 200, "the call may come again");
-    assert_eq!(node.figure("svc_out_of_rotation"), 1);
+    assert_eq!(node.metric("svc_out_of_rotation"), 1);
     // Listed anew, and listed in a new process.
     platform.publish(&[listed[0].clone(), draining("e2", 8)]);
     let both_avoided = |node: &Node| {
-        wait_until(|| node.figure("svc_registry_entries") == 2);
-        assert_eq!(node.figure("svc_out_of_rotation"), 2);
+        wait_until(|| node.metric("svc_registry_entries") == 2);
+        assert_eq!(node.metric("svc_out_of_rotation"), 2);
     };
     both_avoided(&node);
     let node = node.kill_and_restart();
     both_avoided(&node);
     assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
-    assert_eq!(node.figure("svc_open_requests"), 1);
+    assert_eq!(node.metric("svc_open_requests"), 1);
     assert!(!endpoint.unseen());
     assert_eq!(node.ops("POST", "/maintenance/exit?target=e1").status(), 200, "one call back ends it");
     endpoint.next().reply(status(200));
     assert_eq!(node.ops("POST", "/maintenance/exit?target=e1").status(), 200);
     // An endpoint that has left the list was known all the same.
     platform.publish(&[draining("e2", 8)]);
-    wait_until(|| node.figure("svc_registry_entries") == 1);
+    wait_until(|| node.metric("svc_registry_entries") == 1);
     assert_eq!(node.ops("POST", "/maintenance/enter?target=e1").status(), 200);
     platform.publish(&listed);
-    wait_until(|| node.figure("svc_out_of_rotation") == 1);
+    wait_until(|| node.metric("svc_out_of_rotation") == 1);
 }
 
 /// Guards clients that are sent away: the front hears no, nobody's message is closed on, and no connection is left
@@ -90,19 +90,19 @@
     }
     assert_eq!(node.submit("d", "note", 9, 20_000).status(), 503, "no list names it");
     let calls: Vec<_> = (0..3).map(|_| endpoint.next()).collect();
-    wait_until(|| node.figure("svc_relayed") == 3);
-    assert_eq!(node.figure("svc_open_requests"), 3);
+    wait_until(|| node.metric("svc_relayed") == 3);
+    assert_eq!(node.metric("svc_open_requests"), 3);
     for (call, code) in calls.into_iter().zip([200, 200, 500]) {
         call.reply(status(code));
     }
     platform.answer_notification(204);
-    wait_until(|| node.figure("svc_open_requests") == 0);
+    wait_until(|| node.metric("svc_open_requests") == 0);
     let count =
-        |class, status| node.figure(&format!("svc_operations{{priority=\"{class}\",status=\"{status}\"}}"));
+        |class, status| node.metric(&format!("svc_operations{{priority=\"{class}\",status=\"{status}\"}}"));
     assert_eq!(["fulfilled", "throttled", "faulted"].map(|status| count("order", status)), [2, 0, 1]);
     assert_eq!(["fulfilled", "throttled", "faulted"].map(|status| count("note", status)), [0, 1, 0]);
-    assert_eq!(node.figure("svc_registry_entries"), 1);
-    assert_eq!(node.figure("svc_out_of_rotation"), 0);
+    assert_eq!(node.metric("svc_registry_entries"), 1);
+    assert_eq!(node.metric("svc_out_of_rotation"), 0);
 }
 
 /// Guards callers against others that connect and say nothing.
--- a/crates/sender/tests/node/upgrade.rs
+++ b/crates/sender/tests/node/upgrade.rs
@@ -57,8 +57,8 @@
     let new = old.start_successor();
     assert_eq!(new.ops("GET", "/status").status(), 200);
     assert_eq!(new.address, old.address);
-    assert_eq!(new.figure("svc_open_requests"), 2);
-    assert_eq!(new.figure("svc_out_of_rotation"), 1, "held out by hand before");
+    assert_eq!(new.metric("svc_open_requests"), 2);
+    assert_eq!(new.metric("svc_out_of_rotation"), 1, "held out by hand before");
     // By the old process's connection, with the new one's answer, which is the last.
     let answer = client.ask(&submission("late", "order", 7, 20_000));
     assert_eq!((answer.status(), answer.headers["connection"].as_str()), (202, "close"));
@@ -74,7 +74,7 @@
     old.signal("-TERM");
     out.reply(status(200));
     assert_eq!(old.exit_code(), Some(0));
-    wait_until(|| new.figure("svc_open_requests") == 0);
+    wait_until(|| new.metric("svc_open_requests") == 0);
     assert!(!seven.unseen(), "nothing goes twice");
     // The one after that.
     let next = new.start_successor();
@@ -102,7 +102,7 @@
     first.reply(status(200));
     endpoint.next().reply(status(200));
     // The second attempt at the first message is the new process's first: its end is told from the one before.
-    wait_until(|| new.figure("svc_open_requests") == 0);
+    wait_until(|| new.metric("svc_open_requests") == 0);
 }
 
 /// Guards the sender against a new process that asks and goes: the old one is as before.
@@ -121,8 +121,8 @@
     let second = endpoint.next();
     call.reply(status(200));
     second.reply(status(200));
-    wait_until(|| old.figure("svc_open_requests") == 0);
-    assert_eq!(old.figure("svc_operations{priority=\"order\",status=\"fulfilled\"}"), 2);
+    wait_until(|| old.metric("svc_open_requests") == 0);
+    assert_eq!(old.metric("svc_operations{priority=\"order\",status=\"fulfilled\"}"), 2);
     // One that says nothing at all is not waited for, and a proper one takes over after all.
     let _silent = UnixStream::connect(old.state().join("successor")).unwrap();
     let new = old.start_successor();
--- a/crates/test-doubles/src/node.rs
+++ b/crates/test-doubles/src/node.rs
@@ -296,7 +296,7 @@
     }
 
     /// Returns the value of a metric.
-    pub fn figure(&self, name: &str) -> u64 {
+    pub fn metric(&self, name: &str) -> u64 {
         let text = String::from_utf8(self.ops("GET", "/status/metrics").body).unwrap();
         let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         value.unwrap_or_else(|| panic!("metric {name} not found in {text}")).parse().unwrap()
