--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -162,7 +162,7 @@
     let said: Vec<_> = loads.into_iter().map(Load::stop).collect();
     std::thread::sleep(Duration::from_secs(13));
     let (messages, told) = (limited.messages(), notices.all());
-    let mut came = Came { list_calls: platform.list_calls(), ..Came::default() };
+    let mut came = Came { list_calls: platform.list_request_counts(), ..Came::default() };
     for (id, message) in said.into_iter().flatten() {
         let at = offset + message.at;
         let of = messages.get(&id).copied().unwrap_or_default();
--- a/crates/test-doubles/src/platform.rs
+++ b/crates/test-doubles/src/platform.rs
@@ -106,7 +106,7 @@
     }
 
     /// Returns how many requests for the list were accepted and rejected since the capacity was limited.
-    pub fn list_calls(&self) -> (u64, u64) {
+    pub fn list_request_counts(&self) -> (u64, u64) {
         let capacity = self.capacity.lock().unwrap();
         (capacity.accepted, capacity.rejected)
     }
