--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -97,7 +97,7 @@
     let operators = folder.path().join("operators.toml");
     std::fs::write(&operators, if known { "[known]\non = true\n" } else { "" }).map_err(|e| e.to_string())?;
     let program = program().arg("--operators").arg(&operators);
-    platform.overbook(LIST_TAKES, LIST_WAITS);
+    platform.limit_list_capacity(LIST_TAKES, LIST_WAITS);
     let mut nodes: Vec<Node> = (0..senders)
         .map(|_| {
             Node::start(&program, &platform, &endpoints, |config| {
--- a/crates/test-doubles/src/platform.rs
+++ b/crates/test-doubles/src/platform.rs
@@ -101,7 +101,7 @@
 
     /// Limits the capacity for requests for the list: each takes `service_time`, one after the other, and one that would
     /// wait longer than `max_wait` is rejected.
-    pub fn overbook(&self, service_time: Duration, max_wait: Duration) {
+    pub fn limit_list_capacity(&self, service_time: Duration, max_wait: Duration) {
         self.capacity.lock().unwrap().cost = Some((service_time, max_wait));
     }
 
