--- a/crates/fleet-sim/src/partner.rs
+++ b/crates/fleet-sim/src/partner.rs
@@ -75,7 +75,7 @@
     /// Seconds of the limit that a token bucket holds, or the length of a fixed window.
     pub window_seconds: f64,
     /// Whether rejected calls use up the limit like accepted ones, even below zero.
-    pub refused_count: bool,
+    pub rejected_calls_use_limit: bool,
     /// Calls per second that it can process after its slow start.
     pub capacity: f64,
     /// Periods with a lower limit: start and end in seconds since the start of the simulation, and the share of the limit
@@ -114,7 +114,7 @@
             listed_factor: 1.0,
             limit_model: LimitModel::TokenBucket,
             window_seconds: 0.7,
-            refused_count: true,
+            rejected_calls_use_limit: true,
             capacity: f64::INFINITY,
             limit_reductions: vec![],
             outages: vec![],
@@ -205,7 +205,7 @@
         }
         let report = self.reports.front().map(|first| first.1.clone()).unwrap_or_default();
         if self.tokens < 0.0 {
-            self.tokens += f64::from(u8::from(!self.refused_count));
+            self.tokens += f64::from(u8::from(!self.rejected_calls_use_limit));
             self.count(now, |count| count.refused += 1);
             return (Outcome::Rejected(None), report);
         }
--- a/crates/fleet-sim/tests/large_fleet.rs
+++ b/crates/fleet-sim/tests/large_fleet.rs
@@ -14,8 +14,13 @@
         let limit = 80.0 / (1.0 + at as f64 * 0.25);
         let max_batch = if at % 3 == 2 { 5 } else { 1 };
         let capacity = limit * 1.6;
-        let mut partner =
-            Partner { limit, max_batch, capacity, refused_count: at.is_multiple_of(2), ..Partner::default() };
+        let mut partner = Partner {
+            limit,
+            max_batch,
+            capacity,
+            rejected_calls_use_limit: at.is_multiple_of(2),
+            ..Partner::default()
+        };
         change(at, &mut partner);
         (partner, limit * LOAD)
     };
--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -59,7 +59,7 @@
         limit: *limit,
         limit_model: LimitModel::FixedWindow,
         window_seconds: if at % 2 == 0 { 2.0 } else { 1.0 },
-        refused_count: at % 4 == 0,
+        rejected_calls_use_limit: at % 4 == 0,
         max_batch: if at % 3 == 2 { 5 } else { 1 },
         capacity: limit * 1.5,
         reports_every: 0.4,
