--- a/crates/fleet-sim/src/partner.rs
+++ b/crates/fleet-sim/src/partner.rs
@@ -88,7 +88,7 @@
     /// The mean time that a call takes, in seconds.
     pub call_seconds: f64,
     /// The interval in seconds at which the load report is updated.
-    pub reports_every: f64,
+    pub report_interval: f64,
     /// The delay in seconds until an updated load report appears in answers.
     pub report_delay: f64,
     /// The latest load reports, each with the number of its interval.
@@ -120,7 +120,7 @@
             outages: vec![],
             max_batch: 1,
             call_seconds: 0.08,
-            reports_every: 0.5,
+            report_interval: 0.5,
             report_delay: 0.18,
             reports: VecDeque::new(),
             count: Counts::default(),
@@ -194,12 +194,12 @@
         self.refill(at, limit);
         self.tokens -= 1.0;
         let current = vec![(self.tokens / depth).max(0.0) as f32, limit as f32];
-        let interval = (at / self.reports_every) as u64;
+        let interval = (at / self.report_interval) as u64;
         if self.reports.back().is_none_or(|last| last.0 < interval) {
             self.reports.push_back((interval, current));
         }
         // Answers carry the report of the interval that was current one report delay ago.
-        let visible_period = ((at - self.report_delay) / self.reports_every) as u64;
+        let visible_period = ((at - self.report_delay) / self.report_interval) as u64;
         while self.reports.len() > 1 && self.reports[1].0 <= visible_period {
             self.reports.pop_front();
         }
--- a/crates/fleet-sim/tests/small_limits.rs
+++ b/crates/fleet-sim/tests/small_limits.rs
@@ -14,7 +14,7 @@
         window_seconds: if at % 2 == 0 { 2.0 } else { 1.0 },
         rejected_calls_use_limit: at % 4 == 0,
         max_batch: if at % 3 == 2 { 5 } else { 1 },
-        reports_every: 0.4,
+        report_interval: 0.4,
         call_seconds: 0.25,
         ..Partner::default()
     };
--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -62,7 +62,7 @@
         rejected_calls_use_limit: at % 4 == 0,
         max_batch: if at % 3 == 2 { 5 } else { 1 },
         capacity: limit * 1.5,
-        reports_every: 0.4,
+        report_interval: 0.4,
         call_seconds: 0.15,
         outages: if at == DOWN.0 { vec![DOWN.1] } else { vec![] },
         ..Partner::default()
