--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -302,7 +302,7 @@
 fn a_journal_that_cannot_be_written_takes_nothing_on() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node =
-        Node::start_short_of_disk(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)]);
+        Node::start_with_file_limit(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)]);
     let small = String::from_utf8(submission("big", "order", 7, 20_000)).unwrap();
     let (head, _) = small.split_once("Content-Length").unwrap();
     let big = format!("{head}Content-Length: 4000\r\n\r\n{}", "x".repeat(4000));
--- a/crates/test-doubles/src/node.rs
+++ b/crates/test-doubles/src/node.rs
@@ -114,7 +114,7 @@
     }
 
     /// Starts a sender with a file size limit of one block: writing the journal fails.
-    pub fn start_short_of_disk(program: &Program, platform: &Platform, endpoints: &[Value]) -> Self {
+    pub fn start_with_file_limit(program: &Program, platform: &Platform, endpoints: &[Value]) -> Self {
         let folder = Self::configure(platform, endpoints, |_| {});
         let command = program.command_with_file_limit(folder.path(), 1);
         Self::run(program, folder, command)
