--- a/crates/loadtest/src/upgrade_kills.rs
+++ b/crates/loadtest/src/upgrade_kills.rs
@@ -127,7 +127,7 @@
             }
         }
         switch_on(&self.operators, another(&mut self.rng))?;
-        let mut new = old.starting_successor();
+        let mut new = old.spawn_successor();
         std::thread::sleep(Duration::from_micros(self.rng.u64(..60_000)));
         let (kills, pauses) = match fire {
             Fire::Kill { old, new } => ((old, new), (false, false)),
@@ -144,7 +144,7 @@
         signals("-KILL", kills, &old, &new);
         signals("-STOP", pauses, &old, &new);
         switch_on(&self.operators, another(&mut self.rng))?;
-        let (mut third, began) = (old.starting_successor(), Instant::now());
+        let (mut third, began) = (old.spawn_successor(), Instant::now());
         let mut paused = pauses != (false, false);
         let mut termed = false;
         while !third.is_ready() && began.elapsed() < READY_WITHIN {
--- a/crates/test-doubles/src/node.rs
+++ b/crates/test-doubles/src/node.rs
@@ -203,7 +203,7 @@
     }
 
     /// Starts a second process on the same folder while this one runs, without waiting until it is ready.
-    pub fn starting_successor(&self) -> StartingNode {
+    pub fn spawn_successor(&self) -> StartingNode {
         StartingNode::new(&self.program, self.folder.clone(), self.program.command(self.folder.path()))
     }
 
