--- a/crates/sender/tests/node/bad.rs
+++ b/crates/sender/tests/node/bad.rs
@@ -64,7 +64,7 @@
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "longer");
     call.reply(status(200));
-    assert!(!endpoint.unseen(), "nothing else went on");
+    assert!(!endpoint.has_unread_request(), "nothing else went on");
 }
 
 /// An id that is held already is the same message: one call, and both are told that it is taken on.
@@ -78,5 +78,5 @@
     let before = node.journal_length();
     call.reply(status(200));
     wait_until(|| node.journal_length() > before);
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
 }
--- a/crates/sender/tests/node/closes.rs
+++ b/crates/sender/tests/node/closes.rs
@@ -48,7 +48,7 @@
     }
     assert_eq!(called, ids[..answers.len()].iter().cloned().collect());
     assert_eq!(node.exit_code(), Some(0));
-    assert!(!endpoint.unseen(), "what was not answered is not forwarded");
+    assert!(!endpoint.has_unread_request(), "what was not answered is not forwarded");
     answers.len()
 }
 
@@ -81,7 +81,7 @@
             call.reply(status(200));
         }
         assert_eq!(called, named(prefix, COUNT).into_iter().collect());
-        assert!(!endpoint.unseen());
+        assert!(!endpoint.has_unread_request());
     }
 }
 
@@ -247,7 +247,7 @@
             }
             before += 1;
         }
-        if all_ended && before == 0 && !endpoint.unseen() {
+        if all_ended && before == 0 && !endpoint.has_unread_request() {
             return;
         }
     }
--- a/crates/sender/tests/node/cores.rs
+++ b/crates/sender/tests/node/cores.rs
@@ -112,10 +112,10 @@
     for dest in 1..9 {
         assert_eq!(node.submit(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
     }
-    assert!(!served.unseen(), "held out everywhere from the yes on");
+    assert!(!served.has_unread_request(), "held out everywhere from the yes on");
     move_to(&node, 1, 3);
     move_to(&node, 1, 0);
-    assert!(!served.unseen());
+    assert!(!served.has_unread_request());
     for dest in 1..9 {
         assert_eq!(node.ops("POST", &format!("/maintenance/exit?target=e{dest}")).status(), 200);
         served.next().reply(status(200));
@@ -175,5 +175,5 @@
         wait_until(|| node.has_ended());
         node = next;
     }
-    assert!(!served.unseen(), "no order is sent again");
+    assert!(!served.has_unread_request(), "no order is sent again");
 }
--- a/crates/sender/tests/node/duty.rs
+++ b/crates/sender/tests/node/duty.rs
@@ -38,7 +38,7 @@
     both_avoided(&node);
     assert_eq!(node.submit("a", "note", 7, 20_000).status(), 202);
     assert_eq!(node.metric("svc_open_requests"), 1);
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
     assert_eq!(node.ops("POST", "/maintenance/exit?target=e1").status(), 200, "one call back ends it");
     endpoint.next().reply(status(200));
     assert_eq!(node.ops("POST", "/maintenance/exit?target=e1").status(), 200);
--- a/crates/sender/tests/node/kept.rs
+++ b/crates/sender/tests/node/kept.rs
@@ -46,7 +46,7 @@
     assert_eq!(node.submit("failed", "order", 8, 20_000).status(), 500);
     assert_eq!(node.submit("note", "note", 7, 20_000).status(), 202, "it may be repeated");
     assert_eq!(seven.next().http.headers["req-id"], "note");
-    assert!(!seven.unseen() && !eight.unseen(), "no order is sent again");
+    assert!(!seven.has_unread_request() && !eight.has_unread_request(), "no order is sent again");
 }
 
 #[test]
@@ -94,7 +94,7 @@
     assert_eq!(call.http.headers["req-id"], "late", "what came later is not affected");
     call.reply(status(200));
     wait_until(|| lines(&look(&node, "list")).is_empty());
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
 }
 
 #[test]
@@ -157,7 +157,7 @@
     let notice = platform.answer_notification(204);
     assert_eq!(notice, [json!({"id": "a", "status": "undeliverable"})]);
     drop((call, node));
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
 }
 
 /// Guards what is held against a full disk: nothing is taken on, what is held is told its end in time, and it goes on
--- a/crates/sender/tests/node/known.rs
+++ b/crates/sender/tests/node/known.rs
@@ -59,13 +59,13 @@
     }
     wait_until(|| show(&node).contains("it was ill"));
     // What the killed process had out is none of the next one's.
-    let node = node.kill_and_restart_after(|| while endpoint.unseen() {});
+    let node = node.kill_and_restart_after(|| while endpoint.has_unread_request() {});
     for n in 0..5 {
         assert_eq!(node.submit(&format!("b{n}"), "note", 7, 20_000).status(), 202);
     }
     let trial = endpoint.next();
     std::thread::sleep(Duration::from_millis(300));
-    assert!(!endpoint.unseen(), "one call at a time");
+    assert!(!endpoint.has_unread_request(), "one call at a time");
     trial.reply(status(200));
     endpoint.next().reply(status(200));
 }
@@ -85,7 +85,7 @@
         assert_eq!(node.submit(&format!("a{n}"), "order", 7, 20_000).status(), 202);
         stays.next().reply(status(200));
     }
-    assert!(!leaves.unseen());
+    assert!(!leaves.has_unread_request());
     let path = platform.watched.recv_timeout(TIMEOUT).unwrap();
     assert!(path.contains(&format!("from={index}&")), "{path}: it goes on from the newest that is known");
 }
--- a/crates/sender/tests/node/lost.rs
+++ b/crates/sender/tests/node/lost.rs
@@ -203,5 +203,5 @@
     std::thread::sleep(Duration::from_secs(2));
     assert!(waited_for.closed.try_recv().is_err());
     waited_for.reply(status(200));
-    assert!(!endpoint.unseen() && platform.notifications.try_recv().is_err());
+    assert!(!endpoint.has_unread_request() && platform.notifications.try_recv().is_err());
 }
--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -87,7 +87,7 @@
     held.reply(status(200));
     drop(unsafe_call);
     drop(node);
-    assert!(!seven.unseen(), "the unsafe message is not sent again");
+    assert!(!seven.has_unread_request(), "the unsafe message is not sent again");
 }
 
 /// Guards against a resend outside the time for which the destination remembers the key.
@@ -103,7 +103,7 @@
     let node = node.kill_and_restart();
     assert_eq!(platform.answer_notification(204), [json!({"id": "a", "status": "undeliverable"})]);
     drop((call, node));
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
 }
 
 /// Guards against a notice that is lost with the platform's answer, or with the process.
@@ -315,7 +315,7 @@
     let node = node.kill_and_restart();
     assert_eq!(platform.answer_notification(204), [json!({"id": "small", "status": "undeliverable"})]);
     drop((call, node));
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
 }
 
 /// A list of some megabytes, whole and again without most of it: read, and taken in while messages go on.
@@ -338,5 +338,5 @@
     }
     assert_eq!(node.submit("away", "note", 19_999, 2_000).status(), 202);
     assert_eq!(platform.answer_notification(204)[0]["id"], json!("away"));
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
 }
--- a/crates/sender/tests/node/rough.rs
+++ b/crates/sender/tests/node/rough.rs
@@ -115,7 +115,7 @@
     }
     assert_eq!(orders(&node, "fine", 7), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "fine");
-    assert!(!endpoint.unseen());
+    assert!(!endpoint.has_unread_request());
 }
 
 /// Guards the room for messages against those that no endpoint can ever take.
--- a/crates/sender/tests/node/upgrade.rs
+++ b/crates/sender/tests/node/upgrade.rs
@@ -75,7 +75,7 @@
     out.reply(status(200));
     assert_eq!(old.exit_code(), Some(0));
     wait_until(|| new.metric("svc_open_requests") == 0);
-    assert!(!seven.unseen(), "nothing goes twice");
+    assert!(!seven.has_unread_request(), "nothing goes twice");
     // The one after that.
     let next = new.start_successor();
     assert_eq!(next.ask(READY).status(), 200);
@@ -145,7 +145,7 @@
     assert_eq!(again.http.headers["req-id"], "keyed");
     again.reply(status(200));
     drop((unsafe_call, keyed_call));
-    assert!(!seven.unseen(), "the unsafe message is not sent again");
+    assert!(!seven.has_unread_request(), "the unsafe message is not sent again");
 }
 
 /// Guards against two copies at a time where the versions don't understand one another: nothing begins before all that
--- a/crates/test-doubles/src/http.rs
+++ b/crates/test-doubles/src/http.rs
@@ -130,7 +130,7 @@
     }
 
     /// Returns whether a request has arrived that the test has not received yet; that request is dropped.
-    pub fn unseen(&self) -> bool {
+    pub fn has_unread_request(&self) -> bool {
         self.poll().is_some()
     }
 }
