--- a/crates/loadtest/src/cores.rs
+++ b/crates/loadtest/src/cores.rs
@@ -166,7 +166,7 @@
         limit: terms.filter(|_| n.is_multiple_of(4)).map(|_| LIMIT),
     };
     (0..PARTNERS)
-        .map(|n| Partner::with_terms(Behavior::Healthy(Duration::from_millis(2)), terms(n)))
+        .map(|n| Partner::with_limits(Behavior::Healthy(Duration::from_millis(2)), terms(n)))
         .collect()
 }
 
--- a/crates/test-doubles/src/partner.rs
+++ b/crates/test-doubles/src/partner.rs
@@ -78,11 +78,11 @@
 impl Partner {
     /// Starts a partner without limits.
     pub fn new(behavior: Behavior) -> Self {
-        Self::with_terms(behavior, PartnerLimits::default())
+        Self::with_limits(behavior, PartnerLimits::default())
     }
 
     /// Starts a partner with limits.
-    pub fn with_terms(behavior: Behavior, limits: PartnerLimits) -> Self {
+    pub fn with_limits(behavior: Behavior, limits: PartnerLimits) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let partner = Self {
