--- a/crates/sender/src/stall_detector.rs
+++ b/crates/sender/src/stall_detector.rs
@@ -1,5 +1,5 @@
-//! How long ago what is read now may have arrived: a request's time runs from its arrival, not from when it
-//! is read.
+//! Estimates how long ago data that is read now may have arrived. A request's time counts from its arrival, not from
+//! when it is read.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,73 +7,78 @@
 use tokio::runtime::Builder;
 use tokio::time::Instant;
 
-/// The longest wait of the runtime.
-const BEAT: Duration = Duration::from_millis(100);
-/// A wait that ends so soon found something that was there already.
-const AT_ONCE: Duration = Duration::from_micros(200);
-/// A wait that ends so long after the beat did not end by itself: the process stalled.
-const STILL: Duration = Duration::from_millis(50);
+/// The longest time that the runtime's thread is parked, since [`keep_awake`] sets a timer of this length.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// If the thread was parked for less than this, the data that it reads next was there already.
+const IMMEDIATE_WAKEUP: Duration = Duration::from_micros(200);
+/// If the thread was parked for longer than the tick by this, the process stalled.
+const STALL_MARGIN: Duration = Duration::from_millis(50);
 
-/// The first wait after a stall may have ended by the signal that ended it, and have read nothing: what
-/// arrives in this time after it may have arrived as early.
-const AFTER: Duration = Duration::from_millis(20);
+/// The first wakeup after a stall may come from the signal that ended the stall, without any data being read: data
+/// that is read within this time after it may have arrived as early as the stall began.
+const AFTER_STALL: Duration = Duration::from_millis(20);
 
-/// What a thread's runtime does between what it reads.
+/// When a thread's runtime was parked and unparked, from which the age of what it reads follows.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadTimes {
-    /// When it began to wait, and when it went on.
-    waits: Option<Instant>,
-    woke: Option<Instant>,
-    /// What is read now arrived no sooner.
-    since: Option<Instant>,
-    /// When the process stalled last, and when it went on.
-    still: Option<(Instant, Instant)>,
+    /// When the thread was parked last.
+    parked_at: Option<Instant>,
+    /// When the thread was unparked last.
+    unparked_at: Option<Instant>,
+    /// Data that is read now arrived no earlier than this.
+    earliest_arrival: Option<Instant>,
+    /// Begin and end of the last stall of the process.
+    last_stall: Option<(Instant, Instant)>,
 }
 
 impl ReadTimes {
-    fn waits(self, now: Instant) -> Self {
-        Self { waits: Some(now), ..self }
+    fn park(self, now: Instant) -> Self {
+        Self { parked_at: Some(now), ..self }
     }
 
-    /// Guards a message's time against a long iteration, during which its request lay unread, and against a
-    /// process that stalled. A stall shorter than the beat is not noticed; after a longer one up to a beat
-    /// too much is taken off.
-    fn wakes(self, now: Instant) -> Self {
-        let waited = self.waits.map_or(Duration::ZERO, |waits| now.saturating_duration_since(waits));
-        let stood = waited > BEAT + STILL;
-        let still = if stood { self.waits.map(|waits| (waits, now)) } else { self.still };
-        let since = match still.filter(|(_, until)| now.saturating_duration_since(*until) < AFTER) {
-            Some((from, _)) => Some(from),
-            None if waited < AT_ONCE => self.woke,
-            None => Some(now),
-        };
-        Self { woke: Some(now), since, still, ..self }
+    /// Determines the earliest arrival of what is read next. It lies back by a long iteration, during which a request
+    /// was not read, and by a stall of the process. A stall shorter than the tick interval is not detected. After a
+    /// longer one, the request may lose up to one tick interval of its time too much.
+    fn unpark(self, now: Instant) -> Self {
+        let parked_for =
+            self.parked_at.map_or(Duration::ZERO, |parked_at| now.saturating_duration_since(parked_at));
+        let stalled = parked_for > TICK_INTERVAL + STALL_MARGIN;
+        let last_stall =
+            if stalled { self.parked_at.map(|parked_at| (parked_at, now)) } else { self.last_stall };
+        let earliest_arrival =
+            match last_stall.filter(|(_, until)| now.saturating_duration_since(*until) < AFTER_STALL) {
+                Some((from, _)) => Some(from),
+                None if parked_for < IMMEDIATE_WAKEUP => self.unparked_at,
+                None => Some(now),
+            };
+        Self { unparked_at: Some(now), earliest_arrival, last_stall, ..self }
     }
 
     fn read_delay(self, now: Instant) -> Duration {
-        self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
+        self.earliest_arrival
+            .map_or(Duration::ZERO, |earliest_arrival| now.saturating_duration_since(earliest_arrival))
     }
 }
 
 thread_local! {
-    static READ_TIMES: Cell<ReadTimes> = const { Cell::new(ReadTimes { waits: None, woke: None, since: None, still: None }) };
+    static READ_TIMES: Cell<ReadTimes> = const { Cell::new(ReadTimes { parked_at: None, unparked_at: None, earliest_arrival: None, last_stall: None }) };
 }
 
-/// Has a runtime's thread note when it waits.
+/// Makes a runtime's thread record when it is parked and unparked.
 pub fn observe(runtime: &mut Builder) -> &mut Builder {
     runtime
-        .on_thread_park(|| READ_TIMES.set(READ_TIMES.get().waits(Instant::now())))
-        .on_thread_unpark(|| READ_TIMES.set(READ_TIMES.get().wakes(Instant::now())))
+        .on_thread_park(|| READ_TIMES.set(READ_TIMES.get().park(Instant::now())))
+        .on_thread_unpark(|| READ_TIMES.set(READ_TIMES.get().unpark(Instant::now())))
 }
 
-/// Makes the runtime's waits end, for as long as the process runs.
+/// Wakes the runtime at least once per tick interval, for as long as the process runs: a longer park means a stall.
 pub async fn keep_awake() {
     loop {
-        tokio::time::sleep(BEAT).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-/// How long ago what is read now arrived, at most.
+/// Returns how long ago data that is read now arrived, at most.
 pub fn behind() -> Duration {
     READ_TIMES.get().read_delay(Instant::now())
 }
--- a/crates/sender/src/stall_detector/tests.rs
+++ b/crates/sender/src/stall_detector/tests.rs
@@ -1,23 +1,27 @@
 use super::*;
 
-/// Which of a long turn and a request comes first can't be held from outside.
+/// Tested here, because a test from outside can't control whether a long iteration or a request comes first.
 #[test]
-fn what_is_read_came_after_the_last_look_at_the_soonest() {
+fn read_delay_goes_back_to_the_last_wakeup_or_stall() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let ms = Duration::from_millis;
-    let pulse = ReadTimes::default();
-    assert_eq!(pulse.read_delay(at(0)), ms(0));
-    let pulse = pulse.waits(at(0)).wakes(at(90));
-    assert_eq!(pulse.read_delay(at(91)), ms(1), "it came and was read");
-    let pulse = pulse.waits(at(130)).wakes(at(130));
-    assert_eq!(pulse.read_delay(at(130)), ms(40), "it may have come as a turn began that took long");
-    let pulse = pulse.waits(at(131)).wakes(at(200));
-    assert_eq!(pulse.read_delay(at(200)), ms(0));
-    let pulse = pulse.waits(at(210)).wakes(at(600));
-    assert_eq!(pulse.read_delay(at(600)), ms(390), "no wait takes so long: it stood still");
-    let pulse = pulse.waits(at(601)).wakes(at(601));
-    assert_eq!(pulse.read_delay(at(601)), ms(391), "the wait before may have read nothing");
-    let pulse = pulse.waits(at(640)).wakes(at(641));
-    assert_eq!(pulse.read_delay(at(641)), ms(0), "that is over");
+    let times = ReadTimes::default();
+    assert_eq!(times.read_delay(at(0)), ms(0));
+    let times = times.park(at(0)).unpark(at(90));
+    assert_eq!(times.read_delay(at(91)), ms(1), "data arrived during the park and was read at once");
+    let times = times.park(at(130)).unpark(at(130));
+    assert_eq!(times.read_delay(at(130)), ms(40), "data may have arrived when the long iteration began");
+    let times = times.park(at(131)).unpark(at(200));
+    assert_eq!(times.read_delay(at(200)), ms(0));
+    let times = times.park(at(210)).unpark(at(600));
+    assert_eq!(
+        times.read_delay(at(600)),
+        ms(390),
+        "the park was longer than the tick interval: the process stalled"
+    );
+    let times = times.park(at(601)).unpark(at(601));
+    assert_eq!(times.read_delay(at(601)), ms(391), "nothing may have been read after the first wakeup");
+    let times = times.park(at(640)).unpark(at(641));
+    assert_eq!(times.read_delay(at(641)), ms(0), "the stall is no longer considered");
 }
