--- a/crates/sender/src/event_loop/calls.rs
+++ b/crates/sender/src/event_loop/calls.rs
@@ -1,4 +1,4 @@
-//! From the attempts that the module decided on to the calls that carry them.
+//! Turns the attempts that the decision module decided on into calls, and starts them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -10,7 +10,7 @@
 use super::{EventLoop, PendingSubmission, RETRY_AFTER_JOURNAL_FULL};
 use crate::ports::{Answer, AttemptCompleted, CallMessage, Inbound, WriteOptions};
 
-/// An attempt that the module decided on.
+/// An attempt that the decision module decided on.
 pub(super) struct PlannedAttempt {
     message: MessageId,
     attempt: u16,
@@ -20,7 +20,7 @@
     write_options: WriteOptions,
 }
 
-/// Messages that travel to an endpoint together.
+/// A call to an endpoint, with one message or a batch.
 struct PlannedCall {
     endpoint: EndpointId,
     messages: Vec<CallMessage>,
@@ -28,7 +28,7 @@
 }
 
 impl EventLoop {
-    /// The attempt of an [`Action::Attempt`]; none if its message is not pending any more.
+    /// Records the attempt of an [`Action::Attempt`] and returns it, or none if its message is not pending any more.
     pub(super) fn plan_attempt(
         &mut self,
         action: &Action,
@@ -47,7 +47,7 @@
         Some(PlannedAttempt { message, attempt, endpoint, timeout, send_within, write_options })
     }
 
-    /// The number of a message's next attempt, if it is pending.
+    /// Assigns the number of a message's next attempt, if the message is pending.
     fn next_attempt(
         &mut self,
         message: MessageId,
@@ -61,7 +61,7 @@
         Some(*count - 1)
     }
 
-    /// The record that an attempt may have run from now on.
+    /// Returns the journal record of an attempt: from now on it counts as one that may have run.
     pub(super) fn attempt_record(&self, attempt: &PlannedAttempt) -> Record {
         Record::AttemptStarted {
             message: attempt.message.0,
@@ -71,29 +71,30 @@
         }
     }
 
-    /// Starts the calls of an iteration: attempts at one endpoint travel together as far as its kind allows.
+    /// Starts the calls of an iteration. Attempts at the same endpoint share a call, up to the batch size of the
+    /// endpoint's kind.
     pub(super) fn start_calls(&mut self, now: Micros, attempts: Vec<PlannedAttempt>) {
         for call in self.plan_calls(now, attempts) {
             self.start_call(call);
         }
     }
 
-    /// The calls, in the order of their first attempts.
+    /// Groups attempts into calls, in the order of the first attempt of each.
     fn plan_calls(&self, now: Micros, attempts: Vec<PlannedAttempt>) -> Vec<PlannedCall> {
         let mut calls: Vec<PlannedCall> = Vec::new();
-        let mut latest: HashMap<EndpointId, usize> = HashMap::new();
+        let mut latest_calls: HashMap<EndpointId, usize> = HashMap::new();
         for planned in attempts {
             let (endpoint, write_options) = (planned.endpoint, planned.write_options);
             let Some(message) = self.call_message(now, &planned) else { continue };
             let max_batch = self.directory.max_batch(endpoint);
-            let call = latest.get(&endpoint).copied().and_then(|at| calls.get_mut(at));
+            let call = latest_calls.get(&endpoint).copied().and_then(|index| calls.get_mut(index));
             match call.filter(|call| call.messages.len() < max_batch) {
                 Some(call) => {
                     call.messages.push(message);
                     call.write_options = call.write_options.stricter(write_options);
                 }
                 None => {
-                    latest.insert(endpoint, calls.len());
+                    latest_calls.insert(endpoint, calls.len());
                     calls.push(PlannedCall { endpoint, messages: vec![message], write_options });
                 }
             }
@@ -101,8 +102,8 @@
         calls
     }
 
-    /// A message as a call carries it. Its times run from when the attempt was decided on: the module gives the message
-    /// its final answer no sooner.
+    /// Returns a message for a call. Its deadlines count from the decision on the attempt: the decision module does not
+    /// give the message its final answer earlier.
     fn call_message(&self, now: Micros, planned: &PlannedAttempt) -> Option<CallMessage> {
         let pending = self.journal.live().get(&planned.message.0)?;
         let AcceptedMessage { id, key, body, .. } = (*pending.message).clone();
@@ -118,26 +119,27 @@
         })
     }
 
+    /// Starts a call, or reports a failed connection if no transport knows the endpoint.
     fn start_call(&self, call: PlannedCall) {
         let PlannedCall { endpoint, mut messages, write_options } = call;
-        // Guards the others of a call against the end of its first message, by which the platform may count the call:
-        // where that one had expired before the answer came, the answer counted for none of them. The first is the one
-        // that is waited for longest.
+        // The message with the latest deadline comes first. The platform may attribute a call to its first message: if
+        // that one expired before the answer came, the answer counted for none of the messages.
         messages.sort_by_key(|message| Reverse(message.answer_deadline));
         let target = self.directory.transport(endpoint).zip(self.directory.route(endpoint));
         if let Some((transport, route)) = target {
             transport.start((route, endpoint), messages, write_options);
             return;
         }
-        // An address that cannot be parsed is one that cannot be connected to.
-        let failed = |message: &CallMessage| {
+        // An address that cannot be parsed counts as one that cannot be connected to.
+        let connect_failed = |message: &CallMessage| {
             AttemptCompleted::unsent(message.message, message.attempt, endpoint, Outcome::ConnectFailed)
         };
-        let _ = self.inbound.send(Inbound::CallCompleted(messages.iter().map(failed).collect()));
+        let _ = self.inbound.send(Inbound::CallCompleted(messages.iter().map(connect_failed).collect()));
     }
 
-    /// Undoes an iteration whose records could not be written. Guards the promise that accepted messages outlast the
-    /// process: without the journal nothing is accepted and no call starts.
+    /// Undoes an iteration whose records could not be written: its submissions are rejected and its attempts reported
+    /// as not sent. An accepted message must survive the process, so that nothing is accepted and no call starts
+    /// without the journal.
     pub(super) fn reject_unwritten(
         &mut self,
         records: Vec<Record>,
--- a/crates/sender/src/event_loop/inbound.rs
+++ b/crates/sender/src/event_loop/inbound.rs
@@ -1,4 +1,4 @@
-//! What arrives from other tasks, turned into events for the decision module.
+//! Turns messages from other tasks into events for the decision module.
 
 use admin::gate::AdmissionGate;
 use decision::interface::{Event, MessageId};
@@ -9,7 +9,7 @@
 use crate::ports::Inbound;
 
 impl EventLoop {
-    /// Handles one message of another task, unless another shard has to.
+    /// Handles one message of another task, or forwards it to the shard that has to handle it.
     pub(super) fn handle_inbound(&mut self, inbound: Inbound, events: &mut Vec<Event>) {
         let Some(inbound) = self.route_inbound(inbound) else { return };
         match inbound {
@@ -25,29 +25,32 @@
             }
             Inbound::EndpointsUpdated(update) => self.endpoints_updated(update, events),
             Inbound::NotificationsAcknowledged(messages) => self.notifications_acknowledged(messages),
-            Inbound::AdminRequest(call, answer) => self.answer_staff(call, answer, events),
+            Inbound::AdminRequest(request, answer) => self.answer_admin_request(request, answer, events),
             Inbound::Status => self.log_status(),
             Inbound::Reload => self.reload(),
             Inbound::Terminate => self.shut_down(events),
         }
     }
 
-    /// Long lists are applied in slices, over several iterations.
+    /// Applies an endpoint list or its changes. Long ones are applied in slices, over several iterations.
     fn endpoints_updated(&mut self, EndpointUpdate(list): EndpointUpdate, events: &mut Vec<Event>) {
         (self.list_version, self.list_is_current) = (list.index, true);
         if !self.directory.needs_slicing(&list) {
             events.push(self.apply_list(&list));
         } else if self.directory.enqueue(list).is_err() {
-            eprintln!("the list changes faster than it can be taken in: it is asked for as a whole");
+            eprintln!(
+                "endpoint list: updates arrive faster than they can be applied, fetching the full list"
+            );
             self.refetch_endpoints.notify_one();
         }
     }
 
+    /// Applies an endpoint list at once.
     pub(super) fn apply_list(&mut self, list: &EndpointList) -> Event {
         self.directory.apply(list, || endpoints_of_attempts(&self.journal))
     }
 
-    /// The platform has answered these notifications: their messages are complete.
+    /// Completes the messages whose notifications the platform has acknowledged.
     fn notifications_acknowledged(&mut self, messages: Vec<MessageId>) {
         for MessageId(number) in messages {
             let id = self.journal.live().get(&number).map(|pending| pending.message.id.clone());
@@ -58,25 +61,26 @@
         }
     }
 
+    /// Logs the status line, which tools parse.
     fn log_status(&self) {
         let open: Vec<_> = self.policy.open_breakers().iter().map(|destination| destination.0).collect();
-        let (awake, asleep) = self.policy.active_and_idle();
-        let core = self.shard.as_ref().map_or(String::new(), |shard| format!(" core={}", shard.id().0));
-        let held = self.policy.pending_messages();
-        eprintln!("status{core} held={held} awake={awake} asleep={asleep} open={open:?}");
+        let (active, idle) = self.policy.active_and_idle();
+        let label = self.shard.as_ref().map_or(String::new(), |shard| format!(" core={}", shard.id().0));
+        let pending = self.policy.pending_messages();
+        eprintln!("status{label} held={pending} awake={active} asleep={idle} open={open:?}");
     }
 
-    /// Reads the configuration again; discovery's address alone takes effect.
+    /// Reads the configuration again. Only a change of discovery's address takes effect.
     fn reload(&mut self) {
         match config::reload_discovery() {
-            Ok(address) => self.discovery_is_at(address),
+            Ok(address) => self.set_discovery_address(address),
             Err(error) => {
                 eprintln!("the configuration stays as it was: {}", error.replace(['\n', '\r'], " "));
             }
         }
     }
 
-    /// Begins the shutdown; a second request changes nothing.
+    /// Begins the shutdown. Further requests have no effect.
     fn shut_down(&mut self, events: &mut Vec<Event>) {
         if self.shutdown_deadline.is_some() {
             return;
--- a/crates/sender/src/event_loop/iteration.rs
+++ b/crates/sender/src/event_loop/iteration.rs
@@ -1,4 +1,5 @@
-//! One iteration: the decision module decides, the journal is written, then clients are answered and calls start.
+//! One iteration: the decision module decides, the journal is written, and only then clients are answered and calls
+//! start.
 
 use std::collections::BTreeMap;
 
@@ -10,24 +11,25 @@
 use super::{EventLoop, PendingSubmission};
 use crate::ports::{Answer, Inbound};
 
-/// Between two log lines of a journal that fails.
+/// Minimum interval between two log lines about journal failures.
 const JOURNAL_WARNING_INTERVAL: Micros = 1_000_000;
 
-/// What the module decided that the journal has to have before it takes effect.
+/// Decisions that have to be in the journal before they take effect.
 #[derive(Default)]
 struct Decisions {
-    /// Messages that get a final answer from this sender.
+    /// Messages that this sender abandons, with the final answer that they get.
     abandoned: Vec<(u32, Abandonment)>,
+    /// The attempts to start.
     attempts: Vec<PlannedAttempt>,
 }
 
 impl EventLoop {
-    /// Has the module decide on these events, and carries its decisions out.
+    /// Passes these events to the decision module, and carries out its decisions.
     pub(super) fn run_iteration(&mut self, events: Vec<Event>) {
         let now = self.iteration_time;
         debug_assert!(
             events.iter().all(|event| self.is_as_of_now(event)),
-            "remaining time as of another instant"
+            "a remaining time is not as of the time of this iteration"
         );
         let mut actions = Vec::new();
         self.record_observations(&events);
@@ -35,8 +37,8 @@
         let mut records = std::mem::take(&mut self.unwritten_records);
         let mut submissions = std::mem::take(&mut self.submissions);
         let Decisions { abandoned, attempts } = self.carry_out(actions, &submissions);
-        for (number, how) in abandoned {
-            self.abandon(number, how, &mut submissions, &mut records);
+        for (number, abandonment) in abandoned {
+            self.abandon(number, abandonment, &mut submissions, &mut records);
         }
         let outcomes = records.len();
         let accepted = submissions.iter();
@@ -53,19 +55,22 @@
                 self.start_calls(now, attempts);
             }
             Err(error) => {
-                self.warn_journal("written", &error);
+                self.warn_journal(
+                    "written, new messages are rejected and no call starts until it can",
+                    &error,
+                );
                 records.truncate(outcomes);
-                // Outcomes alone need little space, and some is reserved for them.
+                // Outcomes alone need little space, and the journal reserves some for them.
                 let outcomes_written = self.journal.append(now, &mut records).is_ok();
                 self.send_notifications(now, outcomes_written);
                 self.reject_unwritten(records, submissions, &attempts);
             }
         }
-        self.recovery_report.take_summary().into_iter().for_each(|line| eprintln!("{line}"));
+        self.recovery_report.take_summary().into_iter().for_each(|summary| eprintln!("{summary}"));
         self.compact(now);
     }
 
-    /// Carries out what needs no record, and collects what does.
+    /// Carries out the decisions that need no record, and collects those that do.
     fn carry_out(
         &mut self,
         actions: Vec<Action>,
@@ -86,7 +91,7 @@
                         transport.close_idle(endpoint);
                     }
                 }
-                // The watch is open all the time.
+                // The endpoint watch is always open.
                 Action::WatchEndpoints => {}
                 Action::FetchEndpoints => self.refetch_endpoints.notify_one(),
                 Action::SendGossip { to, content } => {
@@ -103,7 +108,7 @@
         decisions
     }
 
-    /// An endpoint that no transport knows counts as one that cannot be connected to.
+    /// Checks an endpoint's health. The check fails like a failed connection if no transport knows the endpoint.
     fn check_health(&self, endpoint: EndpointId) {
         match self.directory.transport(endpoint) {
             Some(transport) => transport.probe(endpoint),
@@ -115,23 +120,24 @@
         }
     }
 
-    /// Gives a message its final answer: to its client, where that still waits, else to the platform once it is written.
+    /// Gives a message its final answer: to its client if that still waits, else to the platform after the record is
+    /// written.
     fn abandon(
         &mut self,
         number: u32,
-        how: Abandonment,
+        abandonment: Abandonment,
         submissions: &mut BTreeMap<u32, PendingSubmission>,
         records: &mut Vec<Record>,
     ) {
-        let outcome = match how {
+        let outcome = match abandonment {
             Abandonment::Deferred(_) => FinalOutcome::Throttled,
             Abandonment::Undeliverable => FinalOutcome::Faulted,
         };
-        // Answered in the iteration that it was submitted in: the journal never hears of it.
+        // Answered in the iteration in which it was submitted: nothing is recorded.
         if let Some(submission) = submissions.remove(&number) {
             self.outcome_counts.count(&submission.message.class, outcome);
             self.forget(number, &submission.message.id);
-            submission.answer(match how {
+            submission.answer(match abandonment {
                 Abandonment::Deferred(retry_after) => Answer::Rejected(retry_after),
                 Abandonment::Undeliverable => Answer::Failed,
             });
@@ -142,12 +148,13 @@
             let remaining = message.deadline.saturating_sub(self.iteration_time);
             self.recovery_report.abandoned(number, remaining);
             self.outcome_counts.count(&message.class, outcome);
-            records.push(Record::Abandoned(number, how));
-            self.pending_notifications.push((number, how, message.id.clone()));
+            records.push(Record::Abandoned(number, abandonment));
+            self.pending_notifications.push((number, abandonment, message.id.clone()));
         }
     }
 
-    /// Appends records; where the journal is full, the health snapshot makes space for them.
+    /// Appends records to the journal. If this fails, the disk space of the health snapshot is released and the
+    /// append repeated.
     fn append(&mut self, now: Micros, records: &mut Vec<Record>) -> Result<(), AppendError> {
         let written = self.journal.append(now, records);
         if written.is_err() && self.release_snapshot_space() {
@@ -156,32 +163,35 @@
         written
     }
 
-    /// One step of the journal's compaction, once answers and calls are out.
+    /// Runs one step of the journal's compaction, after answers and calls.
     fn compact(&mut self, now: Micros) {
         if let Err(error) = self.journal.compact_step(now) {
-            // Compaction goes before the snapshot too; it goes on in the next iteration.
+            // Compaction takes precedence over the snapshot too: it continues in the next iteration.
             if !self.release_snapshot_space() {
-                self.warn_journal("compacted", &error);
+                self.warn_journal("compacted, retrying in the next iteration", &error);
             }
         }
     }
 
-    /// Whether the event tells of a message's remaining time as of this iteration.
+    /// Returns whether the remaining time in an event, if it has one, is as of this iteration.
     fn is_as_of_now(&self, event: &Event) -> bool {
         let (Event::Accepted(message) | Event::Recovered { message, .. }) = event else { return true };
         let MessageId(number) = message.id;
-        let fresh = self.submissions.get(&number).map(|fresh| &fresh.message);
-        let taken =
-            fresh.cloned().or_else(|| self.journal.live().get(&number).map(|live| live.message.clone()));
-        taken.is_none_or(|taken| message.remaining_time == taken.deadline.saturating_sub(self.iteration_time))
+        let submission = self.submissions.get(&number).map(|submission| &submission.message);
+        let accepted = submission
+            .cloned()
+            .or_else(|| self.journal.live().get(&number).map(|pending| pending.message.clone()));
+        accepted.is_none_or(|accepted| {
+            message.remaining_time == accepted.deadline.saturating_sub(self.iteration_time)
+        })
     }
 
-    /// At most once a second, for it is tried again in every iteration.
-    fn warn_journal(&mut self, what: &str, why: &dyn std::fmt::Display) {
+    /// Logs a journal failure, at most once a second: the operation is repeated in every iteration.
+    fn warn_journal(&mut self, operation: &str, error: &dyn std::fmt::Display) {
         let now = self.clock.now();
         if now >= self.next_journal_warning_at {
             self.next_journal_warning_at = now + JOURNAL_WARNING_INTERVAL;
-            eprintln!("the journal can't be {what}: {why}");
+            eprintln!("the journal can't be {operation}: {error}");
         }
     }
 }
--- a/crates/sender/src/event_loop/messages.rs
+++ b/crates/sender/src/event_loop/messages.rs
@@ -1,4 +1,4 @@
-//! The life of a message: submitted, withdrawn, its attempts' outcomes, notified and completed.
+//! The life cycle of a message: submission, withdrawal, outcomes of its attempts, notification and completion.
 
 use admin::figures::FinalOutcome;
 use decision::interface::{DestinationId, Event, Message, MessageId, Micros, Outcome};
@@ -10,58 +10,59 @@
 use crate::ports::{Answer, AttemptCompleted, Submission};
 
 impl EventLoop {
-    pub(super) fn accept_submission(&mut self, message: Submission, events: &mut Vec<Event>) {
-        let Submission { message: taken, class, request, answer } = message;
-        if let Some((number, by)) = self.pending_by_id.get_mut(&taken.id) {
-            // The client did not receive its answer and submits once more. Guards the new answer against the
-            // end of the earlier connection, which may show later: no request can withdraw the message any
-            // more.
-            *by = NO_REQUEST;
+    /// Accepts a submitted message for this iteration, or answers it at once if it is a repeat or can't be accepted.
+    pub(super) fn accept_submission(&mut self, submission: Submission, events: &mut Vec<Event>) {
+        let Submission { message, class, request, answer } = submission;
+        if let Some((number, submitted_by)) = self.pending_by_id.get_mut(&message.id) {
+            // The client did not receive its answer and repeats the submission. The end of its earlier connection
+            // may be noticed only later and would withdraw the message, so that no request may withdraw it from
+            // now on.
+            *submitted_by = NO_REQUEST;
             match self.submissions.get_mut(number) {
-                Some(fresh) => fresh.waiters.push((request, answer)),
+                Some(pending) => pending.waiters.push((request, answer)),
                 None => drop(answer.send(Answer::Accepted)),
             }
             return;
         }
-        // Guards capacity against messages that nobody accepts: a new destination's first list may be on its
-        // way.
-        if !self.directory.names_destination(taken.destination) {
-            self.outcome_counts.count(&taken.class, FinalOutcome::Throttled);
+        // Messages that no endpoint accepts would use up capacity. The client retries, since the first list with a
+        // new destination may be about to arrive.
+        if !self.directory.names_destination(message.destination) {
+            self.outcome_counts.count(&message.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(RETRY_AFTER_UNLISTED));
             return;
         }
-        // Guards against a second effect under the same id: the recorded outcome is the answer.
-        if self.journal.retains(&taken.class)
-            && let Some(end) = self.journal.ledger_entry(&taken.id, self.clock.now())
+        // A second delivery under the same id is prevented: the answer is the recorded outcome.
+        if self.journal.retains(&message.class)
+            && let Some(entry) = self.journal.ledger_entry(&message.id, self.clock.now())
         {
-            let _ = answer.send(if end.delivered { Answer::Delivered } else { Answer::Failed });
+            let _ = answer.send(if entry.delivered { Answer::Delivered } else { Answer::Failed });
             return;
         }
-        let pending: u64 =
-            self.submissions.values().map(|fresh| self.journal.space_needed(&fresh.message)).sum();
-        if !self.journal.has_capacity(&taken, pending) {
-            self.outcome_counts.count(&taken.class, FinalOutcome::Throttled);
+        let pending_bytes: u64 =
+            self.submissions.values().map(|pending| self.journal.space_needed(&pending.message)).sum();
+        if !self.journal.has_capacity(&message, pending_bytes) {
+            self.outcome_counts.count(&message.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(RETRY_AFTER_JOURNAL_FULL));
             return;
         }
-        let Some(number) = self.number() else {
-            self.outcome_counts.count(&taken.class, FinalOutcome::Throttled);
+        let Some(number) = self.assign_number() else {
+            self.outcome_counts.count(&message.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(RETRY_AFTER_JOURNAL_FULL));
             return;
         };
-        events.push(Event::Accepted(decision_message(number, class, &taken, self.iteration_time)));
-        self.pending_by_id.insert(taken.id.clone(), (number, request));
-        self.submissions
-            .insert(number, PendingSubmission { message: taken, waiters: vec![(request, answer)] });
+        events.push(Event::Accepted(decision_message(number, class, &message, self.iteration_time)));
+        self.pending_by_id.insert(message.id.clone(), (number, request));
+        self.submissions.insert(number, PendingSubmission { message, waiters: vec![(request, answer)] });
     }
 
-    /// A message number that is not in use; none while another process has the shards' journal.
-    fn number(&mut self) -> Option<u32> {
+    /// Returns a message number that is not in use, or none while another process has the journal that the shards
+    /// share.
+    fn assign_number(&mut self) -> Option<u32> {
         if let JournalStore::Sharded(part) = &mut self.journal {
             return part.next_message_number().ok();
         }
         let mut number = self.next_message;
-        // Guards a message that has outlived all other numbers against another under its own.
+        // After a wrap-around, a message may still be pending under the next number.
         while self.journal.live().contains_key(&number) || self.submissions.contains_key(&number) {
             number = number.wrapping_add(1);
         }
@@ -69,16 +70,16 @@
         Some(number)
     }
 
-    /// Withdraws a message by its own request: guards it against another client that used its id.
+    /// Withdraws a message, if this request submitted it: another client may have used the same id.
     pub(super) fn withdraw(&mut self, id: &str, request: u64, events: &mut Vec<Event>) {
-        let Some((number, taken_by)) = self.pending_by_id.get(id).copied() else { return };
-        if let Some(fresh) = self.submissions.get_mut(&number) {
-            fresh.waiters.retain(|waiting| waiting.0 != request);
-            if !fresh.waiters.is_empty() {
+        let Some((number, submitted_by)) = self.pending_by_id.get(id).copied() else { return };
+        if let Some(submission) = self.submissions.get_mut(&number) {
+            submission.waiters.retain(|waiter| waiter.0 != request);
+            if !submission.waiters.is_empty() {
                 return;
             }
             self.submissions.remove(&number);
-        } else if taken_by == request {
+        } else if submitted_by == request {
             self.complete(number, false);
         } else {
             return;
@@ -87,80 +88,85 @@
         self.forget(number, id);
     }
 
-    pub(super) fn attempt_completed(&mut self, end: AttemptCompleted) -> Event {
-        let number = end.message.0;
-        let live = self.journal.live().get(&number);
-        let owed = live.filter(|live| live.abandoned.is_none()).map(|live| live.message.clone());
-        // Completed or abandoned already: this outcome changes nothing.
+    /// Records the outcome of an attempt. Returns the event for the decision module.
+    pub(super) fn attempt_completed(&mut self, completed: AttemptCompleted) -> Event {
+        let number = completed.message.0;
+        let pending = self.journal.live().get(&number);
+        let pending_message =
+            pending.filter(|pending| pending.abandoned.is_none()).map(|pending| pending.message.clone());
+        // Of a message that is completed or abandoned already, the outcome changes nothing.
         let mut terminal = true;
-        if let Some(taken) =
-            owed.filter(|taken| self.pending_by_id.get(&taken.id).is_some_and(|held| held.0 == number))
+        if let Some(message) = pending_message
+            .filter(|message| self.pending_by_id.get(&message.id).is_some_and(|known| known.0 == number))
         {
-            terminal = end.message_completed || end.outcome == Outcome::Delivered;
+            terminal = completed.message_completed || completed.outcome == Outcome::Delivered;
             if terminal {
-                if end.outcome == Outcome::Delivered {
-                    self.outcome_counts.count(&taken.class, FinalOutcome::Fulfilled);
+                if completed.outcome == Outcome::Delivered {
+                    self.outcome_counts.count(&message.class, FinalOutcome::Fulfilled);
                 }
-                self.complete(number, end.outcome == Outcome::Delivered);
-                self.forget(number, &taken.id);
+                self.complete(number, completed.outcome == Outcome::Delivered);
+                self.forget(number, &message.id);
             } else {
-                let never_ran = end.outcome.never_ran();
+                let never_ran = completed.outcome.never_ran();
                 self.unwritten_records.push(Record::AttemptEnded {
                     message: number,
-                    attempt: end.attempt,
+                    attempt: completed.attempt,
                     never_ran,
                 });
             }
         }
         Event::AttemptCompleted {
-            message: end.message,
-            attempt: end.attempt,
-            endpoint: end.endpoint,
-            outcome: end.outcome,
+            message: completed.message,
+            attempt: completed.attempt,
+            endpoint: completed.endpoint,
+            outcome: completed.outcome,
             terminal,
-            took: end.took,
-            report: end.report,
+            took: completed.took,
+            report: completed.report,
         }
     }
 
-    /// Nothing more is owed to a message. What must not take effect again, and may have, goes into the ledger
-    /// where there is one; what was rejected may be submitted again.
+    /// Records that a message is completed. If its class has a ledger and the message may have taken effect, its
+    /// outcome goes into the ledger, since it must not take effect again. A message that was rejected may be
+    /// submitted again.
     pub(super) fn complete(&mut self, number: u32, delivered: bool) {
-        if let Some(live) = self.journal.live().get(&number)
-            && self.journal.retains(&live.message.class)
-            && (delivered || live.may_have_run() || live.abandoned == Some(Abandonment::Undeliverable))
+        if let Some(pending) = self.journal.live().get(&number)
+            && self.journal.retains(&pending.message.class)
+            && (delivered || pending.may_have_run() || pending.abandoned == Some(Abandonment::Undeliverable))
         {
-            let (id, at) = (live.message.id.clone(), self.clock.now());
+            let (id, at) = (pending.message.id.clone(), self.clock.now());
             self.unwritten_records.push(Record::LedgerEntry(LedgerEntry { id, delivered, at }));
         }
         self.unwritten_records.push(Record::Completed(number));
     }
 
+    /// Removes a message from the indexes of pending messages.
     pub(super) fn forget(&mut self, number: u32, id: &str) {
         self.attempts.remove(&number);
         self.pending_by_id.remove(id);
     }
 
-    fn queue_notification(&self, number: u32, how: Abandonment, id: String) {
-        let _ = self.notifications.send(Notification { message: MessageId(number), id, outcome: how });
+    fn queue_notification(&self, number: u32, outcome: Abandonment, id: String) {
+        let _ = self.notifications.send(Notification { message: MessageId(number), id, outcome });
     }
 
-    /// Notifies the platform of outcomes that are written. One that could not be written is notified all the same once the
-    /// message's deadline has passed: no later process would send it then. Before that it would be a second answer, should
-    /// this process end here and the next one deliver the message.
+    /// Notifies the platform of outcomes whose records are written. An outcome that could not be written is sent too
+    /// once the message's deadline has passed, because no later process would send it. Before the deadline this could
+    /// lead to two answers: if this process ended now, the next one might deliver the message.
     pub(super) fn send_notifications(&mut self, now: Micros, written: bool) {
-        for (number, how, id) in std::mem::take(&mut self.pending_notifications) {
-            let late = self.journal.live().get(&number).is_none_or(|live| live.message.deadline <= now);
-            if written || late {
-                self.queue_notification(number, how, id);
+        for (number, outcome, id) in std::mem::take(&mut self.pending_notifications) {
+            let expired =
+                self.journal.live().get(&number).is_none_or(|pending| pending.message.deadline <= now);
+            if written || expired {
+                self.queue_notification(number, outcome, id);
             } else {
-                self.pending_notifications.push((number, how, id));
+                self.pending_notifications.push((number, outcome, id));
             }
         }
     }
 }
 
-/// An accepted message as the decision module knows it, with its remaining time as of `now`.
+/// Returns an accepted message as input for the decision module, with its remaining time as of `now`.
 pub(super) fn decision_message(
     number: u32,
     class: usize,
--- a/crates/sender/src/event_loop/mod.rs
+++ b/crates/sender/src/event_loop/mod.rs
@@ -1,8 +1,11 @@
 //! The event loop of a sender: one task that owns the decision module, the journal and the endpoint directory.
 //!
-//! An iteration collects what has arrived into events, lets the decision module decide once, appends the records to the
-//! journal in one write, and only then answers clients and starts calls. Iterations are at least the settings' period apart.
-//! Invariants: nothing is answered or called before the journal has it, and all events of an iteration are as of one time.
+//! An iteration collects everything that has arrived into events, passes them to the decision module in one call,
+//! appends the resulting records to the journal in one write, and only then answers clients and starts calls.
+//! Consecutive iterations are at least the settings' period apart.
+//!
+//! Invariants: no client is answered and no call starts before the records for it are in the journal, and all events
+//! of an iteration refer to the same instant.
 
 mod admin_requests;
 mod calls;
@@ -47,28 +50,29 @@
 
 use recovery_report::RecoveryReport;
 
-/// From SIGTERM until the process may be killed.
+/// Time from SIGTERM until the process may be killed.
 const SHUTDOWN_TIMEOUT: Micros = 3_700_000;
-/// From SIGTERM until clients have noticed and connect elsewhere.
+/// Time from SIGTERM until clients have noticed the shutdown and connect elsewhere.
 const CLIENT_GRACE: Micros = 1_000_000;
 /// Retry-After for clients while the journal is full.
 const RETRY_AFTER_JOURNAL_FULL: Micros = 1_000_000;
-/// Retry-After for clients whose destination is in no endpoint list yet.
+/// Retry-After for clients whose destination is not in the endpoint list yet.
 const RETRY_AFTER_UNLISTED: Micros = 1_000_000;
-/// Stands for the request that a message came with where no request may withdraw it; requests are counted from 1.
+/// Request number of a message that no request may withdraw. Real requests are numbered from 1.
 const NO_REQUEST: u64 = 0;
 
-/// A message that was submitted since the last iteration and has no answer yet.
+/// A message that was submitted since the last iteration and is not answered yet.
 struct PendingSubmission {
     message: Arc<AcceptedMessage>,
-    /// The waiting requests, by number: more than one where the client repeated its submission.
+    /// The requests that wait for the answer, by request number. There are several if the client repeated its
+    /// submission.
     waiters: Vec<(u64, oneshot::Sender<Answer>)>,
 }
 
 impl PendingSubmission {
     fn answer(self, answer: Answer) {
         for (_, waiter) in self.waiters {
-            // A client that has gone has been reported as withdrawn.
+            // Fails if the client has disconnected, which is reported separately as a withdrawal.
             let _ = waiter.send(answer);
         }
     }
@@ -77,66 +81,71 @@
 /// The state of one event loop.
 struct EventLoop {
     clock: Clock,
-    /// The time of this iteration, read once before any event is collected. Guards a message's deadline: remaining time is
-    /// told to the decision module as of the same instant at which it decides. With two readings of the clock a message
-    /// outlived its deadline by the time between them (up to 44 ms at a start), and an answer in that gap was lost.
+    /// The time of this iteration, read once before any event is collected. The decision module gets remaining times
+    /// as of the instant at which it decides. With two readings of the clock a message outlived its deadline by the
+    /// time between them (up to 44 ms at startup), and an answer that arrived in this gap was lost.
     iteration_time: Micros,
     policy: Policy,
     journal: JournalStore,
     directory: Directory,
     gossip_socket: Option<GossipSocket>,
     notifications: UnboundedSender<Notification>,
-    /// Asks the endpoint watch for the full list.
+    /// Makes the endpoint watch fetch the full list.
     refetch_endpoints: Rc<Notify>,
-    /// The address of discovery, for the tasks that talk to it.
+    /// Discovery's address, for the tasks that connect to it.
     discovery: watch::Sender<SocketAddr>,
     inbound: UnboundedSender<Inbound>,
     /// The version of the endpoint list.
     list_version: u64,
-    /// When discovery last confirmed that there is no newer list; it goes on to confirm while the watch is open.
+    /// When discovery last confirmed that there is no newer list. An open watch counts as continuous confirmation.
     list_confirmed_at: Micros,
+    /// No discovery failure was reported since the last update of the list.
     list_is_current: bool,
     /// Writes the health snapshot for the next process.
     snapshot_store: Option<SnapshotStore>,
     /// Destinations whose observed health may have changed in this iteration.
     touched_destinations: Vec<u16>,
-    /// The process that asks to take over.
+    /// The process that requested to take over.
     successor: Option<HandoverLink>,
-    /// The connections that the predecessor still carries.
+    /// The connections that the predecessor still drains.
     predecessor: Option<Rc<Predecessor>>,
+    /// Whether the frontends admit clients.
     gate: watch::Sender<AdmissionGate>,
+    /// Final outcomes so far, by class.
     outcome_counts: OutcomeCounts,
     /// `NODE_STATE`, where ejections are stored.
     state_folder: PathBuf,
     /// When the process may be killed, once it was asked to shut down.
     shutdown_deadline: Option<Micros>,
+    /// Timers of the decision module: due time and token.
     timers: BTreeSet<(Micros, u64)>,
+    /// The next message number, where this event loop has the whole journal.
     next_message: u32,
-    /// By `Req-Id`: the number of each pending message, and of the request that it came with.
+    /// The number of each pending message and of the request that submitted it, by `Req-Id`.
     pending_by_id: HashMap<String, (u32, u64)>,
-    /// Attempts started for each pending message.
+    /// How many attempts were started of each pending message.
     attempts: HashMap<u32, u16>,
-    /// Submitted since the last iteration, or in it.
+    /// Messages submitted since the last iteration, by message number.
     submissions: BTreeMap<u32, PendingSubmission>,
-    /// Records that could not be written yet; nothing that they promise has been told to anybody.
+    /// Records that could not be written yet. Nothing has been answered or sent on the strength of them.
     unwritten_records: Vec<Record>,
-    /// No journal failure is logged before then.
+    /// The earliest time at which a journal failure is logged again.
     next_journal_warning_at: Micros,
-    /// Notifications whose records are not written yet.
+    /// Notifications that wait until their records are written.
     pending_notifications: Vec<(u32, Abandonment, String)>,
-    /// The state of one of several shards; none where there is one event loop.
+    /// The state of this shard, or none if the process has a single event loop.
     shard: Option<Shard>,
-    /// A destination migrated here in this iteration.
+    /// Whether a destination migrated to this shard in this iteration.
     destination_attached: bool,
-    /// What became of messages that the last process had not attempted.
+    /// Counts the outcomes of messages that the previous process had not attempted.
     recovery_report: RecoveryReport,
-    /// The idempotency that binds accepted messages, by class.
+    /// The idempotency that applies to accepted messages, by class.
     class_idempotency: Arc<ClassIdempotency>,
-    /// Other shards that wait for the end of this iteration.
+    /// Notified at the end of this iteration: other shards wait for it.
     iteration_waiters: Vec<oneshot::Sender<()>>,
 }
 
-/// Names of endpoints at which an attempt of a pending message may have run.
+/// Returns the names of the endpoints at which an attempt of a pending message may have run.
 fn endpoints_of_attempts(journal: &JournalStore) -> impl Iterator<Item = &str> {
     let attempts = journal.live().values().flat_map(|live| &live.attempts);
     attempts.filter(|attempt| !attempt.never_ran).map(|attempt| &*attempt.endpoint)
--- a/crates/sender/src/event_loop/parts.rs
+++ b/crates/sender/src/event_loop/parts.rs
@@ -1,4 +1,4 @@
-//! What an event loop is built from, and what remains of it when it returns.
+//! The inputs of an event loop, and what it returns when it ends.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,69 +22,69 @@
 use crate::ports::{Clock, Frontend, Transport};
 use crate::shards::RemoteShards;
 
-/// What an event loop is built from.
+/// The inputs of an event loop.
 pub struct EventLoopParts {
-    /// The time.
+    /// The process's clock.
     pub clock: Clock,
-    /// The accepted messages.
+    /// The journal, with the accepted messages.
     pub journal: JournalStore,
-    /// The state of one of several shards; none where there is one event loop.
+    /// The state of this shard, or none if the process has a single event loop.
     pub shard: Option<Shard>,
-    /// Accept messages from clients.
+    /// The frontends, which accept messages from clients.
     pub frontends: Vec<Rc<dyn Frontend>>,
-    /// Call endpoints; the first that can parse an endpoint's address makes the calls to it.
+    /// The transports, which call endpoints. An endpoint is called by the first one that can parse its address.
     pub transports: Vec<Rc<dyn Transport>>,
-    /// Gossip with other senders.
+    /// The socket for gossip with other senders.
     pub gossip_socket: Option<GossipSocket>,
     /// Tells the frontends whether clients are admitted.
     pub gate: watch::Sender<AdmissionGate>,
     /// Endpoints that an operator ejected.
     pub ejections: Ejections,
-    /// The frontends accept connections already.
+    /// Whether the frontends already accept connections.
     pub frontends_started: bool,
     /// The state that the predecessor handed over.
     pub predecessor_state: Option<(HandoverState, Policy)>,
-    /// The connections that the predecessor still carries.
+    /// The connections that the predecessor still drains.
     pub predecessor: Option<Rc<Predecessor>>,
-    /// Endpoints whose destinations sent the predecessor a Retry-After, and until when it binds.
-    pub waits: Vec<(String, Micros)>,
+    /// Retry-After deadlines that the predecessor received: the endpoint name and when the deadline ends.
+    pub retry_after_deadlines: Vec<(String, Micros)>,
     /// Final outcomes so far.
     pub outcome_counts: Option<OutcomeCounts>,
-    /// The system's clock was set back since the last process: ages of its attempts are unknown.
+    /// Whether the system's clock was set back since the previous process: then the ages of its attempts are unknown.
     pub clock_set_back: bool,
     /// Writes the health snapshot for the next process.
     pub snapshot_store: Option<SnapshotStore>,
-    /// What is restored of the last process's health snapshot.
+    /// The state restored from the previous process's health snapshot.
     pub restored: RestoredState,
-    /// The idempotency that binds accepted messages, by class.
+    /// The idempotency that applies to accepted messages, by class.
     pub class_idempotency: Arc<ClassIdempotency>,
 }
 
-/// The first of several shards after a hand-over: it can resume, and it carries what the other shards still have.
+/// The first of several shards after a hand-over. It can resume, and until it ends it forwards for the other shards.
 pub struct HandedOverShard {
     /// Its state.
     pub shard: Shard,
     /// Its part of the journal, closed.
     pub journal_part: journal::JournalPart,
-    /// Clients and calls of the other shards.
+    /// The other shards' clients and calls.
     pub remote_shards: Rc<RemoteShards>,
 }
 
 /// Why an event loop returned.
 pub enum ExitReason {
-    /// It was asked to shut down and has nothing left that the next process could not do.
+    /// It was asked to shut down, and nothing is left that the next process could not do.
     Finished,
-    /// A successor takes over.
+    /// A successor asked to take over.
     HandOver {
         /// The connection to it.
         successor: HandoverLink,
-        /// The state that it goes on with.
+        /// The state that the successor continues from.
         state: Box<HandoverState>,
         /// Final outcomes so far.
         outcome_counts: OutcomeCounts,
         /// The gossip socket, whose address the successor needs.
         gossip_socket: Option<GossipSocket>,
-        /// What remains of the first shard, where there are several.
+        /// The first shard, if there are several.
         shard: Option<Box<HandedOverShard>>,
     },
 }
--- a/crates/sender/src/event_loop/recovery_report.rs
+++ b/crates/sender/src/event_loop/recovery_report.rs
@@ -1,5 +1,5 @@
-//! What becomes of messages that an earlier process accepted and never attempted: each gets a call as long as
-//! there is time. Counted here and logged once; nothing is decided.
+//! Counts the outcomes of messages that an earlier process accepted and never attempted, and reports them once. Each of
+//! them should get a call before its deadline. Nothing is decided here.
 
 use std::collections::HashSet;
 
@@ -16,10 +16,10 @@
     UnknownClass,
 }
 
-/// Counts of the messages that a restart found unattempted.
+/// Counts of the messages that were unattempted at the restart.
 #[derive(Debug, Default)]
 pub(super) struct RecoveryReport {
-    /// A message that is abandoned with no more time than this has expired.
+    /// A message that is abandoned with at most this much time left counts as expired.
     expiry_margin: Micros,
     unattempted: HashSet<u32>,
     resumed: usize,
@@ -29,48 +29,48 @@
 }
 
 impl RecoveryReport {
-    /// A report without any message.
+    /// Creates a report without any message.
     pub(super) fn new(settings: &Settings) -> Self {
         Self { expiry_margin: settings.rules.answer_slack.max(2 * settings.period), ..Self::default() }
     }
 
-    /// The module abandons one with so much time left.
-    pub(super) fn abandoned(&mut self, number: u32, left: Micros) {
+    /// Records that the decision module abandoned a message with this much time left.
+    pub(super) fn abandoned(&mut self, number: u32, remaining: Micros) {
         self.completed(
             number,
-            if left <= self.expiry_margin { UncalledReason::Expired } else { UncalledReason::Abandoned },
+            if remaining <= self.expiry_margin { UncalledReason::Expired } else { UncalledReason::Abandoned },
         );
     }
 
-    /// A message is recovered unattempted.
+    /// Records that a message was recovered unattempted.
     pub(super) fn resumed(&mut self, number: u32) {
         self.resumed += 1;
         self.unattempted.insert(number);
     }
 
-    /// A call starts.
+    /// Records that a call with the message starts.
     pub(super) fn called(&mut self, number: u32) {
         self.called += usize::from(self.unattempted.remove(&number));
     }
 
-    /// A message ended without a call.
-    pub(super) fn completed(&mut self, number: u32, why: UncalledReason) {
-        self.uncalled[why as usize] += usize::from(self.unattempted.remove(&number));
+    /// Records that a message ended without a call.
+    pub(super) fn completed(&mut self, number: u32, reason: UncalledReason) {
+        self.uncalled[reason as usize] += usize::from(self.unattempted.remove(&number));
     }
 
-    /// The summary, once, when all messages are accounted for.
+    /// Returns the log line with the counts, once, when all messages are accounted for.
     pub(super) fn take_summary(&mut self) -> Option<String> {
         if self.reported || self.resumed == 0 || !self.unattempted.is_empty() {
             return None;
         }
         self.reported = true;
-        let [late, given_up, unknown] = self.uncalled;
+        let [expired, abandoned, unknown_class] = self.uncalled;
         Some(format!(
-            "of {} untried messages of the process before {} were called; without a call ended {} ({late} out of time, \
-             {given_up} given up, {unknown} of an unknown class)",
+            "of {} untried messages of the process before {} were called; without a call ended {} ({expired} out of time, \
+             {abandoned} given up, {unknown_class} of an unknown class)",
             self.resumed,
             self.called,
-            late + given_up + unknown,
+            expired + abandoned + unknown_class,
         ))
     }
 }
--- a/crates/sender/src/event_loop/run.rs
+++ b/crates/sender/src/event_loop/run.rs
@@ -1,4 +1,4 @@
-//! The loop itself: wait, collect events, run an iteration, and end.
+//! The loop itself: it waits, collects events, runs an iteration and checks whether to end.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,10 +24,10 @@
 
 /// The longest wait between two iterations.
 const MAX_WAIT: Micros = 60_000_000;
-/// Between two looks at a shutdown that is near its end, a waiting successor, or a journal that could not be written.
+/// Interval at which a shutdown, a waiting successor or a failed journal write is checked again.
 const POLL_INTERVAL: Micros = 50_000;
 
-/// Runs the sender until it was asked to shut down and has, or until a successor is to take over.
+/// Runs the event loop until the shutdown that was requested is complete, or a successor takes over.
 ///
 /// # Errors
 /// Fails when a frontend or the administrative address cannot listen.
@@ -47,28 +47,30 @@
     let mut last_iteration = Instant::now();
     loop {
         let first = event_loop.next_inbound(events).await;
-        // The decision module is told that iterations are at least a period apart.
+        // The decision module relies on iterations being at least a period apart.
         sleep_until(last_iteration + period).await;
         last_iteration = Instant::now();
         event_loop.iterate(first, events, &frontends);
         if event_loop.is_finished(&frontends) {
             return Ok(ExitReason::Finished);
         }
-        // An attempt's completion that is on its way here must not get lost between the two processes.
+        // A queued completion of an attempt would be lost between the two processes.
         let can_hand_over = events.is_empty() && event_loop.can_hand_over();
         let Some(successor) = event_loop.successor.take_if(|_| can_hand_over) else { continue };
-        match event_loop.handover_state(frontends.iter().map(|front| front.requests()).max().unwrap_or(0)) {
+        match event_loop
+            .handover_state(frontends.iter().map(|frontend| frontend.requests()).max().unwrap_or(0))
+        {
             Ok(state) => {
                 watch.iter().for_each(JoinHandle::abort);
                 return Ok(event_loop.into_hand_over(successor, state));
             }
-            Err(error) => eprintln!("the state can't be handed over: {error}"),
+            Err(error) => eprintln!("hand-over failed, this process continues: encoding the state: {error}"),
         }
     }
 }
 
 impl EventLoop {
-    /// Waits for a message, another shard's message, or the next time at which something is due.
+    /// Waits for a message of another task or shard, or until something is due.
     async fn next_inbound(&self, events: &mut UnboundedReceiver<Inbound>) -> Option<Inbound> {
         let due = self.next_due().min(self.clock.now() + MAX_WAIT);
         tokio::select! {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// When something is due though nothing arrives.
+    /// Returns when the next iteration is due if nothing arrives.
     fn next_due(&self) -> Micros {
         if self.directory.has_pending() {
             return 0;
@@ -96,7 +98,8 @@
         due.into_iter().flatten().min().unwrap_or(Micros::MAX / 2)
     }
 
-    /// One iteration: collects all that has arrived or is due, and decides if there is anything to decide.
+    /// Runs one iteration: collects everything that has arrived or is due, and passes it to the decision module if
+    /// there is anything.
     fn iterate(
         &mut self,
         first: Option<Inbound>,
@@ -115,7 +118,7 @@
         }
         self.fire_timers(&mut events);
         self.update_leases(&mut events);
-        // An attached destination is decided on by itself only where nothing else is.
+        // A destination that was attached needs a decision even if there is no event.
         if !events.is_empty()
             || !self.unwritten_records.is_empty()
             || std::mem::take(&mut self.destination_attached)
@@ -126,6 +129,7 @@
         self.write_snapshot();
     }
 
+    /// Adds an event for each timer that is due.
     fn fire_timers(&mut self, events: &mut Vec<Event>) {
         while let Some(timer) = self.timers.pop_first() {
             if timer.0 > self.iteration_time {
@@ -136,13 +140,13 @@
         }
     }
 
-    /// Whether this event loop may return: it and, where there are several, all other shards are done.
+    /// Returns whether this event loop may end. Of several shards, each waits until all others may end too.
     fn is_finished(&self, frontends: &[Rc<dyn Frontend>]) -> bool {
-        let may_end = self.may_end(frontends.iter().map(|front| front.open_connections()).sum());
-        self.shard.as_ref().map_or(may_end, |shard| shard.group().done(self.shard_id(), may_end))
+        let may_end = self.may_end(frontends.iter().map(|frontend| frontend.open_connections()).sum());
+        self.shard.as_ref().map_or(may_end, |shard| shard.group().set_done(self.shard_id(), may_end))
     }
 
-    /// Whether a process that was asked to shut down has nothing left that the next one could not do.
+    /// Returns whether a shutdown was requested and nothing is left that the next process could not do.
     fn may_end(&self, clients: usize) -> bool {
         let Some(deadline) = self.shutdown_deadline else { return false };
         let now = self.clock.now();
@@ -154,12 +158,12 @@
             || (now >= deadline && nothing_in_flight())
     }
 
-    /// Which shard this is; the first where there is one event loop.
+    /// Returns the id of this shard: the first if there is a single event loop.
     pub(super) fn shard_id(&self) -> ShardId {
         self.shard.as_ref().map_or(ShardId(0), super::Shard::id)
     }
 
-    /// Stops deciding: what the successor gets, and what remains here.
+    /// Ends this event loop. Returns the state for the successor and what this process keeps.
     fn into_hand_over(self, successor: HandoverLink, state: HandoverState) -> ExitReason {
         let shard = match (self.shard, self.journal) {
             (Some(shard), JournalStore::Sharded(mut journal_part)) => {
--- a/crates/sender/src/event_loop/shard/admin_broadcast.rs
+++ b/crates/sender/src/event_loop/shard/admin_broadcast.rs
@@ -1,4 +1,4 @@
-//! Administrative requests that bind all shards.
+//! Administrative requests that all shards apply.
 
 use admin::call::AdminRequest;
 use admin::ejections::Ejections;
@@ -12,65 +12,65 @@
 use crate::shards::ShardMessage;
 
 impl EventLoop {
-    /// Tells the other shards who is ejected; each answers once it has applied that.
-    fn eject_everywhere(&self, held_out: &Ejections) -> Vec<oneshot::Receiver<()>> {
-        let Some(member) = &self.shard else { return Vec::new() };
-        let tell = |core| {
-            let (done, heard) = oneshot::channel();
-            member.handle.send(core, ShardMessage::Ejections(held_out.clone(), done));
-            heard
+    /// Sends the ejected endpoints to the other shards. Each one acknowledges on its channel once it has applied them.
+    fn broadcast_ejections(&self, ejections: &Ejections) -> Vec<oneshot::Receiver<()>> {
+        let Some(shard) = &self.shard else { return Vec::new() };
+        let notify = |id| {
+            let (done, applied) = oneshot::channel();
+            shard.handle.send(id, ShardMessage::Ejections(ejections.clone(), done));
+            applied
         };
-        member.others().map(tell).collect()
+        shard.others().map(notify).collect()
     }
 
-    /// Answers an administrative request; one that binds all shards once it does.
-    pub(in crate::event_loop) fn answer_staff(
+    /// Answers an administrative request. One that concerns all shards is answered once all of them have applied it.
+    pub(in crate::event_loop) fn answer_admin_request(
         &mut self,
-        call: AdminRequest,
+        request: AdminRequest,
         answer: oneshot::Sender<AdminResponse>,
         events: &mut Vec<Event>,
     ) {
-        let binds = matches!(call, AdminRequest::Eject(_) | AdminRequest::Reinstate(_));
-        let told = self.handle_admin_request(call, events);
-        if !binds || told.status != 200 || self.shard.is_none() {
-            let _ = answer.send(told);
+        let concerns_all_shards = matches!(request, AdminRequest::Eject(_) | AdminRequest::Reinstate(_));
+        let response = self.handle_admin_request(request, events);
+        if !concerns_all_shards || response.status != 200 || self.shard.is_none() {
+            let _ = answer.send(response);
             return;
         }
-        let waits = self.eject_everywhere(self.directory.ejections());
+        let acknowledgements = self.broadcast_ejections(self.directory.ejections());
         tokio::task::spawn_local(async move {
             let all = async {
-                for heard in waits {
-                    let _ = heard.await;
+                for applied in acknowledgements {
+                    let _ = applied.await;
                 }
             };
-            let told = match tokio::time::timeout(BROADCAST_TIMEOUT, all).await {
-                Ok(()) => told,
+            let response = match tokio::time::timeout(BROADCAST_TIMEOUT, all).await {
+                Ok(()) => response,
                 Err(_) => AdminResponse {
                     status: 503,
-                    text: "it is kept, and a core has not taken it in yet\n".into(),
+                    text: "stored, but not every core has applied it yet\n".into(),
                 },
             };
-            let _ = answer.send(told);
+            let _ = answer.send(response);
         });
     }
 
-    /// Asks for a destination to migrate to another shard.
+    /// Requests the migration of a destination to another shard.
     pub(in crate::event_loop) fn request_migration(&mut self, destination: u16, core: u8) -> AdminResponse {
-        let told = |status, text: &str| AdminResponse { status, text: text.to_owned() };
+        let response = |status, text: &str| AdminResponse { status, text: text.to_owned() };
         let to = ShardId(core);
-        let Some(member) = &mut self.shard else { return told(409, "there is one core\n") };
-        if to.index() >= member.group().count() {
-            return told(404, "there is no such core\n");
+        let Some(shard) = &mut self.shard else { return response(409, "there is one core\n") };
+        if to.index() >= shard.group().count() {
+            return response(404, "there is no such core\n");
         }
-        let from = member.group().owner(destination);
+        let from = shard.group().owner(destination);
         if from == to {
-            return told(200, "it is there\n");
+            return response(200, "it is there\n");
         }
-        if from == member.id() {
-            member.schedule_migration(destination, to, self.clock.now());
+        if from == shard.id() {
+            shard.schedule_migration(destination, to, self.clock.now());
         } else {
-            member.handle.send(from, ShardMessage::MigrateTo { destination, to });
+            shard.handle.send(from, ShardMessage::MigrateTo { destination, to });
         }
-        told(202, "it is told to go; the figures say when it has\n")
+        response(202, "it is told to go; the figures say when it has\n")
     }
 }
--- a/crates/sender/src/event_loop/shard/figures.rs
+++ b/crates/sender/src/event_loop/shard/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of each shard, and of all together.
+//! Metrics of each shard and of all shards together.
 
 use admin::figures::{Gauges, OutcomeCounts};
 use decision::interface::Micros;
@@ -9,66 +9,67 @@
 use crate::shards::Figures;
 
 impl EventLoop {
-    /// Publishes what this shard counts; now and then, since some figures take a look at all endpoints.
+    /// Publishes this shard's figures, at intervals, because some of them require a pass over all endpoints.
     pub(super) fn publish_figures(&mut self, now: Micros) {
-        let Some(member) = self.shard.as_mut().filter(|member| member.publish_at <= now) else { return };
-        member.publish_at = now + PUBLISH_INTERVAL;
-        let (me, team, moves) = (member.id(), member.group().clone(), (member.attached, member.detached));
-        let now = Gauges { out_of_rotation: self.policy.open_breaker_endpoints(), ..self.figures() };
-        team.show(
-            me,
+        let Some(shard) = self.shard.as_mut().filter(|shard| shard.publish_at <= now) else { return };
+        shard.publish_at = now + PUBLISH_INTERVAL;
+        let (id, group, migrations) = (shard.id(), shard.group().clone(), (shard.attached, shard.detached));
+        let gauges = Gauges { out_of_rotation: self.policy.open_breaker_endpoints(), ..self.figures() };
+        group.publish_figures(
+            id,
             Figures {
-                ends: Some(self.outcome_counts.clone()),
-                now,
-                out: self.policy.calls_in_flight(),
-                moves,
+                outcome_counts: Some(self.outcome_counts.clone()),
+                gauges,
+                calls_in_flight: self.policy.calls_in_flight(),
+                migrations,
             },
         );
     }
 
-    /// The figures of all shards together.
+    /// Returns the figures of all shards together: counts of outcomes and gauges.
     pub(in crate::event_loop) fn combined_figures(&self) -> (OutcomeCounts, Gauges) {
-        let Some(member) = &self.shard else { return (self.outcome_counts.clone(), self.figures()) };
-        let all = member.group().figures();
-        let mut ends = self.outcome_counts.clone();
-        let mut now = self.figures();
-        now.out_of_rotation = self.policy.unavailable_endpoints();
-        for figures in all.iter().enumerate().filter(|(core, _)| *core != member.id().index()).map(|of| of.1)
+        let Some(shard) = &self.shard else { return (self.outcome_counts.clone(), self.figures()) };
+        let all = shard.group().figures();
+        let mut outcome_counts = self.outcome_counts.clone();
+        let mut gauges = self.figures();
+        gauges.out_of_rotation = self.policy.unavailable_endpoints();
+        for figures in
+            all.iter().enumerate().filter(|(index, _)| *index != shard.id().index()).map(|entry| entry.1)
         {
-            figures.ends.iter().for_each(|theirs| ends.add(theirs));
-            now.relayed += figures.now.relayed;
-            now.open += figures.now.open;
-            now.out_of_rotation += figures.now.out_of_rotation;
+            figures.outcome_counts.iter().for_each(|counts| outcome_counts.add(counts));
+            gauges.relayed += figures.gauges.relayed;
+            gauges.open += figures.gauges.open;
+            gauges.out_of_rotation += figures.gauges.out_of_rotation;
         }
-        (ends, now)
+        (outcome_counts, gauges)
     }
 
-    /// The figures of each shard, as text.
+    /// Returns the metrics of each shard as text.
     pub(in crate::event_loop) fn figures_by_shard(&self) -> String {
         use std::fmt::Write;
-        let Some(member) = &self.shard else { return String::new() };
-        let team = member.group();
+        let Some(shard) = &self.shard else { return String::new() };
+        let group = shard.group();
         let mut text = String::new();
-        let room = team.quotas();
-        for (core, figures) in team.figures().iter().enumerate() {
-            let of = ShardId(core as u8);
-            let (said, wakes) = team.mailbox(of).figures();
+        let quotas = group.quotas();
+        for (core, figures) in group.figures().iter().enumerate() {
+            let id = ShardId(core as u8);
+            let (sent, wakes) = group.mailbox(id).figures();
             let label = format!("{{core=\"{core}\"}}");
-            let _ = writeln!(text, "svc_core_open_requests{label} {}", figures.now.open);
-            let _ = writeln!(text, "svc_core_calls_out{label} {}", figures.out);
-            let _ = writeln!(text, "svc_core_relayed{label} {}", figures.now.relayed);
-            let _ = writeln!(text, "svc_core_slots{label} {}", room.calls.lease(of));
-            let _ = writeln!(text, "svc_core_room{label} {}", room.messages.lease(of));
-            let _ = writeln!(text, "svc_core_connections{label} {}", room.connections.lease(of));
-            let _ = writeln!(text, "svc_core_said_to{label} {said}\nsvc_core_woken{label} {wakes}");
+            let _ = writeln!(text, "svc_core_open_requests{label} {}", figures.gauges.open);
+            let _ = writeln!(text, "svc_core_calls_out{label} {}", figures.calls_in_flight);
+            let _ = writeln!(text, "svc_core_relayed{label} {}", figures.gauges.relayed);
+            let _ = writeln!(text, "svc_core_slots{label} {}", quotas.calls.lease(id));
+            let _ = writeln!(text, "svc_core_room{label} {}", quotas.messages.lease(id));
+            let _ = writeln!(text, "svc_core_connections{label} {}", quotas.connections.lease(id));
+            let _ = writeln!(text, "svc_core_said_to{label} {sent}\nsvc_core_woken{label} {wakes}");
             let _ = writeln!(
                 text,
                 "svc_core_came{label} {}\nsvc_core_went{label} {}",
-                figures.moves.0, figures.moves.1
+                figures.migrations.0, figures.migrations.1
             );
         }
-        let (moved, stayed) = team.migration_counts();
-        let _ = writeln!(text, "svc_destinations_moved {moved}\nsvc_destinations_stayed {stayed}");
+        let (migrated, failed) = group.migration_counts();
+        let _ = writeln!(text, "svc_destinations_moved {migrated}\nsvc_destinations_stayed {failed}");
         text
     }
 }
--- a/crates/sender/src/event_loop/shard/messages.rs
+++ b/crates/sender/src/event_loop/shard/messages.rs
@@ -1,4 +1,4 @@
-//! What shards send one another, and which shard each message of another task belongs to.
+//! Handles messages between shards, and routes messages of other tasks to the shard that they belong to.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,117 +12,117 @@
 use crate::shards::{RETRY_AFTER_MAILBOX_FULL, ShardMessage};
 
 impl EventLoop {
-    /// Receives the other shards' messages. Guards the one owner of each destination by this order, which the
-    /// package `sharding` checks in all interleavings: the ownership map is read, then all messages are
-    /// taken, migrations first, and only then is anything judged by that map. So what is this shard's by the
-    /// map is here, and all else is forwarded.
+    /// Receives the other shards' messages.
+    ///
+    /// The order ensures that a destination has one owner at any time; the package `sharding` checks it in all
+    /// interleavings. First the ownership map is read, then all messages are taken, then the migrated destinations
+    /// among them are attached, and only then the other messages are handled according to that map. So a destination
+    /// that this shard owns by the map is attached here, and messages for any other are forwarded.
     pub(in crate::event_loop) fn receive_shard_messages(
         &mut self,
-        fronts: &[Rc<dyn Frontend>],
+        frontends: &[Rc<dyn Frontend>],
         events: &mut Vec<Event>,
     ) {
-        let Some(member) = &mut self.shard else { return };
-        member.owners = member.group().owners();
-        let came = member.group().mailbox(member.id()).drain();
-        let (parcels, others): (Vec<_>, Vec<_>) =
-            came.into_iter().partition(|say| matches!(say, ShardMessage::Migrate(_)));
-        for say in parcels {
-            if let ShardMessage::Migrate(bundle) = say {
-                self.attach_destination(*bundle);
+        let Some(shard) = &mut self.shard else { return };
+        shard.owners = shard.group().owners();
+        let received = shard.group().mailbox(shard.id()).drain();
+        let (migrations, others): (Vec<_>, Vec<_>) =
+            received.into_iter().partition(|message| matches!(message, ShardMessage::Migrate(_)));
+        for message in migrations {
+            if let ShardMessage::Migrate(migration) = message {
+                self.attach_destination(*migration);
             }
         }
-        for say in others {
-            self.handle_shard_message(say, fronts, events);
+        for message in others {
+            self.handle_shard_message(message, frontends, events);
         }
     }
 
+    /// Handles a message of another shard, or forwards it to the owner of its destination.
     fn handle_shard_message(
         &mut self,
-        say: ShardMessage,
-        fronts: &[Rc<dyn Frontend>],
+        message: ShardMessage,
+        frontends: &[Rc<dyn Frontend>],
         events: &mut Vec<Event>,
     ) {
-        let Some(member) = &mut self.shard else { return };
-        match say {
+        let Some(shard) = &mut self.shard else { return };
+        match message {
             ShardMessage::Submitted(message) => self.handle_inbound(Inbound::Submitted(message), events),
             ShardMessage::Withdrawn { id, request, destination } => {
                 self.handle_inbound(Inbound::Withdrawn { id, request, destination }, events);
             }
-            ShardMessage::AttemptCompleted { destination, .. } if !member.owns(destination) => {
-                member.send_to_owner(destination, say);
+            ShardMessage::AttemptCompleted { destination, .. } if !shard.owns(destination) => {
+                shard.send_to_owner(destination, message);
             }
             ShardMessage::AttemptCompleted { destination, name, mut attempt } => {
-                member.record_work(destination);
-                member.router.foreign_attempt_ended(AttemptId::new(attempt.message.0, attempt.attempt));
+                shard.record_work(destination);
+                shard.router.foreign_attempt_ended(AttemptId::new(attempt.message.0, attempt.attempt));
                 attempt.endpoint = self.directory.listed_id(&name).unwrap_or(UNLISTED);
                 events.push(self.attempt_completed(attempt));
             }
-            ShardMessage::RetryAfter { destination, .. } if !member.owns(destination) => {
-                member.send_to_owner(destination, say);
+            ShardMessage::RetryAfter { destination, .. } if !shard.owns(destination) => {
+                shard.send_to_owner(destination, message);
             }
             ShardMessage::RetryAfter { destination, name, wait } => {
-                events.push(self.wait(destination, &name, wait));
+                events.push(self.retry_after_event(destination, &name, wait));
             }
-            ShardMessage::Migrate(bundle) => self.attach_destination(*bundle),
+            ShardMessage::Migrate(migration) => self.attach_destination(*migration),
             ShardMessage::MigrateTo { destination, to } => {
-                member.schedule_migration(destination, to, self.clock.now());
-            }
-            ShardMessage::Gather => member.gathering = true,
-            ShardMessage::MaxConnections(most) => {
-                fronts.iter().for_each(|front| front.set_max_clients(most));
-                if member.owners.all_drained() {
-                    // Another process calls from now on: idle connections are closed.
-                    self.directory.transports().iter().for_each(|carrier| carrier.set_max_connections(0));
+                shard.schedule_migration(destination, to, self.clock.now());
+            }
+            ShardMessage::Gather => shard.gathering = true,
+            ShardMessage::MaxConnections(max_connections) => {
+                frontends.iter().for_each(|frontend| frontend.set_max_clients(max_connections));
+                if shard.owners.all_drained() {
+                    // This process makes no more calls: idle connections are closed.
+                    self.directory.transports().iter().for_each(|transport| transport.set_max_connections(0));
                 }
             }
             ShardMessage::Cancel(message, attempt) => {
-                self.directory.transports().iter().for_each(|carrier| carrier.cancel(message, attempt));
+                self.directory.transports().iter().for_each(|transport| transport.cancel(message, attempt));
             }
             ShardMessage::EndpointsUpdated(list) => {
                 self.handle_inbound(Inbound::EndpointsUpdated(list), events);
             }
             ShardMessage::DiscoveryFailed => events.push(Event::DiscoveryFailed),
-            ShardMessage::Ejections(held_out, done) => {
-                events.push(self.directory.apply_ejections(held_out));
+            ShardMessage::Ejections(ejections, done) => {
+                events.push(self.directory.apply_ejections(ejections));
                 self.iteration_waiters.push(done);
             }
-            ShardMessage::Client(stream) => match fronts.first() {
-                Some(front) => front.clone().adopt(stream),
-                None => member.group().client_gone(member.id()),
+            ShardMessage::Client(stream) => match frontends.first() {
+                Some(frontend) => frontend.clone().adopt(stream),
+                None => shard.group().client_gone(shard.id()),
             },
-            ShardMessage::Discovery(address) => self.discovery_is_at(address),
+            ShardMessage::Discovery(address) => self.set_discovery_address(address),
             ShardMessage::Status => self.handle_inbound(Inbound::Status, events),
             ShardMessage::Terminate => self.handle_inbound(Inbound::Terminate, events),
         }
     }
 
-    /// Discovery moved, for this shard and, where it is the first, for all.
-    pub(in crate::event_loop) fn discovery_is_at(&mut self, address: SocketAddr) {
-        self.discovery.send_if_modified(|at| std::mem::replace(at, address) != address);
-        if let Some(member) = self.shard.as_ref().filter(|member| member.id() == ShardId(0)) {
-            member.others().for_each(|core| member.handle.send(core, ShardMessage::Discovery(address)));
+    /// Sets discovery's address. The first shard forwards it to all others.
+    pub(in crate::event_loop) fn set_discovery_address(&mut self, address: SocketAddr) {
+        self.discovery.send_if_modified(|current| std::mem::replace(current, address) != address);
+        if let Some(shard) = self.shard.as_ref().filter(|shard| shard.id() == ShardId(0)) {
+            shard.others().for_each(|id| shard.handle.send(id, ShardMessage::Discovery(address)));
         }
     }
 
-    /// A Retry-After of an endpoint that no list need name any more: then it is its destination's.
-    fn wait(&self, destination: u16, name: &str, wait: Micros) -> Event {
+    /// Returns the event for a Retry-After. If the endpoint is not listed any more, it applies to its destination.
+    fn retry_after_event(&self, destination: u16, name: &str, wait: Micros) -> Event {
         match self.directory.listed_id(name) {
             Some(endpoint) => Event::RetryAfter { endpoint, wait },
             None => {
-                let learnt =
+                let snapshot =
                     RouteSnapshot { wait_until: self.clock.now() + wait, ..RouteSnapshot::default() };
-                Event::SnapshotRestored {
-                    route: (DestinationId(destination), Some(UNLISTED)),
-                    snapshot: learnt,
-                }
+                Event::SnapshotRestored { route: (DestinationId(destination), Some(UNLISTED)), snapshot }
             }
         }
     }
 
-    /// Sends attempts of other shards' destinations to them, and returns those that are this one's.
+    /// Forwards completed attempts of other shards' destinations to their owners. Returns those of this shard.
     fn route_completed(&mut self, completed: Vec<AttemptCompleted>) -> Vec<AttemptCompleted> {
         let Some(shard) = &mut self.shard else { return completed };
-        let mut ours = Vec::new();
+        let mut own_attempts = Vec::new();
         for attempt in completed {
             let id = AttemptId::new(attempt.message.0, attempt.attempt);
             let destination = shard.router.attempt_ended(id);
@@ -138,96 +138,98 @@
                 shard.record_work(destination);
             }
             shard.router.foreign_attempt_ended(id);
-            ours.push(attempt);
+            own_attempts.push(attempt);
         }
-        ours
+        own_attempts
     }
 
-    /// Sends what belongs to another shard there, and returns what is this one's.
+    /// Forwards a message that belongs to another shard. Returns one that this shard has to handle.
     pub(in crate::event_loop) fn route_inbound(&mut self, inbound: Inbound) -> Option<Inbound> {
-        let Some(member) = &mut self.shard else { return Some(inbound) };
+        let Some(shard) = &mut self.shard else { return Some(inbound) };
         match inbound {
-            Inbound::Submitted(message) if !member.owns(message.message.destination) => {
-                let destination = message.message.destination;
-                if let Err(ShardMessage::Submitted(message)) =
-                    member.handle.try_send(member.owners.owner(destination), ShardMessage::Submitted(message))
+            Inbound::Submitted(submission) if !shard.owns(submission.message.destination) => {
+                let destination = submission.message.destination;
+                if let Err(ShardMessage::Submitted(submission)) = shard
+                    .handle
+                    .try_send(shard.owners.owner(destination), ShardMessage::Submitted(submission))
                 {
-                    let _ = message.answer.send(Answer::Rejected(RETRY_AFTER_MAILBOX_FULL));
+                    let _ = submission.answer.send(Answer::Rejected(RETRY_AFTER_MAILBOX_FULL));
                 }
                 None
             }
-            Inbound::Submitted(message) => {
-                member.record_work(message.message.destination);
-                Some(Inbound::Submitted(message))
+            Inbound::Submitted(submission) => {
+                shard.record_work(submission.message.destination);
+                Some(Inbound::Submitted(submission))
             }
-            Inbound::Withdrawn { id, request, destination } if !member.owns(destination) => {
-                member.send_to_owner(destination, ShardMessage::Withdrawn { id, request, destination });
+            Inbound::Withdrawn { id, request, destination } if !shard.owns(destination) => {
+                shard.send_to_owner(destination, ShardMessage::Withdrawn { id, request, destination });
                 None
             }
             Inbound::CallCompleted(completed) => {
-                let ours = self.route_completed(completed);
-                (!ours.is_empty()).then_some(Inbound::CallCompleted(ours))
+                let own_attempts = self.route_completed(completed);
+                (!own_attempts.is_empty()).then_some(Inbound::CallCompleted(own_attempts))
             }
             Inbound::Event(Event::RetryAfter { endpoint, wait }) => {
                 let listed = self.directory.destination(endpoint);
-                let destination = listed.or_else(|| member.router.destination(endpoint));
-                match destination.filter(|destination| !member.owns(*destination)) {
+                let destination = listed.or_else(|| shard.router.destination(endpoint));
+                match destination.filter(|destination| !shard.owns(*destination)) {
                     Some(destination) => {
                         let name = self.directory.name(endpoint);
-                        member
+                        shard
                             .send_to_owner(destination, ShardMessage::RetryAfter { destination, name, wait });
                         None
                     }
                     None => Some(Inbound::Event(Event::RetryAfter { endpoint, wait })),
                 }
             }
-            // What the first shard receives for all.
-            Inbound::EndpointsUpdated(list) if member.id() == ShardId(0) => {
-                member
+            // From here on: messages that the first shard receives for all.
+            Inbound::EndpointsUpdated(list) if shard.id() == ShardId(0) => {
+                shard
                     .others()
-                    .for_each(|core| member.handle.send(core, ShardMessage::EndpointsUpdated(list.clone())));
+                    .for_each(|id| shard.handle.send(id, ShardMessage::EndpointsUpdated(list.clone())));
                 Some(Inbound::EndpointsUpdated(list))
             }
-            Inbound::Event(Event::DiscoveryFailed) if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.send(core, ShardMessage::DiscoveryFailed));
+            Inbound::Event(Event::DiscoveryFailed) if shard.id() == ShardId(0) => {
+                shard.others().for_each(|id| shard.handle.send(id, ShardMessage::DiscoveryFailed));
                 Some(Inbound::Event(Event::DiscoveryFailed))
             }
-            Inbound::Terminate if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.send(core, ShardMessage::Terminate));
+            Inbound::Terminate if shard.id() == ShardId(0) => {
+                shard.others().for_each(|id| shard.handle.send(id, ShardMessage::Terminate));
                 Some(Inbound::Terminate)
             }
-            Inbound::Status if member.id() == ShardId(0) => {
-                member.others().for_each(|core| member.handle.send(core, ShardMessage::Status));
+            Inbound::Status if shard.id() == ShardId(0) => {
+                shard.others().for_each(|id| shard.handle.send(id, ShardMessage::Status));
                 Some(Inbound::Status)
             }
             inbound => Some(inbound),
         }
     }
 
-    /// An attempt starts on a connection of this shard.
+    /// Records that an attempt starts on a connection of this shard.
     pub(in crate::event_loop) fn record_attempt(
         &mut self,
         message: MessageId,
         attempt: u16,
         endpoint: EndpointId,
     ) {
-        if let (Some(member), Some(destination)) = (&mut self.shard, self.directory.destination(endpoint)) {
-            member.router.attempt_started(AttemptId::new(message.0, attempt), destination, endpoint);
+        if let (Some(shard), Some(destination)) = (&mut self.shard, self.directory.destination(endpoint)) {
+            shard.router.attempt_started(AttemptId::new(message.0, attempt), destination, endpoint);
         }
     }
 
-    /// Cancels an attempt of this shard's module, wherever its connection is.
+    /// Cancels an attempt of this shard's decision module, also on another shard's connection.
     pub(in crate::event_loop) fn cancel_attempt(&self, message: MessageId, attempt: u16) {
-        if let Some(member) = &self.shard {
-            let at = member.router.connection(AttemptId::new(message.0, attempt));
-            if at != member.id() {
-                return member.handle.send(at, ShardMessage::Cancel(message, attempt));
+        if let Some(shard) = &self.shard {
+            let connection_shard = shard.router.connection(AttemptId::new(message.0, attempt));
+            if connection_shard != shard.id() {
+                return shard.handle.send(connection_shard, ShardMessage::Cancel(message, attempt));
             }
         }
-        self.directory.transports().iter().for_each(|carrier| carrier.cancel(message, attempt));
+        self.directory.transports().iter().for_each(|transport| transport.cancel(message, attempt));
     }
 
-    /// Ends an iteration: its figures are published, and migrations go on.
+    /// Ends an iteration: notifies the shards that wait for it, continues migrations, publishes figures and flushes
+    /// messages to other shards.
     pub(in crate::event_loop) fn finish_iteration(&mut self) {
         for done in self.iteration_waiters.drain(..) {
             let _ = done.send(());
@@ -236,9 +238,9 @@
         self.plan_migrations(now);
         self.run_pending_migration(now);
         self.publish_figures(now);
-        let Some(member) = &mut self.shard else { return };
-        let me = member.id();
-        member.handle.group().worked(me, member.work.drain());
-        member.handle.flush();
+        let Some(shard) = &mut self.shard else { return };
+        let id = shard.id();
+        shard.handle.group().add_work(id, shard.work.drain());
+        shard.handle.flush();
     }
 }
--- a/crates/sender/src/event_loop/shard/migration.rs
+++ b/crates/sender/src/event_loop/shard/migration.rs
@@ -1,4 +1,4 @@
-//! Destinations that migrate between shards, and those that gather on the first one before a hand-over.
+//! Migration of destinations between shards, and of all destinations to the first shard before a hand-over.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,13 +11,13 @@
 use crate::shards::{MigratedDestination, ShardMessage};
 
 impl EventLoop {
-    /// Plans now and then which destination should migrate, on the first shard.
+    /// Runs the migration planner when it is due. Only the first shard has one.
     pub(super) fn plan_migrations(&mut self, now: Micros) {
-        let Some(member) = &mut self.shard else { return };
-        let Some((planner, at)) = member.planner.as_mut().filter(|planner| planner.1 <= now) else { return };
-        *at = now + PLAN_INTERVAL;
-        let owners = &member.owners;
-        let loads: Vec<DestinationLoad> = member
+        let Some(shard) = &mut self.shard else { return };
+        let Some((planner, due)) = shard.planner.as_mut().filter(|planner| planner.1 <= now) else { return };
+        *due = now + PLAN_INTERVAL;
+        let owners = &shard.owners;
+        let loads: Vec<DestinationLoad> = shard
             .handle
             .group()
             .take_work()
@@ -29,187 +29,182 @@
             })
             .collect();
         match planner.round(now, &loads) {
-            Plan::Migrate(advised) => {
-                planner.migrated(advised);
-                member.imbalance_logged = false;
-                let say = ShardMessage::MigrateTo { destination: advised.destination, to: advised.to };
-                if advised.from == member.handle.id() {
-                    member.schedule_migration(advised.destination, advised.to, now);
+            Plan::Migrate(planned) => {
+                planner.migrated(planned);
+                shard.imbalance_logged = false;
+                let message = ShardMessage::MigrateTo { destination: planned.destination, to: planned.to };
+                if planned.from == shard.handle.id() {
+                    shard.schedule_migration(planned.destination, planned.to, now);
                 } else {
-                    member.handle.send(advised.from, say);
+                    shard.handle.send(planned.from, message);
                 }
             }
-            Plan::Hotspot { shard: core, destination, share } if !member.imbalance_logged => {
-                member.imbalance_logged = true;
+            Plan::Hotspot { shard: busiest_shard, destination, share } if !shard.imbalance_logged => {
+                shard.imbalance_logged = true;
                 eprintln!(
-                    "core {} is busier than the others and no move helps: {:.0}% of its work is for destination {destination}",
-                    core.0,
+                    "core {} is busier than the others and no migration can balance the load: \
+                     {:.0}% of its work is for destination {destination}",
+                    busiest_shard.0,
                     share * 100.0
                 );
             }
             Plan::Hotspot { .. } => {}
-            Plan::Stay => member.imbalance_logged = false,
+            Plan::Stay => shard.imbalance_logged = false,
         }
     }
 
-    /// Detaches the destination that is to migrate, as soon as it can be.
+    /// Detaches the destination that is to migrate, as soon as this is possible.
     pub(super) fn run_pending_migration(&mut self, now: Micros) {
-        let Some(member) = &mut self.shard else { return };
-        if let Some(PendingMigration { destination, to, deadline: until }) = member.pending_migration.take() {
-            let to_itself = to == member.id() || to.index() >= member.group().count();
-            if to_itself || !member.owns(destination) || self.shutdown_deadline.is_some() {
-                member.group().migration_failed();
+        let Some(shard) = &mut self.shard else { return };
+        if let Some(PendingMigration { destination, to, deadline }) = shard.pending_migration.take() {
+            let to_itself = to == shard.id() || to.index() >= shard.group().count();
+            if to_itself || !shard.owns(destination) || self.shutdown_deadline.is_some() {
+                shard.group().migration_failed();
             } else if !self.detach_destination(destination, to) {
-                let Some(member) = &mut self.shard else { return };
-                if now < until {
-                    member.pending_migration = Some(PendingMigration { destination, to, deadline: until });
+                let Some(shard) = &mut self.shard else { return };
+                if now < deadline {
+                    shard.pending_migration = Some(PendingMigration { destination, to, deadline });
                 } else {
-                    eprintln!("destination {destination} stays: something of it is not written or said yet");
-                    member.group().migration_failed();
+                    eprintln!(
+                        "migration of destination {destination} cancelled, it stays on this core: \
+                         it could not be detached within the time limit"
+                    );
+                    shard.group().migration_failed();
                 }
             }
         }
         self.gather_on_first_shard();
     }
 
-    /// Migrates all that this shard has to the first, which is to hand over: what it knows first, and then,
-    /// by one change of the ownership map, what it never heard of.
+    /// Migrates all destinations of this shard to the first one, which is about to hand over: first those that this
+    /// shard has state of, one by one, then all others by one change of the ownership map.
     fn gather_on_first_shard(&mut self) {
-        let Some(member) = self.shard.as_ref().filter(|member| member.gathering) else { return };
-        let owners = member.group().owners();
-        let of_module = self.policy.observed_destinations().into_iter().map(|destination| destination.0);
-        let held = self.journal.live().values().map(|live| live.message.destination);
-        let all: BTreeSet<u16> = of_module.chain(held).filter(|d| owners.owner(*d) == member.id()).collect();
-        if all.into_iter().all(|destination| self.detach_destination(destination, ShardId(0)))
-            && let Some(member) = &mut self.shard
+        let Some(shard) = self.shard.as_ref().filter(|shard| shard.gathering) else { return };
+        let owners = shard.group().owners();
+        let observed = self.policy.observed_destinations().into_iter().map(|destination| destination.0);
+        let pending = self.journal.live().values().map(|live| live.message.destination);
+        let destinations: BTreeSet<u16> =
+            observed.chain(pending).filter(|destination| owners.owner(*destination) == shard.id()).collect();
+        if destinations.into_iter().all(|destination| self.detach_destination(destination, ShardId(0)))
+            && let Some(shard) = &mut self.shard
         {
-            member.gathering = false;
-            member.group().gathered(member.id());
-            eprintln!("core {} has given all it had to core 0", member.id().0);
+            shard.gathering = false;
+            shard.group().gathered(shard.id());
+            eprintln!("core {}: all destinations migrated to core 0 for the hand-over", shard.id().0);
         }
     }
 
-    /// Whether all that other shards had is here, so that a successor can be told.
+    /// Returns whether all destinations of other shards have migrated here, so that this shard can hand over.
     pub(in crate::event_loop) fn has_all_destinations(&self) -> bool {
         self.shard
             .as_ref()
-            .is_none_or(|member| member.owners.all_drained() && member.pending_migration.is_none())
+            .is_none_or(|shard| shard.owners.all_drained() && shard.pending_migration.is_none())
     }
 
-    /// Asks the other shards to migrate all that they have here.
+    /// Requests the other shards to migrate all their destinations to the first one.
     pub(in crate::event_loop) fn request_gather(&mut self) {
-        let Some(member) = &self.shard else { return };
-        member.others().for_each(|core| member.handle.send(core, ShardMessage::Gather));
+        let Some(shard) = &self.shard else { return };
+        shard.others().for_each(|id| shard.handle.send(id, ShardMessage::Gather));
     }
 
-    /// Detaches a destination, if that can be now.
+    /// Detaches a destination and sends it to another shard. Returns false if that is not possible now.
     fn detach_destination(&mut self, destination: u16, to: ShardId) -> bool {
-        // Guards what is written or sent in part: an abandoned message stays until its notification is
-        // acknowledged.
-        let given_up = |live: &journal::PendingMessage| {
+        // Records, answers and notifications that are not complete yet do not migrate: an abandoned message stays here
+        // until its notification is acknowledged.
+        let abandoned = |live: &journal::PendingMessage| {
             live.message.destination == destination && live.abandoned.is_some()
         };
         let written = self.unwritten_records.is_empty()
             && self.submissions.is_empty()
             && self.pending_notifications.is_empty();
-        if !written || self.directory.has_pending() || self.journal.live().values().any(given_up) {
+        if !written || self.directory.has_pending() || self.journal.live().values().any(abandoned) {
             return false;
         }
-        let Some(member) = &mut self.shard else { return false };
-        let parcel = match self.policy.detach(DestinationId(destination)) {
-            Ok(parcel) => parcel,
-            Err(stays) => {
-                eprintln!("destination {destination} stays: {stays}");
+        let Some(shard) = &mut self.shard else { return false };
+        let state = match self.policy.detach(DestinationId(destination)) {
+            Ok(state) => state,
+            Err(refused) => {
+                eprintln!("destination {destination} can't migrate now and stays on this core: {refused}");
                 return false;
             }
         };
-        let names = parcel.endpoints().into_iter().map(|id| (id, self.directory.name(id))).collect();
-        let numbers: Vec<u32> = parcel.messages().map(|message| message.0).collect();
-        let mut lives = Vec::new();
-        if let JournalStore::Sharded(part) = &mut self.journal {
-            lives = part.detach(numbers.iter().copied());
+        let names = state.endpoints().into_iter().map(|id| (id, self.directory.name(id))).collect();
+        let numbers: Vec<u32> = state.messages().map(|message| message.0).collect();
+        let mut pending_messages = Vec::new();
+        if let JournalStore::Sharded(journal_part) = &mut self.journal {
+            pending_messages = journal_part.detach(numbers.iter().copied());
         }
-        let mut held = Vec::new();
-        for (number, live) in &lives {
+        let mut requests = Vec::new();
+        for (number, live) in &pending_messages {
             if let Some((_, request)) = self.pending_by_id.remove(&live.message.id) {
-                held.push((live.message.id.clone(), *number, request));
+                requests.push((live.message.id.clone(), *number, request));
             }
         }
-        let attempts = numbers.iter().filter_map(|n| Some((*n, self.attempts.remove(n)?))).collect();
-        let connections = member.router.detach(
-            parcel.attempts_in_flight().map(|(message, attempt, _)| AttemptId::new(message.0, attempt)),
+        let attempts =
+            numbers.iter().filter_map(|number| Some((*number, self.attempts.remove(number)?))).collect();
+        let connections = shard.router.detach(
+            state.attempts_in_flight().map(|(message, attempt, _)| AttemptId::new(message.0, attempt)),
         );
-        let (calls, messages) = (parcel.calls(), numbers.len());
+        let (calls, messages) = (state.calls(), numbers.len());
         {
-            let mut room = member.group().quotas();
-            room.calls.transfer(member.id(), to, calls);
-            room.messages.transfer(member.id(), to, messages);
+            let mut quotas = shard.group().quotas();
+            quotas.calls.transfer(shard.id(), to, calls);
+            quotas.messages.transfer(shard.id(), to, messages);
         }
-        let bundle = MigratedDestination {
-            state: parcel,
-            names,
-            messages: lives,
-            requests: held,
-            attempts,
-            connections,
-        };
-        match member.handle.send_now(to, ShardMessage::Migrate(Box::new(bundle))) {
-            // Behind the migrated state: whoever reads the new owner finds the state there.
+        let migration =
+            MigratedDestination { state, names, messages: pending_messages, requests, attempts, connections };
+        match shard.handle.send_now(to, ShardMessage::Migrate(Box::new(migration))) {
+            // After the state was sent: a shard that reads the new owner from the map finds the state there.
             Ok(()) => {
-                member.detached += 1;
-                member.publish_at = 0;
-                member.group().migrated(destination, to);
-                let me = member.id().0;
+                shard.detached += 1;
+                shard.publish_at = 0;
+                shard.group().migrated(destination, to);
+                let own_id = shard.id().0;
                 eprintln!(
-                    "core {me} hands destination {destination} to core {}: {messages} messages, {calls} calls out",
+                    "core {own_id}: destination {destination} migrated to core {} \
+                     with {messages} messages and {calls} calls in flight",
                     to.0
                 );
                 true
             }
-            Err(ShardMessage::Migrate(bundle)) => {
-                let mut room = member.group().quotas();
-                room.calls.transfer(to, member.id(), calls);
-                room.messages.transfer(to, member.id(), messages);
-                drop(room);
-                self.attach_destination(*bundle);
+            Err(ShardMessage::Migrate(migration)) => {
+                let mut quotas = shard.group().quotas();
+                quotas.calls.transfer(to, shard.id(), calls);
+                quotas.messages.transfer(to, shard.id(), messages);
+                drop(quotas);
+                self.attach_destination(*migration);
                 false
             }
             Err(_) => false,
         }
     }
 
-    /// Goes on with a destination that another shard detached.
-    pub(super) fn attach_destination(&mut self, bundle: MigratedDestination) {
-        let MigratedDestination {
-            state: parcel,
-            names,
-            messages: lives,
-            requests: held,
-            attempts,
-            connections,
-        } = bundle;
-        let Some(member) = &mut self.shard else { return };
+    /// Attaches a destination that another shard detached.
+    pub(super) fn attach_destination(&mut self, migration: MigratedDestination) {
+        let MigratedDestination { state, names, messages: pending_messages, requests, attempts, connections } =
+            migration;
+        let Some(shard) = &mut self.shard else { return };
         let mut ids = BTreeMap::new();
         for (id, name) in names {
-            // One that its own shard has no name for any more is like no other here.
-            let stray = || format!("?{id:?} of core {}", member.id().0);
-            let ours = match name.is_empty() {
-                true => self.directory.id_of_attempt(&stray()),
+            // An endpoint whose name the other shard has dropped gets an id that no other endpoint has.
+            let placeholder_name = || format!("?{id:?} of core {}", shard.id().0);
+            let local_id = match name.is_empty() {
+                true => self.directory.id_of_attempt(&placeholder_name()),
                 false => {
                     self.directory.listed_id(&name).unwrap_or_else(|| self.directory.id_of_attempt(&name))
                 }
             };
-            ids.insert(id, ours);
+            ids.insert(id, local_id);
         }
-        if let JournalStore::Sharded(part) = &mut self.journal {
-            part.attach(lives);
+        if let JournalStore::Sharded(journal_part) = &mut self.journal {
+            journal_part.attach(pending_messages);
         }
-        self.pending_by_id.extend(held.into_iter().map(|(id, number, request)| (id, (number, request))));
+        self.pending_by_id.extend(requests.into_iter().map(|(id, number, request)| (id, (number, request))));
         self.attempts.extend(attempts);
-        member.router.attach(connections);
-        member.attached += 1;
-        member.publish_at = 0;
-        self.policy.attach(parcel.rename(&ids));
+        shard.router.attach(connections);
+        shard.attached += 1;
+        shard.publish_at = 0;
+        self.policy.attach(state.rename(&ids));
         self.destination_attached = true;
     }
 }
--- a/crates/sender/src/event_loop/shard/mod.rs
+++ b/crates/sender/src/event_loop/shard/mod.rs
@@ -1,4 +1,4 @@
-//! One of several shards: the messages between them, the leases of what belongs to the process, and migrations.
+//! The event loop of one of several shards: messages between shards, leases of shared capacity, and migrations.
 
 mod admin_broadcast;
 mod figures;
@@ -16,53 +16,56 @@
 
 use crate::shards::{RemoteShards, ShardGroup, ShardHandle, ShardMessage};
 
-/// A migration that cannot happen within this time is given up.
+/// Time after which a migration that could not happen is cancelled.
 const MIGRATION_TIMEOUT: Micros = 1_000_000;
-/// What binds all shards does so within this time, or the administrator is told that it does not yet.
+/// How long an administrative request waits until all shards have applied it. After that its answer is an error.
 const BROADCAST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Between two rounds of the planner.
+/// Interval between two rounds of the migration planner.
 const PLAN_INTERVAL: Micros = 250_000;
-/// Between two publications of a shard's figures, while anything changes them.
+/// Interval at which a shard's figures are published while they change.
 const PUBLISH_INTERVAL: Micros = 100_000;
 
-/// A destination that is to migrate as soon as it can.
+/// A destination that migrates as soon as it can be detached.
 struct PendingMigration {
     destination: u16,
     to: ShardId,
     deadline: Micros,
 }
 
-/// What the event loop of a shard has that one of a single-shard process has not.
+/// Additional state of an event loop that runs one of several shards.
 pub struct Shard {
     handle: Rc<ShardHandle>,
+    /// Which shard has the connection of each attempt in flight.
     router: AttemptRouter<EndpointId>,
-    /// As of this iteration.
+    /// The ownership map as of this iteration.
     owners: Arc<OwnershipMap>,
-    /// Calls and messages that the decision module may use, as it was last told.
+    /// The maximum numbers of calls and messages that were last announced to the decision module.
     announced_capacity: (usize, usize),
     leased_connections: usize,
+    /// Events by destination since the last iteration ended.
     work: HashMap<u16, u32>,
     pending_migration: Option<PendingMigration>,
-    /// All destinations are to migrate to the first shard.
+    /// Whether all destinations migrate to the first shard, before a hand-over.
     gathering: bool,
-    /// The figures are published again then.
+    /// When the figures are published again.
     publish_at: Micros,
+    /// Destinations that migrated here, and those that migrated away.
     attached: u64,
     detached: u64,
-    /// The first shard plans migrations for all: the planner, and when it is due.
+    /// The migration planner and when it is due next. Only the first shard has one.
     planner: Option<(Planner, Micros)>,
-    /// It was logged that no migration evens the load out.
+    /// Whether it was logged that no migration can balance the load. It is logged once until the load changes.
     imbalance_logged: bool,
 }
 
 impl Shard {
-    /// A shard without any attempt in flight.
-    pub fn new(post: Rc<ShardHandle>) -> Self {
-        let (me, team) = (post.id(), post.group());
-        let planner = (me == ShardId(0)).then(|| (Planner::new(team.count()), 0));
-        let owners = team.owners();
+    /// Creates a shard without any attempt in flight.
+    pub fn new(handle: Rc<ShardHandle>) -> Self {
+        let (id, group) = (handle.id(), handle.group());
+        let planner = (id == ShardId(0)).then(|| (Planner::new(group.count()), 0));
+        let owners = group.owners();
         Self {
-            router: AttemptRouter::new(me),
+            router: AttemptRouter::new(id),
             owners,
             announced_capacity: (0, 0),
             leased_connections: 0,
@@ -74,16 +77,16 @@
             detached: 0,
             planner,
             imbalance_logged: false,
-            handle: post,
+            handle,
         }
     }
 
-    /// What all shards share.
+    /// The state that all shards share.
     pub fn group(&self) -> &Arc<ShardGroup> {
         self.handle.group()
     }
 
-    /// Which shard this is.
+    /// The shard's id.
     pub fn id(&self) -> ShardId {
         self.handle.id()
     }
@@ -92,13 +95,13 @@
         self.owners.owner(destination) == self.id()
     }
 
-    fn send_to_owner(&self, destination: u16, say: ShardMessage) {
-        self.handle.send(self.owners.owner(destination), say);
+    fn send_to_owner(&self, destination: u16, message: ShardMessage) {
+        self.handle.send(self.owners.owner(destination), message);
     }
 
     fn others(&self) -> impl Iterator<Item = ShardId> {
-        let me = self.id();
-        self.group().all().filter(move |core| *core != me)
+        let own_id = self.id();
+        self.group().all().filter(move |id| *id != own_id)
     }
 
     fn record_work(&mut self, destination: u16) {
@@ -106,59 +109,63 @@
     }
 
     fn schedule_migration(&mut self, destination: u16, to: ShardId, now: Micros) {
-        let until = now + MIGRATION_TIMEOUT;
-        if self.pending_migration.replace(PendingMigration { destination, to, deadline: until }).is_some() {
+        let deadline = now + MIGRATION_TIMEOUT;
+        if self.pending_migration.replace(PendingMigration { destination, to, deadline }).is_some() {
             self.group().migration_failed();
         }
     }
 
-    /// An attempt that a predecessor started, on a connection that it has.
+    /// Records an attempt that the predecessor started and carries on its connection.
     pub(super) fn adopt_attempt(&mut self, attempt: (u32, u16), destination: u16, endpoint: EndpointId) {
-        // One that goes on after all knows its own.
+        // A process that resumes after a failed hand-over has recorded its own attempts already.
         let attempt = AttemptId::new(attempt.0, attempt.1);
         if !self.router.contains(attempt) {
             self.router.attempt_started(attempt, destination, endpoint);
         }
     }
 
-    /// Attempts in flight on connections of other shards.
+    /// Returns the other shards as a frontend and a transport, with the attempts in flight on their connections.
     pub(super) fn remote_shards(
         &self,
-        out: &[(MessageId, u16, EndpointId)],
+        attempts_in_flight: &[(MessageId, u16, EndpointId)],
         ids: &[(String, EndpointId)],
     ) -> RemoteShards {
-        let on = |(message, attempt, endpoint): &(MessageId, u16, EndpointId)| {
-            let core = self.router.connection(AttemptId::new(message.0, *attempt));
-            (core != self.id()).then_some(((*message, *attempt), (core, *endpoint)))
+        let remote_attempt = |(message, attempt, endpoint): &(MessageId, u16, EndpointId)| {
+            let shard = self.router.connection(AttemptId::new(message.0, *attempt));
+            (shard != self.id()).then_some(((*message, *attempt), (shard, *endpoint)))
         };
-        RemoteShards::new(self.handle.clone(), out.iter().filter_map(on).collect(), ids)
+        RemoteShards::new(
+            self.handle.clone(),
+            attempts_in_flight.iter().filter_map(remote_attempt).collect(),
+            ids,
+        )
     }
 
-    /// Whether it needs an iteration soon though nothing arrives.
+    /// Returns whether an iteration is needed soon even if nothing arrives.
     fn needs_polling(&self) -> bool {
-        self.pending_migration.is_some() || self.gathering || self.handle.is_behind()
+        self.pending_migration.is_some() || self.gathering || self.handle.has_unsent()
     }
 
-    /// When it needs an iteration, though nothing arrives.
+    /// Returns when the next iteration is needed if nothing arrives.
     pub(super) fn next_due(&self, now: Micros) -> Micros {
-        let soon = if self.needs_polling() { now + 5_000 } else { Micros::MAX };
-        // Once more after the last change: published figures are no older than the interval.
-        let shows = if self.router.local_attempts() > 0 || self.publish_at > now {
+        let next_poll = if self.needs_polling() { now + 5_000 } else { Micros::MAX };
+        // Figures are published once more after the last change, so that they are never older than the interval.
+        let next_publication = if self.router.local_attempts() > 0 || self.publish_at > now {
             self.publish_at.max(now + 1)
         } else {
             Micros::MAX
         };
-        self.planner.as_ref().map_or(Micros::MAX, |planner| planner.1).min(soon).min(shows)
+        self.planner.as_ref().map_or(Micros::MAX, |planner| planner.1).min(next_poll).min(next_publication)
     }
 }
 
-/// Waits until another shard has sent something.
-pub(super) async fn wait_for_messages(member: Option<&Shard>) {
-    match member {
-        Some(member) => member.group().mailbox(member.id()).notified().await,
+/// Waits until another shard has sent a message. With a single event loop it waits forever.
+pub(super) async fn wait_for_messages(shard: Option<&Shard>) {
+    match shard {
+        Some(shard) => shard.group().mailbox(shard.id()).notified().await,
         None => std::future::pending().await,
     }
 }
 
-/// An id that no list has.
+/// Id of an endpoint that no list has.
 const UNLISTED: EndpointId = EndpointId([u8::MAX; 6]);
--- a/crates/sender/src/event_loop/startup.rs
+++ b/crates/sender/src/event_loop/startup.rs
@@ -1,4 +1,4 @@
-//! Building an event loop, its first iteration, and the tasks that it starts.
+//! Builds an event loop, runs its first iteration and starts its tasks.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -25,10 +25,10 @@
 use crate::notifications::{self, Notification};
 use crate::ports::{Frontend, Inbound};
 
-/// Calls are counted from a number of its own in each shard, this many bits up.
+/// A shard's call numbers start at its id shifted left by this many bits.
 const SHARD_CALL_BITS: u32 = 48;
 
-/// What a start needs beside the event loop.
+/// What the startup needs besides the event loop.
 pub(super) struct Startup {
     pub(super) recovery: Recovery,
     pub(super) frontends: Vec<Rc<dyn Frontend>>,
@@ -36,19 +36,19 @@
     pub(super) receivers: Receivers,
 }
 
-/// What earlier processes left.
+/// State that earlier processes left.
 pub(super) struct Recovery {
     /// The state that the predecessor handed over.
     pub(super) predecessor_state: Option<HandoverState>,
-    /// Retry-Afters that the predecessor was sent, by endpoint name, and until when they bind.
-    pub(super) waits: Vec<(String, Micros)>,
-    /// The system's clock was set back since the last process.
+    /// Retry-After deadlines that the predecessor received: the endpoint name and when the deadline ends.
+    pub(super) retry_after_deadlines: Vec<(String, Micros)>,
+    /// Whether the system's clock was set back since the previous process.
     pub(super) clock_set_back: bool,
-    /// What is restored of the health snapshot.
+    /// The state restored from the health snapshot.
     pub(super) restored: RestoredState,
 }
 
-/// The receiving ends of the channels to the tasks that talk to the platform.
+/// The receiving ends of the channels to the tasks that connect to the platform.
 pub(super) struct Receivers {
     notifications: UnboundedReceiver<Notification>,
     discovery: watch::Receiver<SocketAddr>,
@@ -56,7 +56,7 @@
 }
 
 impl EventLoop {
-    /// An event loop that has not run yet, and what its start needs.
+    /// Creates an event loop that has not run yet. Returns it with what its startup needs.
     pub(super) fn new(
         config: &Config,
         parts: EventLoopParts,
@@ -113,7 +113,7 @@
         };
         let recovery = Recovery {
             predecessor_state,
-            waits: parts.waits,
+            retry_after_deadlines: parts.retry_after_deadlines,
             clock_set_back: parts.clock_set_back,
             restored: parts.restored,
         };
@@ -126,8 +126,8 @@
         (event_loop, Startup { recovery, frontends, frontends_started, receivers })
     }
 
-    /// Resumes or recovers, and decides once before anything arrives. Returns the list version to watch from; none where the
-    /// full list has to be fetched.
+    /// Continues from the predecessor's state or recovers, and runs one iteration before anything arrives. Returns the
+    /// version to watch the endpoint list from, or none if the full list has to be fetched.
     pub(super) fn first_iteration(&mut self, config: &Config, recovery: &mut Recovery) -> Option<u64> {
         let (mut events, list_version) = match recovery.predecessor_state.take() {
             Some(state) => {
@@ -141,7 +141,8 @@
         list_version
     }
 
-    /// Starts the frontends and the administrative address, unless they run already, and says that the sender is ready.
+    /// Starts to listen for clients and at the administrative address, unless that was done already, and logs that
+    /// the sender is ready.
     pub(super) fn listen(
         &self,
         config: &Config,
@@ -153,7 +154,7 @@
             let address = frontend.clone().start().map_err(|error| format!("listen: {error}"))?;
             addresses.push(address.to_string());
         }
-        // Only from now on: a process that answers on-call staff accepts clients.
+        // Not earlier: a process that answers administrative requests accepts clients.
         if let (Some(address), false) = (config.ops, started) {
             let address = http::admin::listen(address, self.inbound.clone())
                 .map_err(|error| format!("ops: {error}"))?;
@@ -165,7 +166,7 @@
         Ok(())
     }
 
-    /// Starts the notifications and, in the first shard, the endpoint watch, which it returns.
+    /// Starts the task that sends notifications and, in the first shard, the endpoint watch, which is returned.
     pub(super) fn spawn_platform_tasks(
         &self,
         config: &Config,
@@ -182,7 +183,7 @@
         let drain_timeout = Duration::from_micros(config.settings.rules.drain_timeout);
         let schedule = PollSchedule::new(config.settings.senders, drain_timeout, config.seed);
         let list_good_for = Duration::from_micros(restored.list.good_for);
-        // One shard watches the list for all.
+        // The first shard watches the list for all shards.
         (self.shard_id() == ShardId(0)).then(|| {
             tokio::task::spawn_local(watch_endpoints(
                 discovery,
@@ -195,14 +196,17 @@
         })
     }
 
-    fn log_ready(&self, name: &str, places: &[String]) {
-        let cores = self.shard.as_ref().map_or(String::new(), |m| format!(", {} cores", m.group().count()));
-        let hand = self.journal.live().len();
-        eprintln!("{name} is ready on {} with {hand} messages in hand{cores}", places.join(" and "));
+    /// Logs that the sender is ready, in a line that tools parse.
+    fn log_ready(&self, name: &str, addresses: &[String]) {
+        let cores =
+            self.shard.as_ref().map_or(String::new(), |shard| format!(", {} cores", shard.group().count()));
+        let pending = self.journal.live().len();
+        eprintln!("{name} is ready on {} with {pending} messages in hand{cores}", addresses.join(" and "));
     }
 }
 
-/// The decision module of a process that goes on with nobody's state. Shards draw different random numbers.
+/// Creates the decision module of a process that does not continue from a predecessor's state. Each shard has a
+/// random seed of its own.
 fn new_policy(config: &Config, shard: ShardId, now: Micros) -> Policy {
     Policy::new(config.settings.clone(), config.seed.wrapping_add(shard.0.into()), now)
 }
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -1,5 +1,5 @@
-//! The two sides of a hand-over, over a socket in `NODE_STATE`. The package `handover` says what is sent and
-//! when; here it is carried out.
+//! Carries out both sides of a hand-over, over a socket in `NODE_STATE`. The package `handover` defines the messages
+//! and the steps.
 
 pub mod socket;
 
@@ -28,37 +28,37 @@
     AdminResponse, CallMessage, Clock, Frontend, Inbound, Submission, Transport, WriteOptions,
 };
 
-const SOCKET: &str = "successor";
-/// A peer that connects and does not ask within this time is disconnected.
-const ASK_WITHIN: Duration = Duration::from_millis(500);
-/// Between two looks of a predecessor at whether it has nothing left to carry.
+const SOCKET_NAME: &str = "successor";
+/// A process that connects and does not request the hand-over within this time is disconnected.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval at which a predecessor checks whether it has nothing left to drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The socket's name by way of the open folder: a path to a socket may have a hundred bytes only.
-fn name(folder: &File) -> PathBuf {
-    Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(SOCKET)
+/// Returns the socket's path by way of the open folder, since a path to a socket is limited to about a hundred bytes.
+fn socket_path(folder: &File) -> PathBuf {
+    Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(SOCKET_NAME)
 }
 
-/// Listens for a successor. Only the holder of the journal's lock does.
+/// Listens for a successor. Only the process that holds the journal's lock does.
 ///
 /// # Errors
-/// Fails when the socket can't be made.
+/// Fails when the socket can't be created.
 pub fn listen(state: &Path, inbound: UnboundedSender<Inbound>) -> io::Result<AbortHandle> {
     let folder = File::open(state)?;
-    match fs::remove_file(name(&folder)) {
+    match fs::remove_file(socket_path(&folder)) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
     }
-    let listener = UnixListener::bind(name(&folder))?;
+    let listener = UnixListener::bind(socket_path(&folder))?;
     let listening = tokio::task::spawn_local(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             };
-            let mut link = HandoverLink::of(stream);
-            let asked = timeout(ASK_WITHIN, link.receive()).await;
-            if matches!(asked, Ok(Ok(ToPredecessor::RequestTakeover)))
+            let mut link = HandoverLink::new(stream);
+            let request = timeout(REQUEST_TIMEOUT, link.receive()).await;
+            if matches!(request, Ok(Ok(ToPredecessor::RequestTakeover)))
                 && inbound.send(Inbound::Successor(link)).is_err()
             {
                 return;
@@ -68,29 +68,29 @@
     Ok(listening.abort_handle())
 }
 
-/// Connects to the process that holds the folder, where one listens.
+/// Connects to the process that uses the folder, if one listens.
 pub async fn connect(state: &Path) -> Option<HandoverLink> {
     let folder = File::open(state).ok()?;
-    Some(HandoverLink::of(UnixStream::connect(name(&folder)).await.ok()?))
+    Some(HandoverLink::new(UnixStream::connect(socket_path(&folder)).await.ok()?))
 }
 
-/// Asks the predecessor for its state.
+/// Requests the hand-over from the predecessor. Returns its state.
 ///
 /// # Errors
-/// Fails when the predecessor breaks off, or sends something else.
+/// Fails when the predecessor closes the connection or sends another message.
 pub async fn request_takeover(mut link: HandoverLink) -> Result<(HandoverLink, HandoverState), String> {
     link.send(&ToPredecessor::RequestTakeover).await?;
     match link.receive().await? {
         ToSuccessor::State(state) => Ok((link, *state)),
-        other => Err(format!("the process before says {other:?}")),
+        other => Err(format!("expected the predecessor's state, got {other:?}")),
     }
 }
 
-/// Tells the predecessor that the journal is taken. Where its state is not understood, waits until it has
-/// nothing in flight.
+/// Confirms to the predecessor that this process has the journal. If its state is not understood, waits until it has
+/// no attempt in flight.
 ///
 /// # Errors
-/// Fails when the predecessor breaks off.
+/// Fails when the predecessor closes the connection or sends another message.
 pub async fn confirm_takeover(link: &mut HandoverLink, understood: bool) -> Result<(), String> {
     link.send(&ToPredecessor::TakeoverCompleted { understood }).await?;
     if understood {
@@ -98,14 +98,14 @@
     }
     match link.receive().await? {
         ToSuccessor::Drained => Ok(()),
-        other => Err(format!("the process before says {other:?}")),
+        other => Err(format!("expected that the predecessor has drained its attempts, got {other:?}")),
     }
 }
 
-/// Sends the state to the successor, and returns whether it understood, once it took over.
+/// Sends the state to the successor and waits until it has taken over. Returns whether it understood the state.
 ///
 /// # Errors
-/// Fails when it did not take over, as far as is known.
+/// Fails when the successor has not confirmed the takeover in time, or the connection fails.
 pub async fn offer_state(
     mut link: HandoverLink,
     state: &HandoverState,
@@ -113,84 +113,85 @@
     link.send(&ToSuccessor::State(Box::new(state.clone()))).await?;
     match timeout(Duration::from_micros(step::TAKEOVER_TIMEOUT), link.receive()).await {
         Ok(Ok(ToPredecessor::TakeoverCompleted { understood })) => Ok((link, understood)),
-        Ok(Ok(other)) => Err(format!("it says {other:?}")),
+        Ok(Ok(other)) => Err(format!("expected its confirmation, got {other:?}")),
         Ok(Err(e)) => Err(e),
-        Err(_) => Err("it says nothing".to_owned()),
+        Err(_) => Err("no confirmation in time".to_owned()),
     }
 }
 
-/// What a predecessor still has.
-pub struct CarriedConnections {
-    /// The time.
+/// The connections that a predecessor drains.
+pub struct DrainingConnections {
+    /// The process's clock.
     pub clock: Clock,
-    /// Clients' connections.
+    /// The frontends, with clients' connections.
     pub frontends: Vec<Rc<dyn Frontend>>,
-    /// Calls.
+    /// The transports, with calls in flight.
     pub transports: Vec<Rc<dyn Transport>>,
     /// Tells the frontends whether clients are admitted.
     pub gate: watch::Sender<AdmissionGate>,
-    /// The outcomes so far.
+    /// Final outcomes so far.
     pub outcome_counts: admin::figures::OutcomeCounts,
 }
 
-impl CarriedConnections {
-    fn out(&self) -> usize {
-        self.transports.iter().map(|carrier| carrier.attempts_in_flight()).sum()
+impl DrainingConnections {
+    fn attempts_in_flight(&self) -> usize {
+        self.transports.iter().map(|transport| transport.attempts_in_flight()).sum()
     }
 
     fn clients(&self) -> usize {
-        self.frontends.iter().map(|front| front.open_connections()).sum()
+        self.frontends.iter().map(|frontend| frontend.open_connections()).sum()
     }
 
     fn cancel(&self, message: MessageId, attempt: u16) {
-        self.transports.iter().for_each(|carrier| carrier.cancel(message, attempt));
+        self.transports.iter().for_each(|transport| transport.cancel(message, attempt));
     }
 }
 
-/// Carries what a predecessor still has to its end, on behalf of the successor.
+/// Drains a predecessor's connections on behalf of the successor, until nothing is left.
 ///
 /// # Errors
-/// Fails when the successor is gone: what is in flight may have run, as the journal has it.
-pub async fn carry(
+/// Fails when the successor has exited. Attempts in flight may have run, as the journal records them.
+pub async fn drain(
     link: HandoverLink,
     understood: bool,
-    carried: CarriedConnections,
+    draining: DrainingConnections,
     events: &mut UnboundedReceiver<Inbound>,
 ) -> Result<(), String> {
-    let clock = carried.clock;
-    let ready = carried.gate.borrow().ready();
-    carried.gate.send_replace(AdmissionGate::Relinquished { since: clock.now(), ready });
-    let (say, mut heard, writing) = link.split::<ToSuccessor, ToPredecessor>();
+    let clock = draining.clock;
+    let ready = draining.gate.borrow().ready();
+    draining.gate.send_replace(AdmissionGate::Relinquished { since: clock.now(), ready });
+    let (to_successor, mut from_successor, writing) = link.split::<ToSuccessor, ToPredecessor>();
     if !understood {
-        let out = carried.transports.iter().flat_map(|carrier| carrier.outstanding_attempts());
-        out.collect::<Vec<_>>()
+        let in_flight = draining.transports.iter().flat_map(|transport| transport.outstanding_attempts());
+        in_flight
+            .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|(message, attempt, _)| carried.cancel(message, attempt));
-        while carried.out() > 0 {
+            .for_each(|(message, attempt, _)| draining.cancel(message, attempt));
+        while draining.attempts_in_flight() > 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let _ = say.send(ToSuccessor::Drained);
+        let _ = to_successor.send(ToSuccessor::Drained);
     }
-    let mut waiting: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
-    let mut callers: HashMap<u64, oneshot::Sender<AdminResponse>> = HashMap::new();
+    let mut submissions: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
+    let mut admin_requests: HashMap<u64, oneshot::Sender<AdminResponse>> = HashMap::new();
     let (mut number, mut stopping) = (0, None);
-    let mut look = tokio::time::interval(POLL_INTERVAL);
+    let mut poll = tokio::time::interval(POLL_INTERVAL);
     loop {
         tokio::select! {
             biased;
             inbound = events.recv() => {
                 number += 1;
                 let message = match inbound {
-                    Some(Inbound::Submitted(Submission { message: taken, request, answer, .. })) => {
-                        waiting.insert(number, answer);
-                        ToSuccessor::Submitted { number, message: Arc::unwrap_or_clone(taken), request }
+                    Some(Inbound::Submitted(Submission { message, request, answer, .. })) => {
+                        submissions.insert(number, answer);
+                        ToSuccessor::Submitted { number, message: Arc::unwrap_or_clone(message), request }
                     }
                     Some(Inbound::Withdrawn { id, request, destination }) => {
                         ToSuccessor::Withdrawn { id, request, destination }
                     }
-                    // Calls that were cancelled for a successor that does not know of them.
+                    // These calls were cancelled for a successor that does not know them.
                     Some(Inbound::CallCompleted(_)) if !understood => continue,
-                    Some(Inbound::CallCompleted(over)) => ToSuccessor::CallCompleted(over),
+                    Some(Inbound::CallCompleted(completed)) => ToSuccessor::CallCompleted(completed),
                     Some(Inbound::Event(Event::RetryAfter { endpoint, wait })) => ToSuccessor::RetryAfter(endpoint, wait),
                     Some(Inbound::Event(Event::ConnectionReused { lost })) => ToSuccessor::ConnectionReused { lost },
                     Some(Inbound::AdminRequest(AdminRequest::Status, answer)) => {
@@ -198,49 +199,49 @@
                         continue;
                     }
                     Some(Inbound::AdminRequest(AdminRequest::Metrics, answer)) => {
-                        let relayed = carried.transports.iter().map(|carrier| carrier.messages_written()).sum();
-                        let now = admin::figures::Gauges { relayed, ..Default::default() };
-                        let _ = answer.send(AdminResponse { status: 200, text: carried.outcome_counts.text(now) });
+                        let relayed = draining.transports.iter().map(|transport| transport.messages_written()).sum();
+                        let gauges = admin::figures::Gauges { relayed, ..Default::default() };
+                        let _ = answer.send(AdminResponse { status: 200, text: draining.outcome_counts.text(gauges) });
                         continue;
                     }
                     Some(Inbound::AdminRequest(call, answer)) => {
-                        let door = *carried.gate.borrow();
-                        carried.gate.send_replace(match call {
-                            AdminRequest::Standby => door.standby(clock.now()),
-                            AdminRequest::Active => door.active(),
-                            _ => door,
+                        let gate = *draining.gate.borrow();
+                        draining.gate.send_replace(match call {
+                            AdminRequest::Standby => gate.standby(clock.now()),
+                            AdminRequest::Active => gate.active(),
+                            _ => gate,
                         });
-                        callers.insert(number, answer);
+                        admin_requests.insert(number, answer);
                         ToSuccessor::AdminRequest { number, call }
                     }
                     Some(Inbound::Terminate) => {
                         stopping = stopping.or(Some(clock.now()));
-                        carried.gate.send_replace(AdmissionGate::Closing);
+                        draining.gate.send_replace(AdmissionGate::Closing);
                         continue;
                     }
                     Some(_) => continue,
                     None => return Ok(()),
                 };
-                let _ = say.send(message);
+                let _ = to_successor.send(message);
             }
-            message = heard.recv() => match message {
+            message = from_successor.recv() => match message {
                 Some(ToPredecessor::Answer(number, answer)) => {
-                    if let Some(waits) = waiting.remove(&number) {
-                        let _ = waits.send(answer);
+                    if let Some(reply) = submissions.remove(&number) {
+                        let _ = reply.send(answer);
                     }
                 }
                 Some(ToPredecessor::AdminResponse(number, status, text)) => {
-                    if let Some(waits) = callers.remove(&number) {
-                        let _ = waits.send(AdminResponse { status, text });
+                    if let Some(reply) = admin_requests.remove(&number) {
+                        let _ = reply.send(AdminResponse { status, text });
                     }
                 }
-                Some(ToPredecessor::Cancel(message, attempt)) => carried.cancel(message, attempt),
+                Some(ToPredecessor::Cancel(message, attempt)) => draining.cancel(message, attempt),
                 Some(ToPredecessor::RequestTakeover | ToPredecessor::TakeoverCompleted { .. }) => {}
-                None => return Err("the process that took over is gone".to_owned()),
+                None => return Err("the successor closed the connection before this process was drained".to_owned()),
             },
-            _ = look.tick() => {
-                if events.is_empty() && step::may_exit(carried.out(), carried.clients(), stopping, clock.now()) {
-                    drop(say);
+            _ = poll.tick() => {
+                if events.is_empty() && step::may_exit(draining.attempts_in_flight(), draining.clients(), stopping, clock.now()) {
+                    drop(to_successor);
                     let _ = writing.await;
                     return Ok(());
                 }
@@ -249,50 +250,51 @@
     }
 }
 
-/// The predecessor, as a transport with calls in flight for its successor.
+/// The predecessor, as a transport that has calls in flight for its successor.
 pub struct Predecessor {
     outstanding: RefCell<OutstandingAttempts>,
     messages: UnboundedSender<ToPredecessor>,
-    /// It is still running.
+    /// Whether the predecessor is still running.
     running: Cell<bool>,
 }
 
 impl Predecessor {
-    /// Whether nothing of the predecessor is left.
-    pub fn is_gone(&self) -> bool {
+    /// Returns whether the predecessor has exited.
+    pub fn has_exited(&self) -> bool {
         !self.running.get()
     }
 
-    /// Follows the predecessor from now on, until it is gone.
+    /// Handles messages of the predecessor until it exits, and then calls `on_exit`.
     pub fn follow(
         link: HandoverLink,
-        out: Vec<(MessageId, u16, EndpointId)>,
+        in_flight: Vec<(MessageId, u16, EndpointId)>,
         clock: Clock,
         class: impl Fn(&str) -> Option<usize> + 'static,
         inbound: UnboundedSender<Inbound>,
-        gone: impl FnOnce() + 'static,
+        on_exit: impl FnOnce() + 'static,
     ) -> Rc<Self> {
-        let (say, mut heard, _) = link.split::<ToPredecessor, ToSuccessor>();
-        let before = Rc::new(Self {
-            outstanding: RefCell::new(OutstandingAttempts::new(out.into_iter().map(Into::into))),
-            messages: say,
+        let (messages, mut from_predecessor, _) = link.split::<ToPredecessor, ToSuccessor>();
+        let predecessor = Rc::new(Self {
+            outstanding: RefCell::new(OutstandingAttempts::new(in_flight.into_iter().map(Into::into))),
+            messages,
             running: Cell::new(true),
         });
-        let (followed, began) = (before.clone(), clock.now());
+        let (followed, start) = (predecessor.clone(), clock.now());
         tokio::task::spawn_local(async move {
-            while let Some(message) = heard.recv().await {
+            while let Some(message) = from_predecessor.recv().await {
                 followed.handle(message, &class, &inbound);
             }
             followed.running.set(false);
-            let lost = followed.outstanding.borrow_mut().reset_all(clock.now().saturating_sub(began));
-            for over in lost {
-                let _ = inbound.send(Inbound::CallCompleted(vec![over]));
+            let lost = followed.outstanding.borrow_mut().reset_all(clock.now().saturating_sub(start));
+            for completed in lost {
+                let _ = inbound.send(Inbound::CallCompleted(vec![completed]));
             }
-            gone();
+            on_exit();
         });
-        before
+        predecessor
     }
 
+    /// Passes a message of the predecessor to the event loop.
     fn handle(
         &self,
         message: ToSuccessor,
@@ -300,35 +302,38 @@
         inbound: &UnboundedSender<Inbound>,
     ) {
         let event = match message {
-            ToSuccessor::Submitted { number, message: taken, request } => {
+            ToSuccessor::Submitted { number, message, request } => {
                 let (answer, answered) = oneshot::channel();
-                let say = self.messages.clone();
+                let messages = self.messages.clone();
                 tokio::task::spawn_local(async move {
-                    let _ = say.send(ToPredecessor::Answer(number, answered.await.unwrap_or(Answer::Failed)));
+                    let _ = messages
+                        .send(ToPredecessor::Answer(number, answered.await.unwrap_or(Answer::Failed)));
                 });
-                let Some(class) = class(&taken.class) else {
+                let Some(class) = class(&message.class) else {
                     let _ = answer.send(Answer::Failed);
                     return;
                 };
-                Inbound::Submitted(Submission { message: Arc::new(taken), class, request, answer })
+                Inbound::Submitted(Submission { message: Arc::new(message), class, request, answer })
             }
             ToSuccessor::AdminRequest { number, call } => {
                 let (answer, answered) = oneshot::channel();
-                let say = self.messages.clone();
+                let messages = self.messages.clone();
                 tokio::task::spawn_local(async move {
                     let ending = AdminResponse { status: 503, text: "ending\n".into() };
                     let AdminResponse { status, text } = answered.await.unwrap_or(ending);
-                    let _ = say.send(ToPredecessor::AdminResponse(number, status, text));
+                    let _ = messages.send(ToPredecessor::AdminResponse(number, status, text));
                 });
                 Inbound::AdminRequest(call, answer)
             }
             ToSuccessor::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
             }
-            ToSuccessor::CallCompleted(over) => match self.outstanding.borrow_mut().complete(over) {
-                over if over.is_empty() => return,
-                over => Inbound::CallCompleted(over),
-            },
+            ToSuccessor::CallCompleted(completed) => {
+                match self.outstanding.borrow_mut().complete(completed) {
+                    completed if completed.is_empty() => return,
+                    completed => Inbound::CallCompleted(completed),
+                }
+            }
             ToSuccessor::RetryAfter(endpoint, wait) => Inbound::Event(Event::RetryAfter { endpoint, wait }),
             ToSuccessor::ConnectionReused { lost } => Inbound::Event(Event::ConnectionReused { lost }),
             ToSuccessor::State(_) | ToSuccessor::Drained => return,
@@ -348,7 +353,7 @@
 
     fn forget(&self, _: EndpointId) {}
 
-    /// No address is known here, so that no call starts here.
+    /// Never called: no address is known here, so that no call starts.
     fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
 
     fn cancel(&self, message: MessageId, attempt: u16) {
--- a/crates/sender/src/hand_over/socket.rs
+++ b/crates/sender/src/hand_over/socket.rs
@@ -1,4 +1,4 @@
-//! The connection between two processes of a sender, over which frames go both ways.
+//! The connection between two processes of a sender, which carries frames in both directions.
 
 use handover::frame;
 use serde::Serialize;
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::task::JoinHandle;
 
-/// The connection of predecessor and successor.
+/// The connection between predecessor and successor.
 #[derive(Debug)]
 pub struct HandoverLink {
     reader: OwnedReadHalf,
@@ -17,8 +17,8 @@
 }
 
 impl HandoverLink {
-    /// Over a socket that is connected.
-    pub fn of(stream: UnixStream) -> Self {
+    /// Creates a link over a connected socket.
+    pub fn new(stream: UnixStream) -> Self {
         let (reader, writer) = stream.into_split();
         Self { reader, writer }
     }
@@ -26,7 +26,7 @@
     /// Sends one message.
     ///
     /// # Errors
-    /// Fails when the other side is gone.
+    /// Fails when the other process has closed the connection.
     pub async fn send(&mut self, message: &impl Serialize) -> Result<(), String> {
         let frame = frame::write(message).map_err(|e| e.to_string())?;
         self.writer.write_all(&frame).await.map_err(|e| e.to_string())
@@ -35,21 +35,21 @@
     /// Receives one message.
     ///
     /// # Errors
-    /// Fails when the other side is gone, or sends something else.
+    /// Fails when the other process has closed the connection, or sends something that is not a `T`.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T, String> {
         receive(&mut self.reader).await
     }
 
-    /// Both directions as channels. What waits to be written is bounded by clients' connections and calls in
-    /// flight. The task ends once all is written.
+    /// Turns both directions into channels. The number of messages that wait to be written is bounded by clients'
+    /// connections and calls in flight. The returned task ends once everything is written.
     pub fn split<Out: Serialize + 'static, In: DeserializeOwned + 'static>(
         self,
     ) -> (UnboundedSender<Out>, UnboundedReceiver<In>, JoinHandle<()>) {
         let Self { mut reader, mut writer } = self;
-        let (say, mut said) = unbounded_channel::<Out>();
-        let (hear, heard) = unbounded_channel();
+        let (outgoing, mut queued) = unbounded_channel::<Out>();
+        let (incoming_sender, incoming) = unbounded_channel();
         let writing = tokio::task::spawn_local(async move {
-            while let Some(message) = said.recv().await {
+            while let Some(message) = queued.recv().await {
                 let Ok(frame) = frame::write(&message) else { return };
                 if writer.write_all(&frame).await.is_err() {
                     return;
@@ -58,12 +58,12 @@
         });
         tokio::task::spawn_local(async move {
             while let Ok(message) = receive(&mut reader).await {
-                if hear.send(message).is_err() {
+                if incoming_sender.send(message).is_err() {
                     return;
                 }
             }
         });
-        (say, heard, writing)
+        (outgoing, incoming, writing)
     }
 }
 
--- a/crates/sender/src/persistence/journal.rs
+++ b/crates/sender/src/persistence/journal.rs
@@ -1,4 +1,4 @@
-//! The journal as an event loop uses it: all of it, or one shard's part.
+//! The journal as an event loop uses it: the whole journal, or one shard's part.
 
 use std::io;
 
@@ -7,20 +7,20 @@
     AcceptedMessage, AppendError, ByNumber, Journal, JournalPart, LedgerEntry, PendingMessage, Record,
 };
 
-/// Where an event loop's messages are recorded.
+/// The journal of an event loop.
 pub enum JournalStore {
-    /// The sender has one event loop.
+    /// The whole journal, if there is a single event loop.
     Exclusive(Box<Journal>),
     /// One shard's part.
     Sharded(JournalPart),
 }
 
 impl JournalStore {
-    /// The pending messages, by number, in no order.
+    /// The pending messages by number, in no particular order.
     pub fn live(&self) -> &ByNumber<PendingMessage> {
         match self {
             Self::Exclusive(journal) => journal.live(),
-            Self::Sharded(part) => part.live(),
+            Self::Sharded(journal_part) => journal_part.live(),
         }
     }
 
@@ -31,23 +31,23 @@
     pub fn append(&mut self, now: Micros, records: &mut Vec<Record>) -> Result<(), AppendError> {
         match self {
             Self::Exclusive(journal) => journal.append(now, records),
-            Self::Sharded(part) => part.append(now, records),
+            Self::Sharded(journal_part) => journal_part.append(now, records),
         }
     }
 
     /// As [`Journal::has_capacity`].
-    pub fn has_capacity(&self, taken: &AcceptedMessage, pending: u64) -> bool {
+    pub fn has_capacity(&self, message: &AcceptedMessage, pending: u64) -> bool {
         match self {
-            Self::Exclusive(journal) => journal.has_capacity(taken, pending),
-            Self::Sharded(part) => part.has_capacity(taken, pending),
+            Self::Exclusive(journal) => journal.has_capacity(message, pending),
+            Self::Sharded(journal_part) => journal_part.has_capacity(message, pending),
         }
     }
 
     /// As [`Journal::space_needed`].
-    pub fn space_needed(&self, taken: &AcceptedMessage) -> u64 {
+    pub fn space_needed(&self, message: &AcceptedMessage) -> u64 {
         match self {
-            Self::Exclusive(journal) => journal.space_needed(taken),
-            Self::Sharded(part) => part.space_needed(taken),
+            Self::Exclusive(journal) => journal.space_needed(message),
+            Self::Sharded(journal_part) => journal_part.space_needed(message),
         }
     }
 
@@ -55,7 +55,7 @@
     pub fn retains(&self, class: &str) -> bool {
         match self {
             Self::Exclusive(journal) => journal.retains(class),
-            Self::Sharded(part) => part.retains(class),
+            Self::Sharded(journal_part) => journal_part.retains(class),
         }
     }
 
@@ -63,7 +63,7 @@
     pub fn ledger_entry(&self, id: &str, now: Micros) -> Option<LedgerEntry> {
         match self {
             Self::Exclusive(journal) => journal.ledger_entry(id, now).cloned(),
-            Self::Sharded(part) => part.ledger_entry(id, now),
+            Self::Sharded(journal_part) => journal_part.ledger_entry(id, now),
         }
     }
 
@@ -74,7 +74,7 @@
     pub fn compact_step(&mut self, now: Micros) -> io::Result<()> {
         match self {
             Self::Exclusive(journal) => journal.compact_step(now),
-            Self::Sharded(part) => part.compact_step(now),
+            Self::Sharded(journal_part) => journal_part.compact_step(now),
         }
     }
 
--- a/crates/sender/src/persistence/mod.rs
+++ b/crates/sender/src/persistence/mod.rs
@@ -1,5 +1,5 @@
-//! What outlasts the process in `NODE_STATE`: the journal, the health snapshot, ejected endpoints, and the idempotency that
-//! each class was recorded with.
+//! Files in `NODE_STATE` that outlive the process: the journal, the health snapshot, the ejected endpoints, and the
+//! idempotency that was recorded for each class.
 
 pub mod class_idempotency;
 pub mod ejections;
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -1,5 +1,5 @@
-//! The health snapshot beside the journal: the package `health-snapshot` with this process's clocks, folder
-//! and list.
+//! The health snapshot of this process: connects the package `health-snapshot` to the process's clocks, state folder
+//! and endpoint list.
 
 use std::fs;
 use std::path::Path;
@@ -19,39 +19,45 @@
 use crate::discovery::endpoint_list::{EndpointList, EndpointListing};
 use crate::ports::Clock;
 
-/// For how long limits and answer times are restored by default, in microseconds.
-const SPAN: Micros = 3_600_000_000;
-/// The default share of the disk quota: one part in so many.
-const PART_OF_DISK: u64 = 8;
-/// Between two log lines of a snapshot that can't be written.
-const COMPLAIN_EVERY: Micros = 60_000_000;
+/// Default age up to which limits and answer times are restored, in microseconds.
+const DEFAULT_SPAN: Micros = 3_600_000_000;
+/// By default the snapshot may use the disk quota divided by this.
+const DEFAULT_DISK_DIVISOR: u64 = 8;
+/// Minimum interval between two log lines about a snapshot that can't be written, in microseconds.
+const WARNING_INTERVAL: Micros = 60_000_000;
 
-/// How the snapshot is kept; none where the operators' file does not switch it on.
+/// How the snapshot is written and restored.
 #[derive(Debug, Clone, Copy)]
 pub struct SnapshotOptions {
     options: Options,
     clock: SnapshotClock,
-    /// How it is restored.
+    /// How the snapshot is restored.
     pub restore: Config,
 }
 
 impl SnapshotOptions {
-    /// The options of the operators' table, with its defaults.
-    pub fn of(table: &HealthSnapshotTable, disk: u64, sync: bool, aim: Micros) -> Option<Self> {
+    /// Creates the options from the operators' table, with defaults. Returns none if the table does not enable the
+    /// snapshot.
+    pub fn from_table(
+        table: &HealthSnapshotTable,
+        disk: u64,
+        sync: bool,
+        latency_objective: Micros,
+    ) -> Option<Self> {
         if !table.on {
             return None;
         }
-        let size = table.size.map_or(disk / PART_OF_DISK, |size| size.bytes.min(disk));
-        let span = table.span.map_or(SPAN, |span| span.micros);
+        let size = table.size.map_or(disk / DEFAULT_DISK_DIVISOR, |size| size.bytes.min(disk));
+        let span = table.span.map_or(DEFAULT_SPAN, |span| span.micros);
         Some(Self {
             options: Options { size, sync },
             clock: table.clock,
-            restore: Config { span, latency_objective: aim },
+            restore: Config { span, latency_objective },
         })
     }
 }
 
-/// The machine's time since its start, where that is used and the system has it.
+/// Returns the time since the machine booted, if the settings use it and the system provides it.
 fn boot(clock: SnapshotClock) -> Option<Boot> {
     if clock == SnapshotClock::Wall {
         return None;
@@ -63,66 +69,70 @@
     Some(Boot { id, at: (seconds * 1e6) as Micros })
 }
 
-/// The current moment by the system's clocks.
+/// Returns the current time by the system's clocks.
 pub fn stamp(clock: SnapshotClock) -> Timestamp {
     Timestamp { wall: Clock::new().now(), boot: boot(clock) }
 }
 
-/// The snapshot's files, while this process has the journal.
+/// The snapshot's files. Only the process that has the journal writes them.
 pub struct SnapshotStore {
     store: Store,
     clock: SnapshotClock,
-    complain_at: Micros,
+    next_warning_at: Micros,
 }
 
-/// Opens the snapshot of an earlier process. Without it, which is logged, the process runs on.
+/// Opens the snapshot of an earlier process. If this fails, it is logged and the process runs without a snapshot.
 pub fn open(
     state: &Path,
     owner: &str,
-    keeping: &SnapshotOptions,
+    options: &SnapshotOptions,
 ) -> Option<(SnapshotStore, health_snapshot::replay::Snapshot)> {
     let disk = Box::new(Folder::companion(state));
-    match Store::open(disk, owner, keeping.options) {
+    match Store::open(disk, owner, options.options) {
         Ok((store, snapshot)) => {
-            Some((SnapshotStore { store, clock: keeping.clock, complain_at: 0 }, snapshot))
+            Some((SnapshotStore { store, clock: options.clock, next_warning_at: 0 }, snapshot))
         }
-        Err(e) => {
-            eprintln!("what was known of partners can't be read, and nothing is kept: {e}");
+        Err(error) => {
+            eprintln!(
+                "health snapshot can't be opened: destinations start without known health, \
+                 and no snapshot is written: {error}"
+            );
             None
         }
     }
 }
 
-/// What a process restores that starts with this snapshot and the list at that version.
+/// Returns what a process restores from this snapshot if its endpoint list has version `index`.
 pub fn restore(
     snapshot: &health_snapshot::replay::Snapshot,
-    keeping: &SnapshotOptions,
+    options: &SnapshotOptions,
     now: Micros,
     index: u64,
 ) -> RestoredState {
-    let start = RestoreTime { now, timestamp: stamp(keeping.clock) };
-    restore::restore(snapshot, &start, index, &keeping.restore)
+    let start = RestoreTime { now, timestamp: stamp(options.clock) };
+    restore::restore(snapshot, &start, index, &options.restore)
 }
 
-/// What the event loop shows the snapshot of its state.
+/// The state of an event loop that the snapshot is written from.
 pub struct SnapshotSource<'a> {
     /// The decision module.
     pub policy: &'a Policy,
     /// The endpoint list.
     pub directory: &'a Directory,
-    /// Its version, and when discovery last confirmed it.
+    /// The list's version, and when discovery last confirmed it.
     pub list: (u64, Micros),
-    /// The time.
+    /// The current time.
     pub now: Micros,
 }
 
 impl Source for SnapshotSource<'_> {
     fn destinations(&self) -> Vec<u16> {
-        let mut all: Vec<_> = self.policy.observed_destinations().into_iter().map(|d| d.0).collect();
-        all.extend(self.directory.destinations());
-        all.sort_unstable();
-        all.dedup();
-        all
+        let mut destinations: Vec<_> =
+            self.policy.observed_destinations().into_iter().map(|destination| destination.0).collect();
+        destinations.extend(self.directory.destinations());
+        destinations.sort_unstable();
+        destinations.dedup();
+        destinations
     }
 
     fn record(&self, destination: u16) -> Option<DestinationRecord> {
@@ -137,18 +147,17 @@
             .policy
             .route_snapshots(id)
             .into_iter()
-            .filter(|(_, learnt)| has_observations(learnt))
-            .filter_map(|((_, endpoint), learnt)| match endpoint {
-                None => Some(RouteRecord { endpoint: None, snapshot: learnt }),
+            .filter(|(_, snapshot)| has_observations(snapshot))
+            .filter_map(|((_, endpoint), snapshot)| match endpoint {
+                None => Some(RouteRecord { endpoint: None, snapshot }),
                 Some(endpoint) => {
                     let name = self.directory.name(endpoint);
-                    (!name.is_empty())
-                        .then(|| RouteRecord { endpoint: Some(name.to_string()), snapshot: learnt })
+                    (!name.is_empty()).then(|| RouteRecord { endpoint: Some(name.to_string()), snapshot })
                 }
             })
             .collect();
-        let known = !listed.is_empty() || !routes.is_empty();
-        known.then_some(DestinationRecord { at: self.now, listed, routes })
+        let has_record = !listed.is_empty() || !routes.is_empty();
+        has_record.then_some(DestinationRecord { at: self.now, listed, routes })
     }
 
     fn list(&self) -> ListVersion {
@@ -157,62 +166,63 @@
 }
 
 impl SnapshotStore {
-    /// Moves stored times: this process's clock is so far ahead of the writer's.
-    pub fn moved_by(&mut self, shift: i64) {
+    /// Sets how far this process's clock is ahead of the one that the snapshot was written by. Stored times are
+    /// shifted by it.
+    pub fn set_clock_shift(&mut self, shift: i64) {
         self.store.set_clock_shift(shift);
     }
 
-    /// Bytes on the disk, in whole blocks.
+    /// Returns the disk space that is used, in bytes of whole blocks.
     pub fn used(&self) -> u64 {
         self.store.used()
     }
 
-    /// The observed health of a destination may have changed.
-    pub fn mark_touched(&mut self, destination: u16, now: Micros) {
+    /// Records that the observed health of a destination may have changed.
+    pub fn mark_changed(&mut self, destination: u16, now: Micros) {
         self.store.mark_changed(destination, now);
     }
 
-    /// A destination sent a Retry-After, or its listing changed.
+    /// Records that a destination sent a Retry-After or, if `listed`, that its endpoints changed.
     pub fn mark_urgent(&mut self, destination: u16, listed: bool, now: Micros) {
         self.store.mark_urgent(destination, listed, now);
     }
 
-    /// When there is something to write.
+    /// Returns when there is something to write.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         self.store.next_due(now)
     }
 
-    /// Writes what is due, into so many bytes of disk.
-    pub fn write_slice(&mut self, room: u64, view: &SnapshotSource) {
-        if self.store.next_due(view.now).is_none_or(|due| due > view.now) {
+    /// Writes the part that is due. The files may use this many bytes of disk space.
+    pub fn write_slice(&mut self, space: u64, source: &SnapshotSource) {
+        if self.store.next_due(source.now).is_none_or(|due| due > source.now) {
             return;
         }
-        let stamp = Timestamp { wall: view.now, boot: boot(self.clock) };
-        if let Err(e) = self.store.write_slice(&stamp, room, view) {
-            self.complain(view.now, &e);
+        let stamp = Timestamp { wall: source.now, boot: boot(self.clock) };
+        if let Err(error) = self.store.write_slice(&stamp, space, source) {
+            self.warn(source.now, &error);
         }
     }
 
-    /// Releases its disk space to the journal.
+    /// Deletes files to release disk space to the journal.
     pub fn release(&mut self, now: Micros) {
-        if let Err(e) = self.store.release(now) {
-            self.complain(now, &e);
+        if let Err(error) = self.store.release(now) {
+            self.warn(now, &error);
         }
     }
 
-    fn complain(&mut self, now: Micros, why: &std::io::Error) {
-        if now >= self.complain_at {
-            self.complain_at = now + COMPLAIN_EVERY;
-            eprintln!("what is known of partners can't be kept just now: {why}");
+    fn warn(&mut self, now: Micros, error: &std::io::Error) {
+        if now >= self.next_warning_at {
+            self.next_warning_at = now + WARNING_INTERVAL;
+            eprintln!("health snapshot can't be written, retrying later: {error}");
         }
     }
 }
 
-/// The list that a process starts with: the snapshot's where that is newer, else the configuration's, with
-/// the drains that may have been listed since. And the version to watch it from; none where the full list has
-/// to be fetched.
-pub fn initial_list(known: EndpointList, belief: &mut RestoredState) -> (EndpointList, Option<u64>) {
-    if let Some(restore::NewerList { index, destinations }) = belief.list.newer.take() {
+/// Returns the endpoint list that a process starts with: the snapshot's if it is newer, else the configuration's,
+/// with the endpoints marked as draining that may have begun to drain since. Also returns the version to watch the
+/// list from, or none if the full list has to be fetched.
+pub fn initial_list(configured: EndpointList, restored: &mut RestoredState) -> (EndpointList, Option<u64>) {
+    if let Some(restore::NewerList { index, destinations }) = restored.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
             listed.into_iter().map(move |listed| EndpointListing {
                 name: listed.name,
@@ -227,12 +237,12 @@
         let list = EndpointList { index, snapshot: true, endpoints: endpoints.collect() };
         return (list, Some(index));
     }
-    let drains = std::mem::take(&mut belief.list.drains);
+    let drains = std::mem::take(&mut restored.list.drains);
     if drains.is_empty() {
-        let index = known.index;
-        return (known, Some(index));
+        let index = configured.index;
+        return (configured, Some(index));
     }
-    let mut list = known;
+    let mut list = configured;
     for listing in list.endpoints.iter_mut().filter(|listing| drains.contains(&listing.name)) {
         listing.status = status(EndpointStatus::Draining).to_owned();
     }
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -1,7 +1,8 @@
-//! One process of a sender from its start to its end, with what it takes over from a predecessor and hands to a successor.
+//! The life cycle of a sender process: startup, takeover from a predecessor, event loop, hand-over to a successor.
 //!
-//! A process runs one event loop after another: a hand-over ends the first, and where the successor fails to take over, the
-//! next one resumes. With several shards this is the first of them; the others run on threads of their own.
+//! A process may run several event loops in sequence: a hand-over ends one, and if the successor fails to take over,
+//! another one resumes. With several shards this is the event loop of the first one; the others run on threads of
+//! their own.
 
 mod journal;
 mod shards;
@@ -29,7 +30,7 @@
 use crate::event_loop::{self, EventLoopParts, ExitReason, HandedOverShard, Shard};
 use crate::gossip_socket::GossipSocket;
 use crate::hand_over::socket::HandoverLink;
-use crate::hand_over::{self, CarriedConnections, Predecessor};
+use crate::hand_over::{self, DrainingConnections, Predecessor};
 use crate::persistence::class_idempotency::ClassIdempotency;
 use crate::persistence::ejections;
 use crate::persistence::journal::JournalStore;
@@ -39,17 +40,17 @@
 
 use journal::{open_journal, open_or_take_over, record_class_idempotency, restore_policy};
 use shards::{ShardThread, divide_by_shards, shard_group};
-use sockets::{SHARE_DURING_HANDOVER, SocketSides, follow_predecessor};
+use sockets::{HANDOVER_DIVISOR, Sockets, follow_predecessor};
 
-/// The requests of a successor are counted from so far beyond those of its predecessor.
+/// A successor's request numbers start this far beyond its predecessor's.
 const REQUEST_NUMBER_GAP: u64 = 1 << 32;
-/// The requests of each shard are counted from a number of its own, this many bits up.
+/// A shard's request numbers start at its id shifted left by this many bits.
 const SHARD_REQUEST_BITS: u32 = 40;
 
-/// Runs a sender until it was asked to shut down and has, or has handed over.
+/// Runs a sender until it has shut down on request or has handed over.
 ///
 /// # Errors
-/// Fails, in one line, when it can't start or go on.
+/// Fails when the sender can't start or continue. The message is one line.
 pub async fn run(
     config: Config,
     operators: &Operators,
@@ -66,26 +67,27 @@
     Ok(())
 }
 
-/// What stays the same for all event loops of a process.
+/// The state that all event loops of a process have in common.
 struct Process<'a> {
     config: Config,
     operators: &'a Operators,
     inbound: UnboundedSender<Inbound>,
     clock: Clock,
-    sockets: SocketSides,
-    /// The first shard's handle, where there are several.
+    sockets: Sockets,
+    /// The first shard's handle, if there are several shards.
     shard: Option<Rc<ShardHandle>>,
     snapshot_options: Option<SnapshotOptions>,
     class_idempotency: Arc<ClassIdempotency>,
-    /// The platform starts a successor beside a running process: it holds the listening socket.
+    /// Whether the platform starts a successor while this process runs, which it does if it passes the listening
+    /// socket.
     accepts_successor: bool,
 }
 
-/// What one event loop starts with.
+/// The inputs of one event loop.
 struct EventLoopStart {
     journal: JournalStore,
     shard: Option<Shard>,
-    /// The health snapshot, where it is open already.
+    /// The health snapshot, if it is open already.
     snapshot: Option<(SnapshotStore, Snapshot)>,
     predecessor: TakenOver,
     outcome_counts: Option<OutcomeCounts>,
@@ -93,18 +95,18 @@
     clock_set_back: bool,
 }
 
-/// What was taken over from a predecessor.
+/// State taken over from a predecessor.
 #[derive(Default)]
 struct TakenOver {
-    /// Its state, where this version can read it.
+    /// The state, if this version can read it.
     state: Option<(HandoverState, Policy)>,
-    /// The connections that it still carries.
+    /// The connections that it still drains.
     process: Option<Rc<Predecessor>>,
-    /// The Retry-Afters that it was sent, where the rest of its state can't be read.
-    waits: Vec<(String, Micros)>,
+    /// Retry-After deadlines that it received, if the rest of its state can't be read: endpoint names and ends.
+    retry_after_deadlines: Vec<(String, Micros)>,
 }
 
-/// A hand-over that has begun: the event loop has ended.
+/// A hand-over in progress. The event loop has ended.
 struct HandingOver {
     successor: HandoverLink,
     state: HandoverState,
@@ -113,7 +115,7 @@
 }
 
 impl<'a> Process<'a> {
-    /// Opens the journal or takes it over, and prepares all that the first event loop needs.
+    /// Opens the journal or takes it over, and prepares the inputs of the first event loop.
     async fn start(
         mut config: Config,
         operators: &'a Operators,
@@ -132,7 +134,7 @@
         divide_by_shards(&mut config.settings, group.as_ref().map_or(1, |group| group.count()));
         let shard = group.map(|group| Rc::new(ShardHandle::new(ShardId(0), group)));
         let gate = watch::Sender::new(AdmissionGate::default());
-        let sockets = SocketSides::new(&config, clock, inherited, &inbound, shard.clone(), gate);
+        let sockets = Sockets::new(&config, clock, inherited, &inbound, shard.clone(), gate);
         let process = Self {
             config,
             operators,
@@ -148,7 +150,7 @@
             Some((link, state)) => process.take_over(link, state).await?,
             None => TakenOver::default(),
         };
-        let journal = process.share_journal(journal, &predecessor.waits, clock_set_back)?;
+        let journal = process.share_journal(journal, &predecessor.retry_after_deadlines, clock_set_back)?;
         let start = EventLoopStart {
             journal,
             shard: process.shard.clone().map(Shard::new),
@@ -161,12 +163,12 @@
         Ok((process, start))
     }
 
-    /// Goes on with a predecessor's state, and follows what it still carries.
+    /// Continues from a predecessor's state, and follows the connections that it still drains.
     async fn take_over(&self, mut link: HandoverLink, state: HandoverState) -> Result<TakenOver, String> {
         let policy = restore_policy(&self.config, &state, self.clock.now());
-        hand_over::confirm_takeover(&mut link, policy.is_some())
-            .await
-            .map_err(|error| format!("the process before breaks off: {error}"))?;
+        hand_over::confirm_takeover(&mut link, policy.is_some()).await.map_err(|error| {
+            format!("hand-over: confirming the takeover to the predecessor failed: {error}")
+        })?;
         self.sockets.frontend.set_request_count(state.requests.saturating_add(REQUEST_NUMBER_GAP));
         if let Some(since) = state.standby {
             self.sockets.gate.send_replace(AdmissionGate::Standby(since));
@@ -177,18 +179,19 @@
         };
         let shard = self.shard.clone();
         let process = follow_predecessor(&self.sockets, &self.config, link, in_flight, &self.inbound, shard);
-        let (state, waits) = match policy {
+        let (state, retry_after_deadlines) = match policy {
             Some(policy) => (Some((state, policy)), Vec::new()),
             None => (None, state.waits.into_iter().map(Into::into).collect()),
         };
-        Ok(TakenOver { state, process: Some(process), waits })
+        Ok(TakenOver { state, process: Some(process), retry_after_deadlines })
     }
 
-    /// The first shard's part of the journal, where there are several; starts the others with theirs.
+    /// Returns the journal for the first event loop. With several shards it divides the journal and starts the other
+    /// shards.
     fn share_journal(
         &self,
         journal: Journal,
-        waits: &[(String, Micros)],
+        retry_after_deadlines: &[(String, Micros)],
         clock_set_back: bool,
     ) -> Result<JournalStore, String> {
         let Some(shard) = &self.shard else { return Ok(JournalStore::Exclusive(Box::new(journal))) };
@@ -196,7 +199,7 @@
         let owners = group.owners();
         let mut parts =
             journal.share(group.count(), |destination| owners.owner(destination).index()).into_iter();
-        let first = parts.next().ok_or("no core has the journal")?;
+        let first = parts.next().ok_or("the journal was divided into no parts")?;
         for (id, journal_part) in (1..).map(ShardId).zip(parts) {
             let thread = ShardThread {
                 id,
@@ -206,7 +209,7 @@
                 journal_part,
                 ejections: self.ejections()?,
                 gate: self.sockets.gate.clone(),
-                waits: waits.to_vec(),
+                retry_after_deadlines: retry_after_deadlines.to_vec(),
                 clock_set_back,
                 requests: u64::from(id.0) << SHARD_REQUEST_BITS,
                 class_idempotency: self.class_idempotency.clone(),
@@ -221,7 +224,7 @@
         ejections::read(state).map_err(|error| format!("{}: {error}", state.display()))
     }
 
-    /// Runs an event loop to its end; none where the process is done.
+    /// Runs an event loop until it ends. Returns the hand-over, or none if the process is finished.
     async fn run_event_loop(
         &self,
         start: EventLoopStart,
@@ -253,7 +256,7 @@
             frontends_started: start.frontends_started,
             predecessor_state: start.predecessor.state,
             predecessor: start.predecessor.process,
-            waits: start.predecessor.waits,
+            retry_after_deadlines: start.predecessor.retry_after_deadlines,
             outcome_counts: start.outcome_counts,
             clock_set_back: start.clock_set_back,
             snapshot_store,
@@ -272,27 +275,28 @@
         }
     }
 
-    /// Opens the health snapshot, unless it is open, and what is restored of it where no predecessor's state says more.
+    /// Opens the health snapshot unless it is open. Returns it with the state to restore: none if the process
+    /// continues from a predecessor's state, which is more complete.
     fn restore_snapshot(
         &self,
         snapshot: Option<(SnapshotStore, Snapshot)>,
         resumes: bool,
     ) -> (Option<SnapshotStore>, RestoredState) {
         let Some(options) = self.snapshot_options else { return (None, RestoredState::default()) };
-        // A process that resumes opens it once more: another one had it meanwhile.
+        // A process that resumes opens it again, because another process had it in between.
         let snapshot = snapshot.or_else(|| snapshot::open(&self.config.state, &self.config.name, &options));
         let Some((mut store, snapshot)) = snapshot else { return (None, RestoredState::default()) };
         let list_version = self.config.initial_list.index;
         let restored = snapshot::restore(&snapshot, &options, self.clock.now(), list_version);
-        store.moved_by(restored.shift);
+        store.set_clock_shift(restored.shift);
         (Some(store), if resumes { RestoredState::default() } else { restored })
     }
 
-    /// Offers the state to the successor. None where it took over and all that was left here has ended; else this process
-    /// resumes.
+    /// Offers the state to the successor. Returns none if it took over and the connections here are drained, else the
+    /// inputs of the event loop that resumes.
     ///
     /// # Errors
-    /// Fails when another process has the journal and can't be reached, or the successor breaks off.
+    /// Fails when another process has the journal and can't be reached, or the successor closes the connection.
     async fn hand_over(
         &mut self,
         handing_over: HandingOver,
@@ -304,25 +308,28 @@
         match (step::predecessor_step(offered.is_ok(), journal.is_some()), offered, journal) {
             (PredecessorStep::Drain, Ok((link, understood)), _) => {
                 eprintln!("{} has handed over", self.config.name);
-                let carried = self.carried_connections(outcome_counts, shard);
-                hand_over::carry(link, understood, carried, events).await.map(|()| None)
+                let draining = self.draining_connections(outcome_counts, shard);
+                hand_over::drain(link, understood, draining, events).await.map(|()| None)
             }
             (PredecessorStep::Resume, Err(error), Some(journal)) => {
-                eprintln!("the next process did not take over, this one goes on: {error}");
+                eprintln!(
+                    "hand-over failed, this process continues: the successor did not take over: {error}"
+                );
                 self.resume(journal, state, outcome_counts, shard).map(Some)
             }
-            _ => Err("another process has the journal, and does not answer".to_owned()),
+            _ => Err("hand-over failed: another process has the journal and does not respond".to_owned()),
         }
     }
 
-    /// What is left here once a successor decides: clients' connections and calls in flight, with fewer descriptors.
-    fn carried_connections(
+    /// Returns the connections that this process drains for its successor: clients' connections and calls in flight.
+    /// Their limits are lowered, since both processes share the descriptors.
+    fn draining_connections(
         &self,
         outcome_counts: OutcomeCounts,
         shard: Option<Box<HandedOverShard>>,
-    ) -> CarriedConnections {
+    ) -> DrainingConnections {
         let sockets = &self.sockets;
-        let max_connections = sockets.max_connections / SHARE_DURING_HANDOVER;
+        let max_connections = sockets.max_connections / HANDOVER_DIVISOR;
         sockets.transport.close_all_idle();
         sockets.frontend.limit_connections(max_connections);
         let (mut frontends, mut transports) = (sockets.frontends(), sockets.transports());
@@ -332,7 +339,7 @@
             frontends.push(shard.remote_shards.clone());
             transports.push(shard.remote_shards);
         }
-        CarriedConnections {
+        DrainingConnections {
             clock: self.clock,
             frontends,
             transports,
@@ -341,7 +348,7 @@
         }
     }
 
-    /// Resumes with its own state, after a successor that did not take over.
+    /// Returns the inputs of an event loop that resumes from this process's own state after a failed hand-over.
     fn resume(
         &mut self,
         journal: Journal,
@@ -358,8 +365,9 @@
             None => (JournalStore::Exclusive(Box::new(journal)), None),
         };
         let policy = restore_policy(&self.config, &state, self.clock.now());
-        let policy = policy.ok_or("its own state can't be read")?;
-        // Discovery may have moved since the start.
+        let policy =
+            policy.ok_or("resuming after a failed hand-over: this process can't read its own state")?;
+        // Its address may have changed since the start.
         self.config.discovery = config::reload_discovery().unwrap_or(self.config.discovery);
         Ok(EventLoopStart {
             journal,
@@ -373,15 +381,15 @@
     }
 }
 
-/// How the health snapshot is kept; none where the operators' file does not switch it on.
+/// Returns the options of the health snapshot, or none if the operators' file does not enable it.
 fn snapshot_options(config: &Config, operators: &Operators) -> Option<SnapshotOptions> {
     let objectives = config.settings.classes.iter().map(|class| class.latency_objective);
     let sync = operators.journal.sync == operator_config::Sync::Group;
-    SnapshotOptions::of(&operators.health_snapshot, config.disk, sync, objectives.min().unwrap_or(0))
+    SnapshotOptions::from_table(&operators.health_snapshot, config.disk, sync, objectives.min().unwrap_or(0))
 }
 
-/// A clock that shows no time before the latest that an earlier process wrote down; and whether the system's clock was set
-/// back since.
+/// Returns a clock that never shows a time before the latest that an earlier process recorded, and whether the system's
+/// clock was set back since then.
 fn start_clock(
     journal: &Journal,
     predecessor: Option<&HandoverState>,
@@ -391,7 +399,10 @@
     let latest = predecessor.map_or(0, |state| state.stopped_at).max(journal.latest()).max(snapshot_at);
     let (clock, set_back) = Clock::after(latest);
     if set_back {
-        eprintln!("the clock was set back since the last process: how old its attempts are is not known");
+        eprintln!(
+            "the clock was set back since the previous process: the ages of its attempts are unknown \
+             and count as beyond any idempotency window"
+        );
     }
     (clock, set_back)
 }
--- a/crates/sender/src/process/shards.rs
+++ b/crates/sender/src/process/shards.rs
@@ -1,4 +1,4 @@
-//! The shards of a process: what they share, and the threads of all but the first.
+//! The shards of a process: their shared state, and the threads of all but the first.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use sharding::{LeasePool, OwnershipMap, ShardId};
 use tokio::sync::watch;
 
-use super::sockets::{SHARE_DURING_HANDOVER, SocketSides, connection_limit};
+use super::sockets::{HANDOVER_DIVISOR, Sockets, connection_limit};
 use crate::config::Config;
 use crate::event_loop::{self, EventLoopParts, Shard};
 use crate::persistence::class_idempotency::ClassIdempotency;
@@ -21,13 +21,13 @@
 use crate::shards::{ShardGroup, ShardHandle, ShardQuotas};
 use crate::stall_detector;
 
-/// Most messages for which a shard's mailbox has space, whatever the settings allow.
+/// Upper limit of the settings' pending messages that a shard's mailbox reserves space for.
 const MAX_QUEUED_MESSAGES: usize = 16_384;
-/// A mailbox has space for at least so many.
-const MIN_QUEUE: usize = 1_024;
+/// Lower limit of the messages that a mailbox has space for, before it is doubled.
+const MIN_QUEUED_MESSAGES: usize = 1_024;
 
-/// Divides among the shards what the settings say of the whole process and each decision module keeps for itself: the
-/// activations of idle destinations, and how many are active and retained.
+/// Divides settings among the shards that are meant for the whole process but enforced by each decision module: the
+/// rate at which idle destinations are activated, and how many are active and retained.
 pub(super) fn divide_by_shards(settings: &mut Settings, shards: usize) {
     if let Some(idle) = &mut settings.idle {
         idle.activations_per_second /= shards as f64;
@@ -36,10 +36,10 @@
     }
 }
 
-/// What several shards share, as many as the operators' file says; none where it says one.
+/// Creates the state that the shards share, for as many as the operators' file configures. Returns none if that is one.
 ///
 /// # Errors
-/// Fails where a class keeps order over all destinations, which several shards can't.
+/// Fails when a class keeps order over all destinations, which several shards can't do.
 pub(super) fn shard_group(
     config: &Config,
     operators: &Operators,
@@ -49,11 +49,11 @@
     if count < 2 {
         return Ok(None);
     }
-    // Guards order: keys are not a destination's, and each destination has one shard.
-    let ordered = config.settings.classes.iter().position(|class| class.in_order);
-    if let Some(name) = ordered.and_then(|at| config.names.classes.get(at)) {
+    // Order is kept by key, and the messages of a key may have destinations on different shards.
+    let ordered_class = config.settings.classes.iter().position(|class| class.in_order);
+    if let Some(name) = ordered_class.and_then(|index| config.names.classes.get(index)) {
         return Err(format!(
-            "[cores] count = {count}: class {name} keeps order over all destinations; it takes count = 1"
+            "[cores] count = {count}: class {name} keeps order over all destinations, which requires count = 1"
         ));
     }
     let settings = &config.settings;
@@ -61,22 +61,23 @@
         calls: LeasePool::new(settings.max_calls, count),
         messages: LeasePool::new(settings.max_messages, count),
         connections: LeasePool::new(
-            connection_limit(config, count) / if taken_over { SHARE_DURING_HANDOVER } else { 1 },
+            connection_limit(config, count) / if taken_over { HANDOVER_DIVISOR } else { 1 },
             count,
         ),
     };
-    // What must arrive is bounded by what is in flight, pending and connected; as much again can be rejected.
+    // Messages that must arrive are bounded by calls in flight, pending messages and connections. The same space
+    // again is for messages that can be rejected.
     let queue = 2
         * (settings.max_calls * 2
             + settings.max_messages.min(MAX_QUEUED_MESSAGES)
             + connection_limit(config, count))
-        .max(MIN_QUEUE);
+        .max(MIN_QUEUED_MESSAGES);
     let owners =
         if taken_over { OwnershipMap::all_on(count, ShardId(0)) } else { OwnershipMap::hashed(count) };
     Ok(Some(ShardGroup::new(owners, quotas, queue)))
 }
 
-/// What each shard but the first is started with.
+/// The inputs of the thread of a shard. The first shard has none.
 pub(super) struct ShardThread {
     pub(super) id: ShardId,
     pub(super) group: Arc<ShardGroup>,
@@ -85,39 +86,43 @@
     pub(super) journal_part: JournalPart,
     pub(super) ejections: Ejections,
     pub(super) gate: watch::Sender<AdmissionGate>,
-    pub(super) waits: Vec<(String, Micros)>,
+    /// Retry-After deadlines that the predecessor received: the endpoint name and when the deadline ends.
+    pub(super) retry_after_deadlines: Vec<(String, Micros)>,
     pub(super) clock_set_back: bool,
-    /// Its requests are counted from this number.
+    /// The number that its requests are counted from.
     pub(super) requests: u64,
     pub(super) class_idempotency: Arc<ClassIdempotency>,
 }
 
 impl ShardThread {
-    /// Runs the shard on a thread of its own. One that fails ends the process: its messages are in the journal.
+    /// Runs the shard on a thread of its own. A failed shard ends the process; no message is lost, since all are in the
+    /// journal.
     ///
     /// # Errors
-    /// Fails when there is no thread to be had.
+    /// Fails when the thread can't be started.
     pub(super) fn start(self) -> Result<(), String> {
         let name = format!("core-{}", self.id.0);
         let thread = std::thread::Builder::new().name(name.clone()).spawn(move || {
-            let ran = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.run()));
-            if let Err(e) = ran.unwrap_or_else(|_| Err("failed, as it said above".to_owned())) {
-                eprintln!("myrtleyard: {name}: {e}");
+            let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.run()));
+            if let Err(error) =
+                result.unwrap_or_else(|_| Err("the thread panicked, see the message above".to_owned()))
+            {
+                eprintln!("myrtleyard: {name}: {error}");
                 std::process::exit(1);
             }
         });
-        thread.map(drop).map_err(|e| format!("no thread for a core: {e}"))
+        thread.map(drop).map_err(|error| format!("can't start the thread of a core: {error}"))
     }
 
     fn run(self) -> Result<(), String> {
         let runtime =
             stall_detector::observe(tokio::runtime::Builder::new_current_thread().enable_all()).build();
-        let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
+        let runtime = runtime.map_err(|error| format!("runtime: {error}"))?;
         tokio::task::LocalSet::new().block_on(&runtime, async {
             tokio::task::spawn_local(stall_detector::keep_awake());
             let (inbound, mut events) = tokio::sync::mpsc::unbounded_channel();
             let handle = Rc::new(ShardHandle::new(self.id, self.group));
-            let sockets = SocketSides::new(
+            let sockets = Sockets::new(
                 &self.config,
                 self.clock,
                 None,
@@ -138,7 +143,7 @@
                 frontends_started: true,
                 predecessor_state: None,
                 predecessor: None,
-                waits: self.waits,
+                retry_after_deadlines: self.retry_after_deadlines,
                 outcome_counts: None,
                 clock_set_back: self.clock_set_back,
                 snapshot_store: None,
--- a/crates/sender/src/process/sockets.rs
+++ b/crates/sender/src/process/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a process, or of one shard of it: connections of clients and to endpoints, and how many there may be.
+//! The sockets of a process or of one of its shards: clients' connections, connections to endpoints, and their limits.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -17,26 +17,26 @@
 use crate::ports::{Clock, Frontend, Inbound, Transport};
 use crate::shards::{ShardHandle, ShardMessage};
 
-/// Descriptors that are neither clients' nor endpoints'.
+/// File descriptors that are used neither for clients nor for endpoints.
 const OWN_SOCKETS: usize = 32;
-/// Descriptors of each shard: its runtime's, and its connection to the platform.
+/// File descriptors of each shard: its runtime and its connection to the platform.
 const SHARD_SOCKETS: usize = 8;
-/// While two processes run, each has this part of the connections to clients and endpoints: with what the old one still has
-/// in flight, both stay within the descriptors of one.
-pub(super) const SHARE_DURING_HANDOVER: usize = 3;
+/// While two processes run, each divides its limits of connections to clients and endpoints by this. With what the
+/// predecessor still has in flight, both together stay within the file descriptors of one process.
+pub(super) const HANDOVER_DIVISOR: usize = 3;
 
-/// Both sides of a process, or of one shard, for as long as it runs.
-pub(super) struct SocketSides {
+/// The frontend and the transport of a process or of one shard.
+pub(super) struct Sockets {
     pub(super) clock: Clock,
     pub(super) frontend: Rc<HttpFrontend>,
     pub(super) transport: HttpTransport,
     pub(super) gate: watch::Sender<AdmissionGate>,
-    /// The most connections of either side.
+    /// The limit of connections, of the frontend and of the transport each.
     pub(super) max_connections: usize,
 }
 
-impl SocketSides {
-    /// Those of one shard of the handle's group, or of the whole process.
+impl Sockets {
+    /// Creates the sockets of one shard of the handle's group, or of the whole process if there is no handle.
     pub(super) fn new(
         config: &Config,
         clock: Clock,
@@ -70,24 +70,27 @@
     }
 }
 
-/// The most connections of clients, and as many to endpoints, of all shards together.
+/// Returns the limit of clients' connections of all shards together. The same limit applies to connections to
+/// endpoints.
 pub(super) fn connection_limit(config: &Config, shards: usize) -> usize {
-    let own = OWN_SOCKETS + config.ops.map_or(0, |_| http::admin::MAX_ADMIN_CONNECTIONS + 1);
-    let own = own + if shards > 1 { shards * SHARD_SOCKETS } else { 0 };
-    (config.sockets.saturating_sub(own) / 2).max(1)
+    let reserved = OWN_SOCKETS + config.ops.map_or(0, |_| http::admin::MAX_ADMIN_CONNECTIONS + 1);
+    let reserved = reserved + if shards > 1 { shards * SHARD_SOCKETS } else { 0 };
+    (config.sockets.saturating_sub(reserved) / 2).max(1)
 }
 
-/// Follows the predecessor's messages, and keeps to a part of the descriptors until it is gone.
+/// Follows the predecessor's messages, and limits this process to its share of the file descriptors until the
+/// predecessor has exited.
 pub(super) fn follow_predecessor(
-    sides: &SocketSides,
+    sockets: &Sockets,
     config: &Config,
     link: HandoverLink,
     in_flight: Vec<(MessageId, u16, EndpointId)>,
     inbound: &UnboundedSender<Inbound>,
     shard: Option<Rc<ShardHandle>>,
 ) -> Rc<Predecessor> {
-    let (frontend, transport, all) = (sides.frontend.clone(), sides.transport.clone(), sides.max_connections);
-    let share = (all / SHARE_DURING_HANDOVER).max(1);
+    let (frontend, transport, max_connections) =
+        (sockets.frontend.clone(), sockets.transport.clone(), sockets.max_connections);
+    let share = (max_connections / HANDOVER_DIVISOR).max(1);
     frontend.limit_connections(share);
     let group = shard.as_ref().map(|shard| shard.group().clone());
     let limit_others = move |limit| {
@@ -96,18 +99,18 @@
         others.for_each(|other| shard.send(other, ShardMessage::MaxConnections(limit)));
         true
     };
-    // Several shards lease their connections, of fewer than there will be.
+    // With several shards the limit is in the lease pool, which was created with the lower limit.
     if !limit_others(share) {
         transport.limit_connections(share);
     }
-    let of_all_shards = connection_limit(config, group.as_ref().map_or(1, |group| group.count()));
+    let total_limit = connection_limit(config, group.as_ref().map_or(1, |group| group.count()));
     let names = config.names.classes.clone();
     let class = move |name: &str| names.iter().position(|class| class == name);
-    Predecessor::follow(link, in_flight, sides.clock, class, inbound.clone(), move || {
-        frontend.limit_connections(all);
-        match group.filter(|_| limit_others(all)) {
-            Some(group) => group.quotas().connections.grow(of_all_shards),
-            None => transport.limit_connections(all),
+    Predecessor::follow(link, in_flight, sockets.clock, class, inbound.clone(), move || {
+        frontend.limit_connections(max_connections);
+        match group.filter(|_| limit_others(max_connections)) {
+            Some(group) => group.quotas().connections.grow(total_limit),
+            None => transport.limit_connections(max_connections),
         }
     })
 }
