--- a/crates/sender/src/shards/group.rs
+++ b/crates/sender/src/shards/group.rs
@@ -1,4 +1,4 @@
-//! What all shards of a sender share: who owns which destination, what belongs to the whole process, and
+//! The state that all shards of a sender share: the ownership map, mailboxes, capacity of the whole process, and
 //! published figures.
 
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 
 use super::mailbox::Mailbox;
 
-/// What belongs to the whole process, leased to shards.
+/// Capacity of the whole process, which is leased to shards.
 #[derive(Debug)]
 pub struct ShardQuotas {
     /// Calls in flight.
@@ -25,153 +25,157 @@
 /// The published figures of a shard.
 #[derive(Debug, Clone, Default)]
 pub struct Figures {
-    /// Final outcomes there.
-    pub ends: Option<OutcomeCounts>,
-    /// Its gauges; of endpoints out of rotation those whose breakers are open.
-    pub now: Gauges,
+    /// Final outcomes of messages, once the shard has published any.
+    pub outcome_counts: Option<OutcomeCounts>,
+    /// The gauges. As endpoints out of rotation they count those whose breakers are open.
+    pub gauges: Gauges,
     /// Calls in flight.
-    pub out: usize,
-    /// Destinations attached, and detached.
-    pub moves: (u64, u64),
+    pub calls_in_flight: usize,
+    /// Number of destinations that migrated to this shard, and of those that migrated away.
+    pub migrations: (u64, u64),
 }
 
-/// What all shards share.
+/// The state that all shards share.
 pub struct ShardGroup {
     owners: ArcSwap<OwnershipMap>,
     mailboxes: Vec<Mailbox>,
-    room: Mutex<ShardQuotas>,
+    quotas: Mutex<ShardQuotas>,
     figures: Vec<Mutex<Figures>>,
-    /// Events by destination since the planner last asked.
+    /// Events by destination since the planner last read them, for each shard.
     work: Vec<Mutex<HashMap<u16, u32>>>,
-    /// Clients' connections of each shard, with those that are on their way to it.
+    /// Number of clients' connections of each shard, including those that are being sent to it.
     clients: Vec<AtomicUsize>,
-    /// Which shard has nothing left to do.
+    /// Whether each shard has nothing left to do and may end.
     done: Vec<AtomicBool>,
-    moves: AtomicU64,
-    failed: AtomicU64,
+    /// Migrations that happened, and those that did not.
+    migrations: AtomicU64,
+    failed_migrations: AtomicU64,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex, also after a panic of another shard.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ShardGroup {
-    /// As many shards as the map has, with mailboxes of so many messages.
-    pub fn new(owners: OwnershipMap, room: ShardQuotas, queue: usize) -> Arc<Self> {
+    /// Creates the state for the shards of this map. `queue` is the capacity of each mailbox, in messages.
+    pub fn new(owners: OwnershipMap, quotas: ShardQuotas, queue: usize) -> Arc<Self> {
         let count = owners.shards();
         Arc::new(Self {
             owners: ArcSwap::from_pointee(owners),
             mailboxes: (0..count).map(|_| Mailbox::new(queue)).collect(),
-            room: Mutex::new(room),
+            quotas: Mutex::new(quotas),
             figures: (0..count).map(|_| Mutex::default()).collect(),
             work: (0..count).map(|_| Mutex::default()).collect(),
             clients: (0..count).map(|_| AtomicUsize::new(0)).collect(),
             done: (0..count).map(|_| AtomicBool::new(false)).collect(),
-            moves: AtomicU64::new(0),
-            failed: AtomicU64::new(0),
+            migrations: AtomicU64::new(0),
+            failed_migrations: AtomicU64::new(0),
         })
     }
 
-    /// How many shards there are.
+    /// The number of shards.
     pub fn count(&self) -> usize {
         self.mailboxes.len()
     }
 
-    /// All of them.
+    /// The ids of all shards.
     pub fn all(&self) -> impl Iterator<Item = ShardId> + use<> {
         (0..self.count() as u8).map(ShardId)
     }
 
-    /// The ownership map, as one version.
+    /// The current version of the ownership map.
     pub fn owners(&self) -> Arc<OwnershipMap> {
         self.owners.load_full()
     }
 
-    /// A destination's owner.
+    /// The shard that owns a destination.
     pub fn owner(&self, destination: u16) -> ShardId {
         self.owners.load().owner(destination)
     }
 
-    /// Records that a destination's owner has sent it to another shard: to be called after that, and by the
-    /// owner alone.
+    /// Records that a destination has migrated. Must be called by its former owner only, after that one has sent the
+    /// destination to the new owner.
     pub fn migrated(&self, destination: u16, to: ShardId) {
         self.owners.rcu(|owners| owners.with(destination, to));
-        self.moves.fetch_add(1, Ordering::Relaxed);
+        self.migrations.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Records that all that a shard owned is the first's: to be called after its migrations, and by the
-    /// shard alone.
-    pub fn gathered(&self, core: ShardId) {
-        self.owners.rcu(|owners| owners.with_drained(core));
+    /// Records that the first shard owns all destinations of this one from now on. Must be called by this shard only,
+    /// after its migrations.
+    pub fn gathered(&self, shard: ShardId) {
+        self.owners.rcu(|owners| owners.with_drained(shard));
     }
 
-    /// Clients' connections of all shards but one.
-    pub fn clients_of_others(&self, core: ShardId) -> usize {
-        let others = self.clients.iter().enumerate().filter(|(other, _)| *other != core.index());
+    /// The number of clients' connections of all shards but this one.
+    pub fn clients_of_others(&self, shard: ShardId) -> usize {
+        let others = self.clients.iter().enumerate().filter(|(index, _)| *index != shard.index());
         others.map(|(_, clients)| clients.load(Ordering::Relaxed)).sum()
     }
 
     /// Counts a migration that did not happen.
     pub fn migration_failed(&self) {
-        self.failed.fetch_add(1, Ordering::Relaxed);
+        self.failed_migrations.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Migrations that happened, and those that did not.
+    /// Returns how many migrations happened, and how many did not.
     pub fn migration_counts(&self) -> (u64, u64) {
-        (self.moves.load(Ordering::Relaxed), self.failed.load(Ordering::Relaxed))
+        (self.migrations.load(Ordering::Relaxed), self.failed_migrations.load(Ordering::Relaxed))
     }
 
     /// A shard's mailbox.
-    pub fn mailbox(&self, core: ShardId) -> &Mailbox {
-        &self.mailboxes[core.index()]
+    pub fn mailbox(&self, shard: ShardId) -> &Mailbox {
+        &self.mailboxes[shard.index()]
     }
 
-    /// What belongs to the whole process. Locked for arithmetic alone, never over I/O.
+    /// Locks the capacity of the whole process. The lock must be held for arithmetic only, never during I/O.
     pub fn quotas(&self) -> MutexGuard<'_, ShardQuotas> {
-        lock(&self.room)
+        lock(&self.quotas)
     }
 
     /// Publishes a shard's figures.
-    pub fn show(&self, core: ShardId, figures: Figures) {
-        *lock(&self.figures[core.index()]) = figures;
+    pub fn publish_figures(&self, shard: ShardId, figures: Figures) {
+        *lock(&self.figures[shard.index()]) = figures;
     }
 
-    /// The figures that each shard published last.
+    /// Returns the last published figures of each shard.
     pub fn figures(&self) -> Vec<Figures> {
         self.figures.iter().map(|figures| lock(figures).clone()).collect()
     }
 
-    /// Counts a shard's events of each of these destinations.
-    pub fn worked(&self, core: ShardId, work: impl Iterator<Item = (u16, u32)>) {
-        let mut of = lock(&self.work[core.index()]);
-        work.for_each(|(destination, events)| *of.entry(destination).or_default() += events);
+    /// Adds a shard's numbers of events by destination, for the planner.
+    pub fn add_work(&self, shard: ShardId, work: impl Iterator<Item = (u16, u32)>) {
+        let mut total = lock(&self.work[shard.index()]);
+        work.for_each(|(destination, events)| *total.entry(destination).or_default() += events);
     }
 
-    /// All events since this was last asked, by destination.
+    /// Returns the events of all shards by destination since the last call.
     pub fn take_work(&self) -> HashMap<u16, u32> {
-        let mut all = HashMap::new();
-        for of in &self.work {
-            lock(of).drain().for_each(|(destination, events)| *all.entry(destination).or_default() += events);
+        let mut total = HashMap::new();
+        for work in &self.work {
+            lock(work)
+                .drain()
+                .for_each(|(destination, events)| *total.entry(destination).or_default() += events);
         }
-        all
+        total
     }
 
-    /// Picks the shard with the fewest clients for one more.
+    /// Assigns a new client to the shard with the fewest clients.
     pub fn deal(&self) -> ShardId {
-        let fewest = self.all().min_by_key(|core| self.clients[core.index()].load(Ordering::Relaxed));
+        let fewest = self.all().min_by_key(|shard| self.clients[shard.index()].load(Ordering::Relaxed));
         let fewest = fewest.unwrap_or(ShardId(0));
         self.clients[fewest.index()].fetch_add(1, Ordering::Relaxed);
         fewest
     }
 
-    /// A client of a shard is gone, or never arrived there.
-    pub fn client_gone(&self, core: ShardId) {
-        self.clients[core.index()].fetch_sub(1, Ordering::Relaxed);
+    /// Records that a client of a shard has disconnected, or could not be sent to it.
+    pub fn client_gone(&self, shard: ShardId) {
+        self.clients[shard.index()].fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Records whether a shard has nothing left to do; returns whether none has.
-    pub fn done(&self, core: ShardId, done: bool) -> bool {
-        self.done[core.index()].store(done, Ordering::Release);
+    /// Records whether a shard has nothing left to do. Returns whether this is true of all shards.
+    pub fn set_done(&self, shard: ShardId, done: bool) -> bool {
+        self.done[shard.index()].store(done, Ordering::Release);
         self.done.iter().all(|done| done.load(Ordering::Acquire))
     }
 }
--- a/crates/sender/src/shards/mailbox.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -1,4 +1,4 @@
-//! What shards send one another, and the bounded mailboxes for it.
+//! Messages between shards, and the bounded mailboxes that carry them.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,29 +17,29 @@
 use crate::discovery::endpoint_list::EndpointUpdate;
 use crate::ports::{AttemptCompleted, Submission};
 
-/// A destination that migrates to another shard, with all its state.
+/// All state of a destination that migrates to another shard.
 #[derive(Debug)]
 pub struct MigratedDestination {
     /// The decision module's state.
     pub state: MigratedState,
-    /// The endpoints that it refers to, by the names that all shards know.
+    /// Names of the endpoints that the state refers to. Endpoint ids differ between shards, names do not.
     pub names: BTreeMap<EndpointId, Arc<str>>,
-    /// Its messages as the journal has them.
+    /// The pending messages by number, as the journal has them.
     pub messages: Vec<(u32, PendingMessage)>,
-    /// Their ids, numbers, and the requests that they came with.
+    /// For each message its `Req-Id`, its number, and the number of the request that submitted it.
     pub requests: Vec<(String, u32, u64)>,
-    /// Attempts started for each.
+    /// How many attempts of each message were started.
     pub attempts: Vec<(u32, u16)>,
-    /// Which shard has the connection of each attempt in flight.
+    /// The shard that has the connection of each attempt in flight.
     pub connections: Vec<ForeignAttempt>,
 }
 
-/// What one shard sends to another.
+/// A message from one shard to another.
 #[derive(Debug)]
 pub enum ShardMessage {
-    /// A client submitted a message to that shard's frontend.
+    /// A client submitted a message to the sending shard's frontend.
     Submitted(Submission),
-    /// A client closed before its request was answered.
+    /// A client closed its connection before its request was answered.
     Withdrawn {
         /// The message's `Req-Id`.
         id: String,
@@ -48,48 +48,48 @@
         /// Its destination.
         destination: u16,
     },
-    /// An attempt completed on that shard's connection.
+    /// An attempt completed on a connection of the sending shard.
     AttemptCompleted {
-        /// The destination, whose owner has to know.
+        /// The destination, whose owner handles the message.
         destination: u16,
-        /// The endpoint's name; its id differs between shards.
+        /// The endpoint's name. Its id differs between shards.
         name: Arc<str>,
-        /// How it ended.
+        /// The result of the attempt.
         attempt: AttemptCompleted,
     },
-    /// An endpoint sent that shard a Retry-After.
+    /// The sending shard received a Retry-After.
     RetryAfter {
-        /// The destination, whose owner has to know.
+        /// The destination, whose owner handles the message.
         destination: u16,
         /// The endpoint's name.
         name: Arc<str>,
-        /// How long it binds.
+        /// How long it applies.
         wait: Micros,
     },
-    /// A destination is this shard's from now on.
+    /// The receiving shard owns this destination from now on.
     Migrate(Box<MigratedDestination>),
-    /// A destination is to migrate to another shard.
+    /// The receiving shard is to migrate a destination to another shard.
     MigrateTo {
-        /// Which.
+        /// The destination.
         destination: u16,
-        /// Where to.
+        /// The shard to migrate it to.
         to: ShardId,
     },
-    /// All that this shard has is to migrate to the first.
+    /// The receiving shard is to migrate all its destinations to the first.
     Gather,
-    /// The most connections of clients from now on.
+    /// The new limit of clients' connections.
     MaxConnections(usize),
-    /// An attempt on this shard's connection is to be cancelled.
+    /// An attempt on a connection of the receiving shard is to be cancelled.
     Cancel(MessageId, u16),
-    /// Discovery sent a list, or changes of it.
+    /// Discovery sent an endpoint list or changes of it.
     EndpointsUpdated(EndpointUpdate),
     /// Discovery failed.
     DiscoveryFailed,
-    /// The ejected endpoints, from when it is answered.
+    /// The ejected endpoints. The receiving shard answers once it has applied them.
     Ejections(Ejections, oneshot::Sender<()>),
-    /// A client's connection.
+    /// A client's connection, which the receiving shard serves.
     Client(std::net::TcpStream),
-    /// Discovery's address from now on.
+    /// Discovery's new address.
     Discovery(std::net::SocketAddr),
     /// The status is to be logged.
     Status,
@@ -97,21 +97,23 @@
     Terminate,
 }
 
-/// The messages for one shard from the others.
+/// The bounded queue of messages from other shards to one shard.
 pub struct Mailbox {
     queue: ArrayQueue<ShardMessage>,
-    /// The shard was notified of what is in the queue, and has not drained it yet.
+    /// Whether the shard was notified of the messages in the queue and has not drained it yet.
     notified: AtomicBool,
     wake: Notify,
+    /// How often the shard was notified.
     notifications: AtomicU64,
+    /// How many messages were put into the queue.
     sent: AtomicU64,
 }
 
 impl Mailbox {
-    /// A mailbox with capacity for so many messages.
-    pub fn new(room: usize) -> Self {
+    /// Creates a mailbox with this capacity, in messages.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            queue: ArrayQueue::new(room.max(8)),
+            queue: ArrayQueue::new(capacity.max(8)),
             notified: AtomicBool::new(false),
             wake: Notify::new(),
             notifications: AtomicU64::new(0),
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Notifies its shard, once for all that arrives until it drains the mailbox.
+    /// Wakes its shard. Until the shard drains the mailbox, further calls have no effect.
     pub fn wake(&self) {
         if !self.notified.swap(true, Ordering::AcqRel) {
             self.notifications.fetch_add(1, Ordering::Relaxed);
@@ -127,101 +129,105 @@
         }
     }
 
-    /// Waits until something arrives.
+    /// Waits until its shard is woken.
     pub async fn notified(&self) {
         self.wake.notified().await;
     }
 
-    /// Takes all messages.
+    /// Removes and returns all messages.
     pub fn drain(&self) -> Vec<ShardMessage> {
-        // Before it drains: what arrives from now on notifies it again.
+        // Cleared before draining: a message that arrives from now on wakes the shard again.
         self.notified.store(false, Ordering::Release);
-        let most = self.queue.len();
-        (0..most).map_while(|_| self.queue.pop()).collect()
+        let count = self.queue.len();
+        (0..count).map_while(|_| self.queue.pop()).collect()
     }
 
-    /// How many messages were sent to it, and how often it was notified.
+    /// Returns how many messages were sent to it, and how often its shard was woken.
     pub fn figures(&self) -> (u64, u64) {
         (self.sent.load(Ordering::Relaxed), self.notifications.load(Ordering::Relaxed))
     }
 
-    fn push(&self, say: ShardMessage) -> Result<(), ShardMessage> {
-        self.queue.push(say)?;
+    fn push(&self, message: ShardMessage) -> Result<(), ShardMessage> {
+        self.queue.push(message)?;
         self.sent.fetch_add(1, Ordering::Relaxed);
         self.wake();
         Ok(())
     }
 }
 
-/// One shard's way to the others. Messages to one of them arrive in order.
+/// A shard's handle for sending messages to other shards. Messages to the same shard arrive in order.
 pub struct ShardHandle {
-    me: ShardId,
-    team: Arc<ShardGroup>,
-    /// What a full mailbox had no capacity for and must arrive: bounded by what is in flight, open or listed.
-    /// Sent in order, so that whatever follows waits here too.
+    id: ShardId,
+    group: Arc<ShardGroup>,
+    /// Messages that must arrive and found the mailbox full, by receiving shard. Their number is bounded by calls in
+    /// flight, open connections and list entries. Later messages to the same shard wait here too, to keep the order.
     outbox: RefCell<Vec<VecDeque<ShardMessage>>>,
 }
 
 impl ShardHandle {
-    /// A handle that has sent nothing yet.
-    pub fn new(me: ShardId, team: Arc<ShardGroup>) -> Self {
-        let outbox = (0..team.count()).map(|_| VecDeque::new()).collect();
-        Self { me, team, outbox: RefCell::new(outbox) }
+    /// Creates a handle.
+    pub fn new(id: ShardId, group: Arc<ShardGroup>) -> Self {
+        let outbox = (0..group.count()).map(|_| VecDeque::new()).collect();
+        Self { id, group, outbox: RefCell::new(outbox) }
     }
 
-    /// The shard that it belongs to.
+    /// The id of the shard that the handle belongs to.
     pub fn id(&self) -> ShardId {
-        self.me
+        self.id
     }
 
-    /// What all shards share.
+    /// The state that all shards share.
     pub fn group(&self) -> &Arc<ShardGroup> {
-        &self.team
+        &self.group
     }
 
-    /// Sends what must arrive.
-    pub fn send(&self, to: ShardId, say: ShardMessage) {
+    /// Sends a message that must arrive. It waits here if the mailbox is full.
+    pub fn send(&self, to: ShardId, message: ShardMessage) {
         let mut outbox = self.outbox.borrow_mut();
-        let waiting = &mut outbox[to.index()];
-        match if waiting.is_empty() { self.team.mailbox(to).push(say) } else { Err(say) } {
+        let queue = &mut outbox[to.index()];
+        match if queue.is_empty() { self.group.mailbox(to).push(message) } else { Err(message) } {
             Ok(()) => {}
-            Err(say) => waiting.push_back(say),
+            Err(message) => queue.push_back(message),
         }
     }
 
-    /// Sends what may be rejected. Guards the mailbox of a shard that stalls or is slow against all that
-    /// others would put there: half of it is for what must arrive.
+    /// Sends a message that may be rejected. Such messages use at most half of a mailbox, so that a shard that stalls
+    /// or is slow keeps the other half free for messages that must arrive.
     ///
     /// # Errors
-    /// Returns the message where the mailbox is full.
-    pub fn try_send(&self, to: ShardId, say: ShardMessage) -> Result<(), ShardMessage> {
-        let mailbox = self.team.mailbox(to);
-        let busy = mailbox.queue.len() * 2 >= mailbox.queue.capacity();
-        if busy || !self.outbox.borrow()[to.index()].is_empty() {
-            return Err(say);
+    /// Returns the message if that half is full or other messages wait for the mailbox already.
+    pub fn try_send(&self, to: ShardId, message: ShardMessage) -> Result<(), ShardMessage> {
+        let mailbox = self.group.mailbox(to);
+        let half_full = mailbox.queue.len() * 2 >= mailbox.queue.capacity();
+        if half_full || !self.outbox.borrow()[to.index()].is_empty() {
+            return Err(message);
         }
-        mailbox.push(say)
+        mailbox.push(message)
     }
 
-    /// Sends what must arrive at once or not at all.
+    /// Sends a message now or not at all.
     ///
     /// # Errors
-    /// Returns the message where the mailbox is full, or something waits already.
-    pub fn send_now(&self, to: ShardId, say: ShardMessage) -> Result<(), ShardMessage> {
-        if self.outbox.borrow()[to.index()].is_empty() { self.team.mailbox(to).push(say) } else { Err(say) }
+    /// Returns the message if the mailbox is full or other messages wait for it already.
+    pub fn send_now(&self, to: ShardId, message: ShardMessage) -> Result<(), ShardMessage> {
+        if self.outbox.borrow()[to.index()].is_empty() {
+            self.group.mailbox(to).push(message)
+        } else {
+            Err(message)
+        }
     }
 
-    /// Whether something waits for capacity.
-    pub fn is_behind(&self) -> bool {
+    /// Returns whether messages wait for a full mailbox.
+    pub fn has_unsent(&self) -> bool {
         self.outbox.borrow().iter().any(|waiting| !waiting.is_empty())
     }
 
-    /// Sends what waits, as far as there is capacity.
+    /// Sends waiting messages as far as the mailboxes have capacity.
     pub fn flush(&self) {
-        for (to, waiting) in self.outbox.borrow_mut().iter_mut().enumerate() {
-            while let Some(say) = waiting.pop_front() {
-                if let Err(say) = self.team.mailbox(ShardId(to as u8)).push(say) {
-                    waiting.push_front(say);
+        for (to, queue) in self.outbox.borrow_mut().iter_mut().enumerate() {
+            while let Some(message) = queue.pop_front() {
+                if let Err(message) = self.group.mailbox(ShardId(to as u8)).push(message) {
+                    queue.push_front(message);
                     break;
                 }
             }
--- a/crates/sender/src/shards/remote.rs
+++ b/crates/sender/src/shards/remote.rs
@@ -1,5 +1,4 @@
-//! What other shards still have for a process that has handed over: their clients, and calls on their
-//! connections.
+//! The other shards of a process that has handed over: their clients' connections, and calls on their connections.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -14,52 +13,54 @@
 use super::mailbox::{ShardHandle, ShardMessage};
 use crate::ports::{CallMessage, Frontend, Inbound, Transport, WriteOptions};
 
-/// The other shards, as a frontend and a transport of the first. They own nothing any more: what they receive
-/// they send to the first, as ever.
+/// The other shards as a frontend and a transport of the first one. They own no destination any more, so that they
+/// forward everything they receive to the first shard.
 pub struct RemoteShards {
-    post: Rc<ShardHandle>,
-    outs: RefCell<BTreeMap<(MessageId, u16), (ShardId, EndpointId)>>,
-    /// Endpoints by their names, as the successor was told.
+    handle: Rc<ShardHandle>,
+    outstanding: RefCell<BTreeMap<(MessageId, u16), (ShardId, EndpointId)>>,
+    /// Endpoint ids by name, as in the state that the successor got.
     ids: HashMap<String, EndpointId>,
 }
 
 impl RemoteShards {
-    /// Attempts in flight on connections of other shards.
+    /// Creates the frontend and transport with the attempts that are in flight on connections of other shards.
     pub fn new(
-        post: Rc<ShardHandle>,
-        outs: BTreeMap<(MessageId, u16), (ShardId, EndpointId)>,
+        handle: Rc<ShardHandle>,
+        outstanding: BTreeMap<(MessageId, u16), (ShardId, EndpointId)>,
         ids: &[(String, EndpointId)],
     ) -> Self {
-        Self { post, outs: RefCell::new(outs), ids: ids.iter().cloned().collect() }
+        Self { handle, outstanding: RefCell::new(outstanding), ids: ids.iter().cloned().collect() }
     }
 
-    /// Forwards what the other shards send, until the process ends.
+    /// Forwards messages of the other shards to `inbound` until the process ends.
     pub fn follow(self: Rc<Self>, inbound: UnboundedSender<Inbound>) {
         tokio::task::spawn_local(async move {
-            let mailbox = self.post.group().mailbox(self.post.id());
+            let mailbox = self.handle.group().mailbox(self.handle.id());
             loop {
-                for say in mailbox.drain() {
-                    if let Some(said) = self.heard(say) {
-                        let _ = inbound.send(said);
+                for message in mailbox.drain() {
+                    if let Some(forwarded) = self.forward(message) {
+                        let _ = inbound.send(forwarded);
                     }
                 }
-                self.post.flush();
+                self.handle.flush();
                 mailbox.notified().await;
             }
         });
     }
 
-    fn heard(&self, say: ShardMessage) -> Option<Inbound> {
+    /// Turns a message of another shard into one for the task that drains the connections, if it concerns the
+    /// successor.
+    fn forward(&self, message: ShardMessage) -> Option<Inbound> {
         let id = |name: &str| self.ids.get(name).copied();
-        Some(match say {
+        Some(match message {
             ShardMessage::Submitted(message) => Inbound::Submitted(message),
             ShardMessage::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
             }
             ShardMessage::AttemptCompleted { name, mut attempt, .. } => {
-                let known = self.outs.borrow_mut().remove(&(attempt.message, attempt.attempt));
+                let recorded = self.outstanding.borrow_mut().remove(&(attempt.message, attempt.attempt));
                 attempt.endpoint =
-                    known.map(|known| known.1).or_else(|| id(&name)).unwrap_or(attempt.endpoint);
+                    recorded.map(|recorded| recorded.1).or_else(|| id(&name)).unwrap_or(attempt.endpoint);
                 Inbound::CallCompleted(vec![attempt])
             }
             ShardMessage::RetryAfter { name, wait, .. } => {
@@ -80,16 +81,16 @@
     }
 
     fn open_connections(&self) -> usize {
-        self.post.group().clients_of_others(self.post.id())
+        self.handle.group().clients_of_others(self.handle.id())
     }
 
-    fn set_max_clients(&self, most: usize) {
-        let team = self.post.group();
-        let others = team.all().filter(|core| *core != self.post.id());
-        others.for_each(|core| self.post.send(core, ShardMessage::MaxConnections(most)));
+    fn set_max_clients(&self, limit: usize) {
+        let group = self.handle.group();
+        let others = group.all().filter(|shard| *shard != self.handle.id());
+        others.for_each(|shard| self.handle.send(shard, ShardMessage::MaxConnections(limit)));
     }
 
-    /// It has no connections of its own: the client finds it closed, and comes again.
+    /// Closes the connection: there is none of its own here, and the client connects again.
     fn adopt(self: Rc<Self>, stream: std::net::TcpStream) {
         drop(stream);
     }
@@ -106,12 +107,12 @@
 
     fn forget(&self, _: EndpointId) {}
 
-    /// No address is known here, so that no call starts here.
+    /// Never called: no address is known here, so that no call starts.
     fn start(&self, _: (RouteId, EndpointId), _: Vec<CallMessage>, _: WriteOptions) {}
 
     fn cancel(&self, message: MessageId, attempt: u16) {
-        if let Some((core, _)) = self.outs.borrow().get(&(message, attempt)) {
-            self.post.send(*core, ShardMessage::Cancel(message, attempt));
+        if let Some((shard, _)) = self.outstanding.borrow().get(&(message, attempt)) {
+            self.handle.send(*shard, ShardMessage::Cancel(message, attempt));
         }
     }
 
@@ -120,17 +121,17 @@
     fn close_idle(&self, _: EndpointId) {}
 
     fn messages_written(&self) -> u64 {
-        let figures = self.post.group().figures();
-        let others = figures.iter().enumerate().filter(|(core, _)| *core != self.post.id().index());
-        others.map(|(_, figures)| figures.now.relayed).sum()
+        let figures = self.handle.group().figures();
+        let others = figures.iter().enumerate().filter(|(shard, _)| *shard != self.handle.id().index());
+        others.map(|(_, figures)| figures.gauges.relayed).sum()
     }
 
     fn attempts_in_flight(&self) -> usize {
-        self.outs.borrow().len()
+        self.outstanding.borrow().len()
     }
 
     fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)> {
-        self.outs
+        self.outstanding
             .borrow()
             .iter()
             .map(|((message, attempt), (_, endpoint))| (*message, *attempt, *endpoint))
