--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -466,7 +466,8 @@
     /// Submits the message in a request and waits for its answer. Whatever a client sends that is not a valid message gets
     /// status 400.
     async fn submit(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let received_at = self.clock.now().saturating_sub(stall_detector::behind().as_micros() as Micros);
+        let received_at =
+            self.clock.now().saturating_sub(stall_detector::max_read_delay().as_micros() as Micros);
         let (head, body) = request.into_parts();
         let bad = |reason| reject(StatusCode::BAD_REQUEST, reason);
         // Rejected, so that no second request can be smuggled in the body: if both headers are present, hyper drops
--- a/crates/sender/src/stall_detector.rs
+++ b/crates/sender/src/stall_detector.rs
@@ -79,7 +79,7 @@
 }
 
 /// Returns how long ago data that is read now arrived, at most.
-pub fn behind() -> Duration {
+pub fn max_read_delay() -> Duration {
     READ_TIMES.get().read_delay(Instant::now())
 }
 
