--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -312,7 +312,7 @@
     /// Sends a connection to the shard that has the fewest. Returns it if that is this shard.
     fn assign(&self, stream: TcpStream) -> Option<TcpStream> {
         let Some(shard) = &self.shard else { return Some(stream) };
-        let to = shard.group().deal();
+        let to = shard.group().assign_client();
         if to == shard.id() {
             return Some(stream);
         }
--- a/crates/sender/src/shards/group.rs
+++ b/crates/sender/src/shards/group.rs
@@ -161,7 +161,7 @@
     }
 
     /// Assigns a new client to the shard with the fewest clients.
-    pub fn deal(&self) -> ShardId {
+    pub fn assign_client(&self) -> ShardId {
         let fewest = self.all().min_by_key(|shard| self.clients[shard.index()].load(Ordering::Relaxed));
         let fewest = fewest.unwrap_or(ShardId(0));
         self.clients[fewest.index()].fetch_add(1, Ordering::Relaxed);
