--- a/crates/sender/src/cli/snapshot.rs
+++ b/crates/sender/src/cli/snapshot.rs
@@ -11,7 +11,7 @@
 use operator_config::SnapshotClock;
 
 use crate::cli::journal::{printable, seconds};
-use crate::persistence::snapshot::stamp;
+use crate::persistence::snapshot::current_timestamp;
 use crate::ports::Clock;
 
 /// How long observed limits are restored by default: one hour.
@@ -30,7 +30,10 @@
     let owner = health_snapshot::store::owner(&mut disk).map_err(error)?.unwrap_or_default();
     let snapshot = health_snapshot::store::load(&mut disk, &owner).map_err(error)?;
     let clock = if snapshot.timestamp.boot.is_some() { SnapshotClock::Boot } else { SnapshotClock::Wall };
-    let start = RestoreTime { now: Clock::after(snapshot.timestamp.wall).0.now(), timestamp: stamp(clock) };
+    let start = RestoreTime {
+        now: Clock::after(snapshot.timestamp.wall).0.now(),
+        timestamp: current_timestamp(clock),
+    };
     let restored =
         restore(&snapshot, &start, 0, &Config { span: LIMIT_SPAN, latency_objective: LATENCY_OBJECTIVE });
     Ok((snapshot, restored))
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -70,7 +70,7 @@
 }
 
 /// Returns the current time by the system's clocks.
-pub fn stamp(clock: SnapshotClock) -> Timestamp {
+pub fn current_timestamp(clock: SnapshotClock) -> Timestamp {
     Timestamp { wall: Clock::new().now(), boot: boot(clock) }
 }
 
@@ -109,7 +109,7 @@
     now: Micros,
     index: u64,
 ) -> RestoredState {
-    let start = RestoreTime { now, timestamp: stamp(options.clock) };
+    let start = RestoreTime { now, timestamp: current_timestamp(options.clock) };
     restore::restore(snapshot, &start, index, &options.restore)
 }
 
