--- a/crates/decision/src/call_table.rs
+++ b/crates/decision/src/call_table.rs
@@ -1,4 +1,4 @@
-//! Calls that are out, and the attempts that travel with each. It counts; it decides nothing.
+//! Calls in flight and the attempts that each carries. No decisions are made here.
 
 use std::collections::BTreeMap;
 
@@ -6,47 +6,50 @@
 
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, Outcome, RouteId};
 
-/// A call holds a slot until all its messages have their outcomes.
+/// A call in flight. It holds a slot until all of its messages have their outcomes.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct Call {
     pub route: RouteId,
     pub endpoint: EndpointId,
     pub sent: Micros,
+    /// Messages without an outcome.
     messages: usize,
-    judged: bool,
+    /// The outcome of the call has been counted.
+    #[serde(rename = "judged")]
+    outcome_counted: bool,
 }
 
-/// What the outcome of an attempt is to its call.
+/// What the outcome of an attempt means for its call.
 #[derive(Debug)]
 pub(crate) struct CompletedAttempt {
     /// The call's number.
     pub number: u64,
     /// The call.
     pub call: Call,
-    /// The message's ordered key.
+    /// The message's ordering key, if it is delivered in order.
     pub key: Option<u64>,
-    /// The messages of a call share one fate, which counts once.
+    /// This is the outcome that counts for the call: the messages of a call share one outcome, counted once.
     pub first: bool,
-    /// None of its messages is out any more.
+    /// All messages of the call have their outcomes.
     pub call_completed: bool,
 }
 
-/// A call that is out, and the attempts in it: message, number, ordered key.
+/// A call in flight that migrates, with its attempts: message, attempt number, ordering key.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct MigratedCall {
     pub number: u64,
     pub call: Call,
     pub attempts: Vec<(MessageId, u16, Option<u64>)>,
-    /// It is the first call to a destination that woke.
+    /// It is the first call to a destination that is being activated.
     #[serde(rename = "waking")]
     pub activating: bool,
 }
 
-/// All that are out.
+/// All calls in flight.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct CallTable {
     calls: BTreeMap<u64, Call>,
-    /// Attempts without an outcome, which may outlive their messages: their calls and ordered keys.
+    /// Attempts without an outcome, with their calls and ordering keys. They may outlive their messages.
     attempts: BTreeMap<(MessageId, u16), (u64, Option<u64>)>,
     next: u64,
 }
@@ -56,57 +59,59 @@
         self.calls.len()
     }
 
-    /// The number that the next call gets.
+    /// Returns the number of the next call.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// The next call gets this number, if it would get a smaller one.
+    /// Raises the number of the next call to at least `first`.
     pub fn count_from(&mut self, first: u64) {
         self.next = self.next.max(first);
     }
 
-    /// Takes the calls to a destination out.
+    /// Removes and returns the calls to a destination.
     pub fn detach(&mut self, destination: DestinationId) -> Vec<MigratedCall> {
         let calls: Vec<u64> =
             self.calls.iter().filter(|(_, call)| call.route.0 == destination).map(|(n, _)| *n).collect();
-        let mut moved: BTreeMap<u64, MigratedCall> = BTreeMap::new();
+        let mut migrated: BTreeMap<u64, MigratedCall> = BTreeMap::new();
         for number in calls {
             if let Some(call) = self.calls.remove(&number) {
-                moved.insert(number, MigratedCall { number, call, attempts: Vec::new(), activating: false });
+                migrated
+                    .insert(number, MigratedCall { number, call, attempts: Vec::new(), activating: false });
             }
         }
-        self.attempts.retain(|(message, attempt), (call, key)| match moved.get_mut(call) {
-            Some(moved) => {
-                moved.attempts.push((*message, *attempt, *key));
+        self.attempts.retain(|(message, attempt), (call, key)| match migrated.get_mut(call) {
+            Some(migrated) => {
+                migrated.attempts.push((*message, *attempt, *key));
                 false
             }
             None => true,
         });
-        moved.into_values().collect()
+        migrated.into_values().collect()
     }
 
-    /// Goes on with a call that another module began.
-    pub fn attach(&mut self, moved: MigratedCall) {
-        let MigratedCall { number, call, attempts, .. } = moved;
+    /// Adds a call that another module started.
+    pub fn attach(&mut self, migrated: MigratedCall) {
+        let MigratedCall { number, call, attempts, .. } = migrated;
         self.calls.insert(number, call);
         self.attempts
             .extend(attempts.into_iter().map(|(message, attempt, key)| ((message, attempt), (number, key))));
     }
 
-    /// A call begins.
+    /// Records the start of a call.
     pub fn start(&mut self, route: RouteId, endpoint: EndpointId, now: Micros) {
-        self.calls.insert(self.next, Call { route, endpoint, sent: now, messages: 0, judged: false });
+        self.calls
+            .insert(self.next, Call { route, endpoint, sent: now, messages: 0, outcome_counted: false });
         self.next += 1;
     }
 
-    /// An attempt travels with a call.
+    /// Adds an attempt to a call.
     pub fn add_attempt(&mut self, call: u64, message: MessageId, attempt: u16, key: Option<u64>) {
         self.calls.entry(call).and_modify(|call| call.messages += 1);
         self.attempts.insert((message, attempt), (call, key));
     }
 
-    /// An attempt has its outcome; nothing if it was not out.
+    /// Records the outcome of an attempt; returns `None` if the attempt was not in flight.
     pub fn complete_attempt(
         &mut self,
         message: MessageId,
@@ -116,25 +121,25 @@
         let (number, key) = self.attempts.remove(&(message, attempt))?;
         let call = self.calls.get_mut(&number)?;
         call.messages -= 1;
-        let done = call.messages == 0;
-        // What was not sent tells nothing of its call, unless that is all there is to tell.
-        let first = !call.judged && (done || !matches!(outcome, Outcome::NotSent { .. }));
-        call.judged |= first;
+        let call_completed = call.messages == 0;
+        // A message that was not sent says nothing about its call, unless no other message of it is left.
+        let first = !call.outcome_counted && (call_completed || !matches!(outcome, Outcome::NotSent { .. }));
+        call.outcome_counted |= first;
         let call = *call;
-        if done {
+        if call_completed {
             self.calls.remove(&number);
         }
-        Some(CompletedAttempt { number, call, key, first, call_completed: done })
+        Some(CompletedAttempt { number, call, key, first, call_completed })
     }
 
-    /// Attempts that are out, and where.
+    /// Returns the attempts in flight: message, attempt number, endpoint.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (MessageId, u16, EndpointId)> {
         let endpoint = |call: &u64| self.calls.get(call).map(|call| call.endpoint);
         self.attempts.iter().filter_map(move |(of, (call, _))| Some((of.0, of.1, endpoint(call)?)))
     }
 
-    /// Those of which nothing was heard yet: their routes, and when they were sent.
+    /// Returns the route and the time of sending of each call that has no outcome yet.
     pub fn unanswered(&self) -> impl Iterator<Item = (RouteId, Micros)> {
-        self.calls.values().filter(|call| !call.judged).map(|call| (call.route, call.sent))
+        self.calls.values().filter(|call| !call.outcome_counted).map(|call| (call.route, call.sent))
     }
 }
--- a/crates/decision/src/destination_queues.rs
+++ b/crates/decision/src/destination_queues.rs
@@ -1,5 +1,5 @@
-//! Messages that wait for a call, by destination and in the order in which they may go, and when something falls due
-//! for a destination. It holds and orders; what goes, and where, is not decided here.
+//! Queues of the messages that wait for a call, by destination and in sending order, and the times at which
+//! destinations are to be checked. No decisions are made here.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound::{Excluded, Included, Unbounded};
@@ -8,179 +8,187 @@
 
 use crate::interface::{DestinationId, MessageId, Micros};
 
-/// What is late goes after what is not; then the oldest aim goes first.
+/// Position in the sending order: whether the message is late (late ones go last), its latency objective's
+/// time, its id.
 pub(crate) type QueuePosition = (bool, Micros, MessageId);
 
-/// A message that waits.
+/// A queued message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct QueueEntry {
     pub id: MessageId,
     pub destination: DestinationId,
     pub class: usize,
     pub tenant: usize,
-    /// Until when it is in time.
+    /// The time at which its latency objective is missed.
     #[serde(rename = "aim")]
     pub objective_at: Micros,
-    /// When it must be answered.
+    /// When it must have its final answer.
     pub end: Micros,
-    /// A restart found it untried, and it still is: it is never late.
+    /// Recovered unattempted after a restart and still without an attempt: it never counts as late.
     #[serde(rename = "owed")]
     pub owed_attempt: bool,
 }
 
-/// A class, a tenant, and whether a restart found its messages untried.
+/// Class, tenant, and whether the messages were recovered unattempted.
 type QueueKey = (usize, usize, bool);
 
 impl QueueEntry {
-    fn of(&self) -> QueueKey {
+    /// Returns the key of the message's queue.
+    fn queue_key(&self) -> QueueKey {
         (self.class, self.tenant, self.owed_attempt)
     }
 }
 
-/// The messages of a class and tenant, oldest aim first.
+/// The messages of one queue, earliest latency objective first.
 type Queue = BTreeSet<(Micros, MessageId)>;
 
-/// What waits for one destination.
+/// The queued messages of one destination.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct Cell {
+struct DestinationState {
     queues: BTreeMap<QueueKey, Queue>,
+    /// All queued messages by the time at which they must have their final answer.
     ends: BTreeSet<(Micros, MessageId)>,
+    /// When the destination is to be checked, if nothing changes before.
     due: Option<Micros>,
-    /// Its place among the destinations that may be tried.
+    /// Its position among the ready destinations.
     ready: Option<QueuePosition>,
 }
 
-/// All that waits.
+/// All queued messages.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct DestinationQueues {
     #[serde(rename = "cells")]
-    destinations: HashMap<DestinationId, Cell>,
+    destinations: HashMap<DestinationId, DestinationState>,
+    /// The scheduled checks of destinations, earliest first.
     due: BTreeSet<(Micros, DestinationId)>,
+    /// Destinations with a change since they were last examined.
     touched: BTreeSet<DestinationId>,
+    /// Destinations whose messages may be tried, in sending order of their first messages.
     ready: BTreeSet<(QueuePosition, DestinationId)>,
-    /// How many messages there are; counted anew where another process counted.
+    /// Number of queued messages; recomputed after a hand-over.
     #[serde(skip)]
     count: usize,
 }
 
 impl DestinationQueues {
-    /// A message begins to wait.
-    pub fn insert(&mut self, ticket: &QueueEntry) {
-        let cell = self.destinations.entry(ticket.destination).or_default();
-        cell.queues.entry(ticket.of()).or_default().insert((ticket.objective_at, ticket.id));
-        self.count += usize::from(cell.ends.insert((ticket.end, ticket.id)));
-        self.touched.insert(ticket.destination);
-    }
-
-    /// A message waits no more, if it did.
-    pub fn remove(&mut self, ticket: &QueueEntry) {
-        let Some(cell) = self.destinations.get_mut(&ticket.destination) else { return };
-        if let Some(queue) = cell.queues.get_mut(&ticket.of()) {
-            queue.remove(&(ticket.objective_at, ticket.id));
+    /// Queues a message.
+    pub fn insert(&mut self, entry: &QueueEntry) {
+        let state = self.destinations.entry(entry.destination).or_default();
+        state.queues.entry(entry.queue_key()).or_default().insert((entry.objective_at, entry.id));
+        self.count += usize::from(state.ends.insert((entry.end, entry.id)));
+        self.touched.insert(entry.destination);
+    }
+
+    /// Removes a message, if it is queued.
+    pub fn remove(&mut self, entry: &QueueEntry) {
+        let Some(state) = self.destinations.get_mut(&entry.destination) else { return };
+        if let Some(queue) = state.queues.get_mut(&entry.queue_key()) {
+            queue.remove(&(entry.objective_at, entry.id));
             if queue.is_empty() {
-                cell.queues.remove(&ticket.of());
+                state.queues.remove(&entry.queue_key());
             }
         }
-        self.count -= usize::from(cell.ends.remove(&(ticket.end, ticket.id)));
-        if cell.ends.is_empty() {
-            let (due, ready) = (cell.due, cell.ready);
-            self.destinations.remove(&ticket.destination);
-            due.map(|at| self.due.remove(&(at, ticket.destination)));
-            ready.map(|place| self.ready.remove(&(place, ticket.destination)));
+        self.count -= usize::from(state.ends.remove(&(entry.end, entry.id)));
+        if state.ends.is_empty() {
+            let (due, ready) = (state.due, state.ready);
+            self.destinations.remove(&entry.destination);
+            due.map(|at| self.due.remove(&(at, entry.destination)));
+            ready.map(|position| self.ready.remove(&(position, entry.destination)));
         }
     }
 
-    /// How many wait.
+    /// Returns the number of queued messages.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Counts what another process left.
+    /// Recomputes the number of queued messages after a hand-over.
     pub fn recount(&mut self) {
-        self.count = self.destinations.values().map(|cell| cell.ends.len()).sum();
+        self.count = self.destinations.values().map(|state| state.ends.len()).sum();
     }
 
-    /// How many wait for a destination.
+    /// Returns the number of messages queued for a destination.
     pub fn count(&self, destination: DestinationId) -> usize {
-        self.destinations.get(&destination).map_or(0, |cell| cell.ends.len())
+        self.destinations.get(&destination).map_or(0, |state| state.ends.len())
     }
 
-    /// For how many destinations something waits.
+    /// Returns the number of destinations with queued messages.
     pub fn destinations(&self) -> usize {
         self.destinations.len()
     }
 
-    /// Something happened that may let a destination's messages go.
+    /// Marks a destination as changed in a way that may let its queued messages be sent.
     pub fn touch(&mut self, destination: DestinationId) {
         if self.destinations.contains_key(&destination) {
             self.touched.insert(destination);
         }
     }
 
-    /// The same for all destinations for which something waits.
+    /// Marks all destinations with queued messages as changed.
     pub fn touch_all(&mut self) {
         self.touched.extend(self.destinations.keys());
     }
 
-    /// A destination is to be looked at then, if nothing happens before.
+    /// Schedules a check of a destination at `at`, in place of the one scheduled before.
     pub fn check_at(&mut self, destination: DestinationId, at: Option<Micros>) {
-        let Some(cell) = self.destinations.get_mut(&destination) else { return };
-        if let Some(before) = std::mem::replace(&mut cell.due, at) {
+        let Some(state) = self.destinations.get_mut(&destination) else { return };
+        if let Some(before) = std::mem::replace(&mut state.due, at) {
             self.due.remove(&(before, destination));
         }
         self.due.extend(at.map(|at| (at, destination)));
     }
 
-    /// When the next destination is to be looked at.
+    /// Returns when the next check is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.due.first().map(|due| due.0)
     }
 
-    /// Touches the destinations whose time has come.
+    /// Marks the destinations as changed whose check is due.
     pub fn advance(&mut self, now: Micros) {
         while let Some((at, destination)) = self.due.pop_first() {
             if at > now {
                 self.due.insert((at, destination));
                 return;
             }
-            if let Some(cell) = self.destinations.get_mut(&destination) {
-                cell.due = None;
+            if let Some(state) = self.destinations.get_mut(&destination) {
+                state.due = None;
             }
             self.touched.insert(destination);
         }
     }
 
-    /// Destinations that were touched; they stay so until they are taken.
+    /// Returns the destinations marked as changed, without clearing the marks.
     pub fn touched(&self) -> impl Iterator<Item = DestinationId> + '_ {
         self.touched.iter().copied()
     }
 
-    /// Takes those that were touched.
+    /// Takes the destinations marked as changed, and clears the marks.
     pub fn take_touched(&mut self) -> BTreeSet<DestinationId> {
         std::mem::take(&mut self.touched)
     }
 
-    /// A destination's messages that must be answered before that time.
+    /// Returns a destination's queued messages that must have their final answer before a time.
     pub fn ending(&self, destination: DestinationId, before: Micros) -> impl Iterator<Item = MessageId> + '_ {
-        let cell = self.destinations.get(&destination);
-        cell.into_iter().flat_map(move |cell| cell.ends.range(..(before, MessageId(0)))).map(|end| end.1)
+        let state = self.destinations.get(&destination);
+        state.into_iter().flat_map(move |state| state.ends.range(..(before, MessageId(0)))).map(|end| end.1)
     }
 
-    /// All messages that wait for a destination.
-    pub fn of(&self, destination: DestinationId) -> impl Iterator<Item = MessageId> + '_ {
-        self.destinations.get(&destination).into_iter().flat_map(|cell| &cell.ends).map(|end| end.1)
+    /// Returns all messages queued for a destination.
+    pub fn messages(&self, destination: DestinationId) -> impl Iterator<Item = MessageId> + '_ {
+        self.destinations.get(&destination).into_iter().flat_map(|state| &state.ends).map(|end| end.1)
     }
 
-    /// Each queue of each destination: its messages, oldest aim first.
+    /// Returns each queue of each destination.
     pub fn queues(&self) -> impl Iterator<Item = (DestinationId, &Queue)> {
         self.destinations
             .iter()
-            .flat_map(|(destination, cell)| cell.queues.values().map(|queue| (*destination, queue)))
+            .flat_map(|(destination, state)| state.queues.values().map(|queue| (*destination, queue)))
     }
 
-    /// The destination's message that goes next, after that place. Of a class and tenant, those with an aim before
-    /// what `late_before` tells are late. Guards what was taken on, and a restart found untried, against all that comes
-    /// after it: it goes by its age alone. What comes in meanwhile waits longer for it.
+    /// Returns the position of the destination's next message after `after`. The messages of a class and
+    /// tenant whose objective's time is before `late_before` count as late. Messages recovered unattempted
+    /// after a restart never do: they were accepted before all newer messages and are ordered by age alone.
+    /// Newer messages wait longer because of it.
     pub fn next(
         &self,
         destination: DestinationId,
@@ -189,49 +197,50 @@
     ) -> Option<QueuePosition> {
         let queues = &self.destinations.get(&destination)?.queues;
         let first = |late: bool| {
-            let of = |((class, tenant, owed), queue): (&QueueKey, &Queue)| {
-                let border = (if *owed { 0 } else { late_before(*class, *tenant) }, MessageId(0));
+            let first_in_queue = |((class, tenant, owed_attempt), queue): (&QueueKey, &Queue)| {
+                let first_in_time =
+                    (if *owed_attempt { 0 } else { late_before(*class, *tenant) }, MessageId(0));
                 let from = match after {
-                    Some((phase, aim, id)) if phase == late => Excluded((aim, id)),
+                    Some((is_late, objective_at, id)) if is_late == late => Excluded((objective_at, id)),
                     _ => Unbounded,
                 };
                 let (from, to) = match (late, from) {
-                    (true, from) => (from, Excluded(border)),
-                    (false, Excluded(from)) if from >= border => (Excluded(from), Unbounded),
-                    (false, _) => (Included(border), Unbounded),
+                    (true, from) => (from, Excluded(first_in_time)),
+                    (false, Excluded(from)) if from >= first_in_time => (Excluded(from), Unbounded),
+                    (false, _) => (Included(first_in_time), Unbounded),
                 };
-                // A range that ends before it begins holds nothing.
+                // A range whose end precedes its start is empty; `BTreeSet::range` would panic on it.
                 let empty = matches!((from, to), (Excluded(from), Excluded(to)) if from >= to);
                 if empty { None } else { queue.range((from, to)).next().copied() }
             };
-            queues.iter().filter_map(of).min().map(|(aim, id)| (late, aim, id))
+            queues.iter().filter_map(first_in_queue).min().map(|(objective_at, id)| (late, objective_at, id))
         };
         let in_time = if after.is_some_and(|after| after.0) { None } else { first(false) };
         in_time.or_else(|| first(true))
     }
 
-    /// Puts a destination among those that may be tried, at that place, or takes it out.
-    pub fn set_ready(&mut self, destination: DestinationId, place: Option<QueuePosition>) {
-        let Some(cell) = self.destinations.get_mut(&destination) else { return };
-        if let Some(before) = std::mem::replace(&mut cell.ready, place) {
+    /// Puts a destination at a position among the ready ones, or removes it from them.
+    pub fn set_ready(&mut self, destination: DestinationId, position: Option<QueuePosition>) {
+        let Some(state) = self.destinations.get_mut(&destination) else { return };
+        if let Some(before) = std::mem::replace(&mut state.ready, position) {
             self.ready.remove(&(before, destination));
         }
-        self.ready.extend(place.map(|place| (place, destination)));
+        self.ready.extend(position.map(|position| (position, destination)));
     }
 
-    /// Touches those that may be tried, if they are so many at most.
-    pub fn touch_ready(&mut self, most: usize) {
-        if self.ready.len() <= most {
+    /// Marks all ready destinations as changed, if there are at most `max` of them.
+    pub fn touch_ready(&mut self, max: usize) {
+        if self.ready.len() <= max {
             self.touched.extend(self.ready.iter().map(|ready| ready.1));
         }
     }
 
-    /// A destination's place among those that may be tried.
+    /// Returns a destination's position among the ready ones.
     pub fn ready(&self, destination: DestinationId) -> Option<QueuePosition> {
         self.destinations.get(&destination)?.ready
     }
 
-    /// The destination that is to be tried first.
+    /// Returns the ready destination to try first, with its position.
     pub fn first_ready(&self) -> Option<(QueuePosition, DestinationId)> {
         self.ready.first().copied()
     }
--- a/crates/decision/src/destination_queues/tests.rs
+++ b/crates/decision/src/destination_queues/tests.rs
@@ -1,63 +1,71 @@
 use super::*;
 
-fn ticket(id: u32, class: usize, aim: Micros) -> QueueEntry {
+fn entry(id: u32, class: usize, objective_at: Micros) -> QueueEntry {
     let (id, destination) = (MessageId(id), DestinationId(7));
-    QueueEntry { id, destination, class, tenant: 0, objective_at: aim, end: aim + 10, owed_attempt: false }
+    QueueEntry {
+        id,
+        destination,
+        class,
+        tenant: 0,
+        objective_at,
+        end: objective_at + 10,
+        owed_attempt: false,
+    }
 }
 
-/// Against sorting all of them, for any border between late and in time.
+/// Compares with sorting all messages, for random borders between late and in time.
 #[test]
-fn they_come_in_order_wherever_the_border_lies() {
+fn returns_messages_in_order_for_any_late_border() {
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..500 {
-        let mut waiting = DestinationQueues::default();
+        let mut queues = DestinationQueues::default();
         let count = rng.u32(..12);
-        let any =
-            |id| QueueEntry { owed_attempt: rng.u8(..4) == 0, ..ticket(id, rng.usize(..3), rng.u64(..8)) };
-        let tickets: Vec<_> = (0..count).map(any).collect();
-        tickets.iter().for_each(|ticket| waiting.insert(ticket));
-        let borders = [rng.u64(..9), rng.u64(..9), rng.u64(..9)];
-        let mut sorted: Vec<QueuePosition> = tickets
+        let random_entry =
+            |id| QueueEntry { owed_attempt: rng.u8(..4) == 0, ..entry(id, rng.usize(..3), rng.u64(..8)) };
+        let entries: Vec<_> = (0..count).map(random_entry).collect();
+        entries.iter().for_each(|entry| queues.insert(entry));
+        let late_borders = [rng.u64(..9), rng.u64(..9), rng.u64(..9)];
+        let mut sorted: Vec<QueuePosition> = entries
             .iter()
-            .map(|t| (!t.owed_attempt && t.objective_at < borders[t.class], t.objective_at, t.id))
+            .map(|t| (!t.owed_attempt && t.objective_at < late_borders[t.class], t.objective_at, t.id))
             .collect();
         sorted.sort_unstable();
         let (mut found, mut after) = (vec![], None);
-        while let Some(place) = waiting.next(DestinationId(7), after, |class, _| borders[class]) {
-            found.push(place);
-            after = Some(place);
+        while let Some(position) = queues.next(DestinationId(7), after, |class, _| late_borders[class]) {
+            found.push(position);
+            after = Some(position);
         }
         assert_eq!(found, sorted);
     }
 }
 
 #[test]
-fn nothing_is_left_of_a_destination_for_which_nothing_waits() {
-    let mut waiting = DestinationQueues::default();
-    let (one, two) = (ticket(1, 0, 5), ticket(2, 1, 3));
-    waiting.insert(&one);
-    waiting.insert(&two);
-    assert_eq!(waiting.ending(DestinationId(7), 14).collect::<Vec<_>>(), [two.id]);
-    waiting.check_at(DestinationId(7), Some(9));
-    waiting.check_at(DestinationId(7), Some(8));
-    waiting.set_ready(DestinationId(7), Some((false, 3, two.id)));
-    assert_eq!((waiting.next_due(), waiting.count(DestinationId(7))), (Some(8), 2));
-    waiting.remove(&one);
-    waiting.remove(&two);
-    waiting.remove(&two);
-    waiting.touch(DestinationId(8));
-    assert_eq!((waiting.next_due(), waiting.first_ready(), waiting.destinations()), (None, None, 0));
-    assert_eq!(waiting.take_touched().into_iter().collect::<Vec<_>>(), [DestinationId(7)]);
+fn removing_the_last_message_removes_the_destination() {
+    let mut queues = DestinationQueues::default();
+    let (one, two) = (entry(1, 0, 5), entry(2, 1, 3));
+    queues.insert(&one);
+    queues.insert(&two);
+    assert_eq!(queues.ending(DestinationId(7), 14).collect::<Vec<_>>(), [two.id]);
+    queues.check_at(DestinationId(7), Some(9));
+    queues.check_at(DestinationId(7), Some(8));
+    queues.set_ready(DestinationId(7), Some((false, 3, two.id)));
+    assert_eq!((queues.next_due(), queues.count(DestinationId(7))), (Some(8), 2));
+    queues.remove(&one);
+    queues.remove(&two);
+    queues.remove(&two);
+    queues.touch(DestinationId(8));
+    assert_eq!((queues.next_due(), queues.first_ready(), queues.destinations()), (None, None, 0));
+    assert_eq!(queues.take_touched().into_iter().collect::<Vec<_>>(), [DestinationId(7)]);
 }
 
 #[test]
-fn what_is_due_is_touched_once() {
-    let mut waiting = DestinationQueues::default();
-    waiting.insert(&ticket(1, 0, 5));
-    waiting.take_touched();
-    waiting.check_at(DestinationId(7), Some(8));
-    waiting.advance(7);
-    assert_eq!(waiting.touched().count(), 0);
-    waiting.advance(8);
-    assert_eq!((waiting.touched().count(), waiting.next_due()), (1, None));
+fn marks_a_destination_once_when_its_check_is_due() {
+    let mut queues = DestinationQueues::default();
+    queues.insert(&entry(1, 0, 5));
+    queues.take_touched();
+    queues.check_at(DestinationId(7), Some(8));
+    queues.advance(7);
+    assert_eq!(queues.touched().count(), 0);
+    queues.advance(8);
+    assert_eq!((queues.touched().count(), queues.next_due()), (1, None));
 }
--- a/crates/decision/src/dispatch_round.rs
+++ b/crates/decision/src/dispatch_round.rs
@@ -1,4 +1,4 @@
-//! What happened so far in one tick's sends. It keeps count; what is sent is not decided here.
+//! Bookkeeping of the sends of one iteration. No decisions are made here.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,92 +6,104 @@
 use crate::endpoints::Endpoints;
 use crate::interface::{DestinationId, EndpointId};
 
-/// What came of trying a message.
+/// The result of trying to send a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It is sent.
+    /// The message was sent.
     Sent,
-    /// It can't go now, for a reason of its own; at another endpoint it lacks nothing but a slot, or not.
+    /// The message cannot be sent now for a reason of its own; other messages may be. `slot`: at another
+    /// endpoint it lacks nothing but a slot.
     Skipped { slot: bool },
-    /// All slots are taken.
+    /// All slots of the sender are in use.
     NoSlot,
-    /// The endpoint takes nothing more now, of whatever message.
+    /// The endpoint can receive no message now.
     EndpointClosed,
 }
 
 impl Verdict {
+    /// Returns whether the message lacks nothing but a slot at one of its endpoints.
     pub fn wants_slot(self) -> bool {
         matches!(self, Self::NoSlot | Self::Skipped { slot: true })
     }
 }
 
-/// Calls begun in this tick, by endpoint, with the messages in each: later messages there travel along.
+/// The last call started in this iteration at each endpoint, with the number of messages in it; further
+/// messages for the endpoint may join it.
 #[derive(Debug, Default)]
 pub(crate) struct StartedCalls(BTreeMap<EndpointId, (u64, usize)>);
 
 impl StartedCalls {
-    /// The call that one more message may join.
-    pub fn open(&self, endpoint: EndpointId, bundle: usize) -> Option<u64> {
-        self.0.get(&endpoint).filter(|begun| begun.1 < bundle).map(|begun| begun.0)
+    /// Returns the call at the endpoint that has room for one more message.
+    pub fn joinable(&self, endpoint: EndpointId, max_batch: usize) -> Option<u64> {
+        self.0.get(&endpoint).filter(|last_call| last_call.1 < max_batch).map(|last_call| last_call.0)
     }
 
-    /// A message goes with a call.
+    /// Records that a message is sent with a call.
     pub fn record(&mut self, endpoint: EndpointId, call: u64) {
-        let begun = self.0.entry(endpoint).or_default();
-        *begun = (call, if begun.0 == call { begun.1 + 1 } else { 1 });
+        let last_call = self.0.entry(endpoint).or_default();
+        *last_call = (call, if last_call.0 == call { last_call.1 + 1 } else { 1 });
     }
 
-    /// The first destination a message of which may join a call.
+    /// Returns the first ready destination that has a call with room for one more message.
     pub fn first_joining(
         &self,
         endpoints: &Endpoints,
-        waiting: &DestinationQueues,
+        queues: &DestinationQueues,
     ) -> Option<(QueuePosition, DestinationId)> {
-        let open = self.0.iter().filter_map(|(id, begun)| {
-            endpoints.get(id).filter(|e| begun.1 < e.kind.max_batch).map(|e| e.destination)
+        let joinable = self.0.iter().filter_map(|(id, last_call)| {
+            endpoints.get(id).filter(|e| last_call.1 < e.kind.max_batch).map(|e| e.destination)
         });
-        open.filter_map(|destination| Some((waiting.ready(destination)?, destination))).min()
+        joinable.filter_map(|destination| Some((queues.ready(destination)?, destination))).min()
     }
 }
 
-/// One tick's sends.
+/// The sends of one iteration.
 #[derive(Debug, Default)]
 pub(crate) struct DispatchRound {
     pub started: StartedCalls,
-    /// The message of each destination that was tried last and could not go, though others may.
-    skip: HashMap<DestinationId, QueuePosition>,
+    /// The last message of each destination that was skipped, while others of the destination may be sent.
+    last_skipped: HashMap<DestinationId, QueuePosition>,
+    /// Destinations with a message that could not be sent, and whether one lacked nothing but a slot.
     waiting_for_slot: BTreeMap<DestinationId, bool>,
-    /// What waited for each when this tick's sends began.
+    /// The number of messages queued for a destination when it was first tried in this iteration.
     backlogs: HashMap<DestinationId, f64>,
 }
 
 impl DispatchRound {
+    /// Returns the position of the destination's last skipped message, after which the next one is looked
+    /// for.
     pub fn after(&self, destination: DestinationId) -> Option<QueuePosition> {
-        self.skip.get(&destination).copied()
+        self.last_skipped.get(&destination).copied()
     }
 
-    /// A message could not go; at another endpoint it lacked nothing but a slot, or not.
-    pub fn skipped(&mut self, destination: DestinationId, place: QueuePosition, slot: bool) {
-        self.skip.insert(destination, place);
+    /// Records a skipped message, and whether it lacked nothing but a slot at one of its endpoints.
+    pub fn skipped(&mut self, destination: DestinationId, position: QueuePosition, slot: bool) {
+        self.last_skipped.insert(destination, position);
         self.wants_slot(destination, slot);
     }
 
+    /// Records whether a destination lacked nothing but a slot; once it did, this holds for the iteration.
     pub fn wants_slot(&mut self, destination: DestinationId, slot: bool) {
         *self.waiting_for_slot.entry(destination).or_default() |= slot;
     }
 
-    /// Whether a destination needs nothing but a slot.
+    /// Returns whether a destination lacks nothing but a slot.
     pub fn lacks_slot(&self, destination: DestinationId) -> bool {
-        self.waiting_for_slot.get(&destination).is_some_and(|wants| *wants)
+        self.waiting_for_slot.get(&destination).is_some_and(|wants_slot| *wants_slot)
     }
 
-    pub fn backlog(&mut self, destination: DestinationId, waiting: &DestinationQueues) -> f64 {
-        *self.backlogs.entry(destination).or_insert_with(|| waiting.count(destination) as f64)
+    /// Returns the destination's backlog when it was first tried in this iteration.
+    pub fn backlog(&mut self, destination: DestinationId, queues: &DestinationQueues) -> f64 {
+        *self.backlogs.entry(destination).or_insert_with(|| queues.count(destination) as f64)
     }
 
-    /// Those that were not done with when the slots ran out: they begin with their first message again.
-    pub fn unfinished(self, waiting: &DestinationQueues) -> Vec<DestinationId> {
-        let again = self.skip.into_keys().filter(|destination| waiting.ready(*destination).is_some());
-        again.chain(self.waiting_for_slot.into_iter().filter(|wants| wants.1).map(|wants| wants.0)).collect()
+    /// Returns the destinations that were not finished when the slots ran out, to start again from their
+    /// first message.
+    pub fn unfinished(self, queues: &DestinationQueues) -> Vec<DestinationId> {
+        let skipped =
+            self.last_skipped.into_keys().filter(|destination| queues.ready(*destination).is_some());
+        skipped
+            .chain(self.waiting_for_slot.into_iter().filter(|waiting| waiting.1).map(|waiting| waiting.0))
+            .collect()
     }
 }
--- a/crates/decision/src/message_table.rs
+++ b/crates/decision/src/message_table.rs
@@ -1,4 +1,4 @@
-//! Messages that are held, and when each must be looked at again. It keeps and reminds; it decides nothing.
+//! Pending messages and the times at which they must be examined again. No decisions are made here.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,74 +7,76 @@
 use crate::destination_queues::{DestinationQueues, QueueEntry};
 use crate::interface::{DestinationId, EndpointId, Idempotency, Message, MessageId, Micros};
 
-/// A message that this sender owes a final answer.
+/// An accepted message without a final answer.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct PendingMessage {
     pub message: Message,
     pub deadline: Micros,
-    /// Until when it is in time.
+    /// The time at which its latency objective is missed.
     #[serde(rename = "aim")]
     pub objective_at: Micros,
-    /// When it must be answered.
+    /// When it must have its final answer.
     pub end: Micros,
     pub attempts: u32,
-    /// What repeating it does.
+    /// Whether and how it may be repeated.
     #[serde(default = "strictest")]
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// A restart found it untried.
+    /// Recovered after a restart without an attempt that may have run.
     #[serde(default)]
     #[serde(rename = "untried")]
     unattempted: bool,
     #[serde(rename = "out")]
     pub in_flight: u32,
-    /// Attempts that may have run or are out: number, time of sending, endpoint.
+    /// Attempts that may have run or are in flight: attempt number, time of sending, endpoint.
     pub may_have_run: Vec<(u16, Micros, EndpointId)>,
-    /// For how long after the first of them a repeat would be dropped, if that is so at all.
+    /// For a keyed message, how long after the first of these attempts a repeat may still be sent: until then
+    /// it arrives while its key is remembered, and is dropped as a duplicate.
     pub repeatable_for: Option<Micros>,
-    /// When that is over.
+    /// When that time ends.
     #[serde(rename = "lapses")]
     repeatable_until: Option<Micros>,
 }
 
-/// Of a message that a process handed over that does not tell.
+/// The default for a message from a predecessor whose state lacks the field.
 fn strictest() -> Idempotency {
     Idempotency::NonIdempotent
 }
 
 impl PendingMessage {
-    /// A message that was just handed in.
+    /// Creates a message that was just accepted.
     pub fn new(
         message: Message,
-        (deadline, aim, end): (Micros, Micros, Micros),
-        effect: Idempotency,
-        repeats: Option<Micros>,
+        (deadline, objective, end): (Micros, Micros, Micros),
+        effective_idempotency: Idempotency,
+        repeatable_for: Option<Micros>,
     ) -> Self {
         let may_have_run = Vec::new();
-        let (attempts, untried, out, repeatable_for, lapses) = (0, false, 0, repeats, None);
+        let (attempts, recovered, running, repeatable_for, until) = (0, false, 0, repeatable_for, None);
         Self {
             message,
             deadline,
-            objective_at: aim,
+            objective_at: objective,
             end,
             attempts,
-            idempotency: effect,
-            unattempted: untried,
-            in_flight: out,
+            idempotency: effective_idempotency,
+            unattempted: recovered,
+            in_flight: running,
             may_have_run,
             repeatable_for,
-            repeatable_until: lapses,
+            repeatable_until: until,
         }
     }
 
-    /// Whether it was taken on by an earlier process, and no call was made for it yet.
+    /// Returns whether an earlier process accepted the message and no attempt has been made yet.
     pub fn is_owed_attempt(&self) -> bool {
         self.unattempted && self.attempts == 0
     }
 
+    /// Returns the message's entry in its destination's queues.
     fn queue_entry(&self) -> QueueEntry {
         let Message { id, destination, class, tenant, .. } = self.message;
-        let owed = self.is_owed_attempt();
+        let owed_attempt = self.is_owed_attempt();
         QueueEntry {
             id,
             destination,
@@ -82,27 +84,28 @@
             tenant,
             objective_at: self.objective_at,
             end: self.end,
-            owed_attempt: owed,
+            owed_attempt,
         }
     }
 }
 
-/// All messages that are held.
+/// All pending messages.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct MessageTable {
     #[serde(rename = "held")]
     messages: HashMap<MessageId, PendingMessage>,
-    /// Those that wait for a call.
+    /// The messages that wait for a call.
     #[serde(rename = "waiting")]
     pub queues: DestinationQueues,
-    /// When each must be answered.
+    /// The times at which messages must have their final answer, earliest first.
     ends: BTreeSet<(Micros, MessageId)>,
-    /// Those with attempts that are out or may have run, and when repeats of them would not be dropped any more.
+    /// Messages with attempts that are in flight or may have run.
     #[serde(rename = "tried")]
     attempted: BTreeSet<MessageId>,
+    /// When keyed messages can no longer be repeated safely, earliest first.
     #[serde(rename = "lapses")]
     repeat_deadlines: BTreeSet<(Micros, MessageId)>,
-    /// Those of which what happened may leave nothing to be tried.
+    /// Messages with a change after which there may be no safe attempt left.
     #[serde(rename = "check")]
     unsettled: BTreeSet<MessageId>,
 }
@@ -112,7 +115,7 @@
         self.messages.len()
     }
 
-    /// Those that are held, in no order.
+    /// Returns the ids of all pending messages, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = MessageId> {
         self.messages.keys().copied()
     }
@@ -121,168 +124,171 @@
         self.messages.get(id)
     }
 
-    /// All of them, in no order.
+    /// Returns all pending messages, in no particular order.
     #[cfg(test)]
     pub fn iter(&self) -> impl Iterator<Item = (&MessageId, &PendingMessage)> {
         self.messages.iter()
     }
 
-    /// The classes have these effects from now on: what was taken on under others is bound by both.
-    pub fn bind_idempotency(&mut self, effects: &[Idempotency]) {
-        for held in self.messages.values_mut() {
-            held.idempotency = effects
-                .get(held.message.class)
-                .map_or(Idempotency::NonIdempotent, |of| of.stricter(held.idempotency));
+    /// Applies the idempotency of each class after the settings changed. Messages accepted under the old
+    /// settings are bound by the stricter of the two.
+    pub fn bind_idempotency(&mut self, idempotency: &[Idempotency]) {
+        for pending in self.messages.values_mut() {
+            pending.idempotency = idempotency
+                .get(pending.message.class)
+                .map_or(Idempotency::NonIdempotent, |class| class.stricter(pending.idempotency));
         }
         self.unsettled.extend(&self.attempted);
     }
 
-    /// Holds a message, which waits.
-    pub fn insert(&mut self, held: PendingMessage) {
-        self.ends.insert((held.end, held.message.id));
-        self.queues.insert(&held.queue_entry());
-        self.messages.insert(held.message.id, held);
+    /// Adds a message and queues it.
+    pub fn insert(&mut self, pending: PendingMessage) {
+        self.ends.insert((pending.end, pending.message.id));
+        self.queues.insert(&pending.queue_entry());
+        self.messages.insert(pending.message.id, pending);
     }
 
-    /// The message is over.
+    /// Removes a message.
     pub fn remove(&mut self, id: MessageId) -> Option<PendingMessage> {
-        let held = self.messages.remove(&id)?;
-        self.queues.remove(&held.queue_entry());
-        self.ends.remove(&(held.end, id));
+        let pending = self.messages.remove(&id)?;
+        self.queues.remove(&pending.queue_entry());
+        self.ends.remove(&(pending.end, id));
         self.attempted.remove(&id);
         self.unsettled.remove(&id);
-        if let Some(at) = held.repeatable_until {
+        if let Some(at) = pending.repeatable_until {
             self.repeat_deadlines.remove(&(at, id));
         }
-        Some(held)
+        Some(pending)
     }
 
-    /// Takes out all messages for a destination.
+    /// Removes and returns all messages for a destination.
     pub fn detach(&mut self, destination: DestinationId) -> Vec<PendingMessage> {
         let ids: BTreeSet<MessageId> = self
             .messages
             .values()
-            .filter(|held| held.message.destination == destination)
-            .map(|held| held.message.id)
+            .filter(|pending| pending.message.destination == destination)
+            .map(|pending| pending.message.id)
             .collect();
         ids.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Goes on with a message that another module held, out or not.
-    pub fn attach(&mut self, mut held: PendingMessage) {
-        let id = held.message.id;
-        held.repeatable_until = None;
-        self.ends.insert((held.end, id));
-        if held.in_flight == 0 {
-            self.queues.insert(&held.queue_entry());
+    /// Adds a message from another module, with or without an attempt in flight.
+    pub fn attach(&mut self, mut pending: PendingMessage) {
+        let id = pending.message.id;
+        pending.repeatable_until = None;
+        self.ends.insert((pending.end, id));
+        if pending.in_flight == 0 {
+            self.queues.insert(&pending.queue_entry());
         }
-        self.messages.insert(id, held);
+        self.messages.insert(id, pending);
         self.update_attempts(id);
     }
 
-    /// What an earlier process knew of a message.
+    /// Sets what an earlier process recorded of a message's attempts.
     pub fn recovered(&mut self, id: MessageId, attempts: u32, may_have_run: Vec<(u16, Micros, EndpointId)>) {
-        if let Some(held) = self.messages.get_mut(&id) {
-            self.queues.remove(&held.queue_entry());
-            held.unattempted = attempts == 0 && may_have_run.is_empty();
-            (held.attempts, held.may_have_run) = (attempts, may_have_run);
-            self.queues.insert(&held.queue_entry());
+        if let Some(pending) = self.messages.get_mut(&id) {
+            self.queues.remove(&pending.queue_entry());
+            pending.unattempted = attempts == 0 && may_have_run.is_empty();
+            (pending.attempts, pending.may_have_run) = (attempts, may_have_run);
+            self.queues.insert(&pending.queue_entry());
             self.update_attempts(id);
         }
     }
 
-    /// An attempt begins; tells its number.
+    /// Records the start of an attempt and returns its number.
     pub fn attempt_started(&mut self, id: MessageId, now: Micros, endpoint: EndpointId) -> Option<u16> {
-        let held = self.messages.get_mut(&id)?;
-        let (attempt, ticket) = (held.attempts as u16, held.queue_entry());
-        self.queues.remove(&ticket);
-        held.attempts += 1;
-        held.in_flight += 1;
-        held.may_have_run.push((attempt, now, endpoint));
+        let pending = self.messages.get_mut(&id)?;
+        let (attempt, entry) = (pending.attempts as u16, pending.queue_entry());
+        self.queues.remove(&entry);
+        pending.attempts += 1;
+        pending.in_flight += 1;
+        pending.may_have_run.push((attempt, now, endpoint));
         self.attempted.insert(id);
         Some(attempt)
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt; one that never ran no longer restricts repeats.
     pub fn attempt_completed(&mut self, id: MessageId, attempt: u16, never_ran: bool) {
-        let Some(held) = self.messages.get_mut(&id) else { return };
-        held.in_flight -= 1;
-        held.may_have_run.retain(|a| a.0 != attempt || !never_ran);
-        if held.in_flight == 0 {
-            let ticket = held.queue_entry();
-            self.queues.insert(&ticket);
+        let Some(pending) = self.messages.get_mut(&id) else { return };
+        pending.in_flight -= 1;
+        pending.may_have_run.retain(|other| other.0 != attempt || !never_ran);
+        if pending.in_flight == 0 {
+            let entry = pending.queue_entry();
+            self.queues.insert(&entry);
         }
         self.update_attempts(id);
     }
 
-    /// Keeps up to date what follows from a message's attempts.
+    /// Updates the indexes that depend on a message's attempts.
     fn update_attempts(&mut self, id: MessageId) {
-        let Some(held) = self.messages.get_mut(&id) else { return };
-        let first = held.may_have_run.iter().map(|attempt| attempt.1).min();
-        let lapses = held.repeatable_for.and_then(|span| Some(first?.saturating_add(span)));
-        if let Some(before) = std::mem::replace(&mut held.repeatable_until, lapses) {
+        let Some(pending) = self.messages.get_mut(&id) else { return };
+        let first = pending.may_have_run.iter().map(|attempt| attempt.1).min();
+        let repeatable_until = pending.repeatable_for.and_then(|span| Some(first?.saturating_add(span)));
+        if let Some(before) = std::mem::replace(&mut pending.repeatable_until, repeatable_until) {
             self.repeat_deadlines.remove(&(before, id));
         }
-        self.repeat_deadlines.extend(lapses.map(|at| (at, id)));
+        self.repeat_deadlines.extend(repeatable_until.map(|at| (at, id)));
         if first.is_some() {
             self.attempted.insert(id)
         } else {
             self.attempted.remove(&id)
         };
-        if held.in_flight == 0 {
+        if pending.in_flight == 0 {
             self.unsettled.insert(id);
         }
     }
 
-    /// Whether a message has attempts that are out or may have run.
+    /// Returns whether a message has attempts that are in flight or may have run.
     pub fn was_attempted(&self, id: MessageId) -> bool {
         self.attempted.contains(&id)
     }
 
-    /// Endpoints that such attempts went to.
+    /// Returns the endpoints that such attempts were sent to.
     pub fn endpoints(&self) -> BTreeSet<EndpointId> {
-        let held = self.attempted.iter().filter_map(|id| self.messages.get(id));
-        held.flat_map(|held| &held.may_have_run).map(|attempt| attempt.2).collect()
+        let attempted = self.attempted.iter().filter_map(|id| self.messages.get(id));
+        attempted.flat_map(|pending| &pending.may_have_run).map(|attempt| attempt.2).collect()
     }
 
-    /// The endpoints of a destination changed: what was tried there may have nowhere to go any more.
+    /// Records that a destination's endpoints changed: attempted messages may have no endpoint left for a
+    /// safe repeat.
     pub fn endpoints_changed(&mut self, destination: DestinationId) {
         self.queues.touch(destination);
         if !self.attempted.is_empty() {
-            let of = self.queues.of(destination);
-            self.unsettled.extend(of.filter(|id| self.attempted.contains(id)));
+            let queued = self.queues.messages(destination);
+            self.unsettled.extend(queued.filter(|id| self.attempted.contains(id)));
         }
     }
 
-    /// Any may have changed.
+    /// Records that the endpoints of any destination may have changed.
     pub fn all_endpoints_changed(&mut self) {
         self.queues.touch_all();
         self.unsettled.extend(&self.attempted);
     }
 
-    /// Has what falls due looked at.
+    /// Marks the destinations and messages that have fallen due.
     pub fn advance(&mut self, now: Micros) {
         self.queues.advance(now);
-        while let Some((at, id)) = self.repeat_deadlines.first().copied().filter(|lapse| lapse.0 <= now) {
+        while let Some((at, id)) = self.repeat_deadlines.first().copied().filter(|deadline| deadline.0 <= now)
+        {
             self.repeat_deadlines.remove(&(at, id));
             self.unsettled.insert(id);
         }
     }
 
-    /// Those that must be answered now.
+    /// Returns the messages that must have their final answer by now.
     pub fn expired(&self, now: Micros) -> impl Iterator<Item = MessageId> + '_ {
         self.ends.range(..=(now, MessageId(u32::MAX))).map(|end| end.1)
     }
 
-    /// Those of which what happened may leave nothing to be tried.
+    /// Takes the messages with a change after which there may be no safe attempt left.
     pub fn take_unsettled(&mut self) -> BTreeSet<MessageId> {
         std::mem::take(&mut self.unsettled)
     }
 
-    /// When the next one falls due.
+    /// Returns when the next message or destination falls due.
     pub fn next_due(&self) -> Option<Micros> {
-        let (ends, lapses) =
-            (self.ends.first().map(|end| end.0), self.repeat_deadlines.first().map(|lapse| lapse.0));
-        [ends, lapses, self.queues.next_due()].into_iter().flatten().min()
+        let (ends, repeatable_until) =
+            (self.ends.first().map(|end| end.0), self.repeat_deadlines.first().map(|deadline| deadline.0));
+        [ends, repeatable_until, self.queues.next_due()].into_iter().flatten().min()
     }
 }
--- a/crates/decision/src/ordering.rs
+++ b/crates/decision/src/ordering.rs
@@ -1,4 +1,4 @@
-//! Messages that go one at a time, by their keys.
+//! Ordering lanes: messages with the same ordering key are sent one at a time, in the order of acceptance.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,94 +9,101 @@
 /// Messages of one key, in the order of acceptance.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Lane {
+    /// Messages without a final answer.
     waiting: VecDeque<MessageId>,
+    /// Attempts in flight: message and attempt number.
     #[serde(rename = "out")]
     in_flight: BTreeSet<(MessageId, u16)>,
-    /// The key rests until then after an unclear end of this message's attempt.
+    /// After an attempt of this message ended without a clear outcome, all other messages of the lane
+    /// wait until this time.
     #[serde(rename = "rest")]
     pause: (Micros, Option<MessageId>),
 }
 
-/// All ordered keys.
+/// The lanes of all ordering keys.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct OrderingLanes {
     #[serde(rename = "lines")]
     lanes: BTreeMap<u64, Lane>,
+    /// When pauses end, earliest first.
     #[serde(rename = "rests")]
     pauses: BTreeSet<(Micros, u64)>,
 }
 
 impl OrderingLanes {
-    /// Whether no key has anything waiting, out or resting.
+    /// Returns whether no key has a pending message, an attempt in flight or a pause.
     pub fn is_empty(&self) -> bool {
         self.lanes.is_empty()
     }
 
-    /// A message lines up.
+    /// Appends a message to its lane.
     pub fn push(&mut self, key: u64, id: MessageId) {
         self.lanes.entry(key).or_default().waiting.push_back(id);
     }
 
-    /// Whether it is the message's turn: it is the first, no other's attempt is out, and the key does not rest.
+    /// Returns whether it is the message's turn: it is the first of its lane, no attempt of another message
+    /// is in flight, and the lane is not paused for it.
     pub fn allows(&self, key: u64, id: MessageId, now: Micros) -> bool {
-        let Some(line) = self.lanes.get(&key) else { return true };
-        let resting = now < line.pause.0 && line.pause.1 != Some(id);
-        line.waiting.front() == Some(&id) && !resting && line.in_flight.iter().all(|out| out.0 == id)
+        let Some(lane) = self.lanes.get(&key) else { return true };
+        let paused = now < lane.pause.0 && lane.pause.1 != Some(id);
+        lane.waiting.front() == Some(&id) && !paused && lane.in_flight.iter().all(|attempt| attempt.0 == id)
     }
 
-    /// An attempt begins.
+    /// Records the start of an attempt.
     pub fn attempt_started(&mut self, key: u64, id: MessageId, attempt: u16) {
-        if let Some(line) = self.lanes.get_mut(&key) {
-            line.in_flight.insert((id, attempt));
+        if let Some(lane) = self.lanes.get_mut(&key) {
+            lane.in_flight.insert((id, attempt));
         }
     }
 
-    /// An attempt ended; the key rests until that time, if it is told. Tells whose turn it may be.
+    /// Records the end of an attempt, and pauses the lane until `pause` if given. Returns the message whose
+    /// turn it may be.
     pub fn attempt_completed(
         &mut self,
         key: u64,
         id: MessageId,
         attempt: u16,
-        rest: Option<Micros>,
+        pause: Option<Micros>,
         now: Micros,
     ) -> Option<MessageId> {
-        let line = self.lanes.get_mut(&key)?;
-        line.in_flight.remove(&(id, attempt));
-        if let Some(until) = rest {
-            line.pause = (until, Some(id));
+        let lane = self.lanes.get_mut(&key)?;
+        lane.in_flight.remove(&(id, attempt));
+        if let Some(until) = pause {
+            lane.pause = (until, Some(id));
             self.pauses.insert((until, key));
         }
         self.first(key, now)
     }
 
-    /// The message is over. Tells whose turn it may be.
+    /// Removes a message. Returns the message whose turn it may be.
     pub fn remove(&mut self, key: u64, id: MessageId, now: Micros) -> Option<MessageId> {
         self.lanes.get_mut(&key)?.waiting.retain(|waiting| *waiting != id);
         self.first(key, now)
     }
 
-    /// Whose turn it may be, of the keys that have rested by now.
+    /// Ends the pauses that are over. Returns the messages whose turn it may be.
     pub fn take_resumed(&mut self, now: Micros) -> Vec<MessageId> {
         let mut first = Vec::new();
-        while let Some((at, key)) = self.pauses.first().copied().filter(|rest| rest.0 <= now) {
+        while let Some((at, key)) = self.pauses.first().copied().filter(|pause| pause.0 <= now) {
             self.pauses.remove(&(at, key));
             first.extend(self.first(key, now));
         }
         first
     }
 
-    /// When the next key has rested.
+    /// Returns when the next pause ends.
     pub fn next_due(&self) -> Option<Micros> {
-        self.pauses.first().map(|rest| rest.0)
+        self.pauses.first().map(|pause| pause.0)
     }
 
-    /// The first of a key; a key of which nothing is to be known any more is forgotten.
+    /// Returns the first message of a lane; removes the lane if it is empty, has nothing in flight and is not
+    /// paused.
     fn first(&mut self, key: u64, now: Micros) -> Option<MessageId> {
-        let line = self.lanes.get(&key)?;
-        if line.waiting.is_empty() && line.in_flight.is_empty() && line.pause.0 <= now {
+        let lane = self.lanes.get(&key)?;
+        if lane.waiting.is_empty() && lane.in_flight.is_empty() && lane.pause.0 <= now {
             self.lanes.remove(&key);
             return None;
         }
-        line.waiting.front().copied()
+        lane.waiting.front().copied()
     }
 }
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,6 +1,6 @@
-//! Every decision of a sender. The types, events and actions it works with are in `src/interface.rs`.
-//! A three-state breaker per destination decides the ordinary path of every message. All sends pass
-//! `Policy::dispatch` and `Policy::admit`; all final answers pass `Policy::answer`.
+//! Every decision of a sender. Its types, events and actions are defined in `src/interface.rs`.
+//! In normal operation a three-state circuit breaker per destination decides whether a message is sent.
+//! All sends pass through `Policy::dispatch` and `Policy::admit`, all final answers through `Policy::answer`.
 
 use std::collections::BTreeMap;
 
@@ -27,102 +27,117 @@
 
 pub use state::Policy;
 
-/// What may not be repeated at will keeps its last byte back so long: longer than the way there and back.
+/// Delay before the last byte of a request that is not idempotent is sent. It is longer than a round trip, so
+/// that a connection that the other side has closed is noticed before the request is complete.
 const LAST_BYTE_DELAY: Micros = 5_000;
-/// Share of kept connections lost under a further call, of the latest [`KEPT_SEEN`] or so, from which on what
-/// must not run twice gets new ones. One loss is enough for the next thirty.
+/// Loss rate of reused connections above which a non-idempotent message gets a new connection. The rate is
+/// averaged over about the last [`REUSE_SAMPLES`] reuses; a single loss keeps it above the limit for the next
+/// thirty reuses.
 const REUSE_LOSS_LIMIT: f64 = 0.01;
+/// Number of reused connections that the loss rate is averaged over.
 const REUSE_SAMPLES: f64 = 64.0;
 
-/// Places for connections that come free a second, where a table was full.
+/// Connection slots per second that are assumed to become free at an endpoint whose connection table was
+/// full.
 const SLOTS_FREED_PER_SECOND: f64 = 2.0;
-/// Rest before an endpoint that had no place for a connection; twice as long with each further time.
+/// Backoff from an endpoint that rejected a connection while none of ours was in use there; doubled with each
+/// further rejection.
 const CONNECTION_BACKOFF: Micros = 80_000;
 
-/// From the end of a process until the next one repeats what was out, connection and all.
-const RESTART: Micros = 2_000_000;
+/// Time from the end of a process until the next one repeats the calls that were in flight, including the
+/// time to connect.
+const RESTART_DURATION: Micros = 2_000_000;
 
 impl Policy {
-    /// Guards the memory of a sender that can't forget: what sleeps has to make room first.
+    /// Activates the destination of an accepted message. Rejects the message if that destination is idle and
+    /// the maximum number of destinations is active. This bounds the memory of the sender, which cannot drop
+    /// the state of an active destination: one has to become idle first.
     pub(super) fn message_accepted(&mut self, message: &Message, actions: &mut Vec<Action>) {
         match self.routes.capacity_wait(message.destination, self.now) {
-            Some(again) => self.answer(message.id, again.max(RESET_TIMEOUT), actions),
+            Some(wait) => self.answer(message.id, wait.max(RESET_TIMEOUT), actions),
             None => self.routes.activate(message.destination, &self.endpoints, self.now),
         }
     }
 
-    /// Guards what must not run twice against connections that are closed while they stand idle
-    /// and lost with the next request, whoever closes them. It hurts where handshakes are dear, or
-    /// where new connections are lost as often.
-    pub(super) fn needs_new_connection(&self, effect: Idempotency) -> bool {
-        effect == Idempotency::NonIdempotent && self.reuse_loss_rate > REUSE_LOSS_LIMIT
+    /// Returns whether a message must be sent over a new connection: it is non-idempotent and reused
+    /// connections are lost too often. A connection that either side, or a proxy, closes while it is idle
+    /// is lost with the next request, which then may have run and cannot be repeated. Costs handshakes,
+    /// and gains nothing where new connections are lost as often.
+    pub(super) fn needs_new_connection(&self, idempotency: Idempotency) -> bool {
+        idempotency == Idempotency::NonIdempotent && self.reuse_loss_rate > REUSE_LOSS_LIMIT
     }
 
-    /// Opens the breakers of destinations with several calls out that are silent.
+    /// Opens the breaker of each route on which at least [`MAX_SILENT`] calls in flight are silent, that is,
+    /// past their usual latency with no answer to any call since they were sent.
     pub(super) fn open_silent(&mut self) {
-        let (now, aim) = (self.now, self.settings.shortest_latency_objective());
+        let (now, latency_objective) = (self.now, self.settings.shortest_latency_objective());
         let mut silent: BTreeMap<RouteId, u32> = BTreeMap::new();
         for (id, sent) in self.calls.unanswered() {
-            if self.routes.get(&id).is_some_and(|route| route.is_silent(sent, aim, now)) {
+            if self.routes.get(&id).is_some_and(|route| route.is_silent(sent, latency_objective, now)) {
                 *silent.entry(id).or_default() += 1;
             }
         }
         for (id, count) in silent {
             let Some(route) = self.routes.get_mut(&id) else { continue };
             if route.is_breaker_closed() && count >= MAX_SILENT {
-                route.open_breaker(now, aim);
+                route.open_breaker(now, latency_objective);
                 self.messages.queues.touch(id.0);
             }
         }
     }
 
-    /// Guards an endpoint's table of connections: no more than had places there go at once, and one
-    /// that found none comes again by chance, ever more seldom, unless the other endpoint takes it. It
-    /// costs time where places are free again at once.
-    pub(super) fn connection_rejected(&mut self, id: EndpointId, luck: f64) {
+    /// Records that an endpoint rejected a connection because its connection table is full. From then on no
+    /// more calls than had slots are sent there at once. If none of our calls was in flight there, the
+    /// endpoint is left alone for a random time that doubles with each rejection; another endpoint may take
+    /// the message meanwhile. Costs time where slots are free again at once.
+    pub(super) fn connection_rejected(&mut self, id: EndpointId, jitter: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.connection_slots.record_rejection(endpoint.in_flight, self.now);
         if endpoint.in_flight == 0 {
-            let rest = CONNECTION_BACKOFF << endpoint.connection_rejections.min(4);
-            endpoint.backoff_until = self.now + rest / 2 + (rest as f64 * luck) as Micros;
+            let backoff = CONNECTION_BACKOFF << endpoint.connection_rejections.min(4);
+            endpoint.backoff_until = self.now + backoff / 2 + (backoff as f64 * jitter) as Micros;
             endpoint.connection_rejections += 1;
         }
     }
 
-    /// Guards the rule on effects: whether a further attempt at this endpoint can do no harm.
-    fn repeat_allowed(&self, held: &PendingMessage, endpoint: EndpointId) -> bool {
-        let Some(first) = held.may_have_run.iter().min_by_key(|a| a.1) else { return true };
-        match held.idempotency {
+    /// Returns whether a further attempt at this endpoint is safe: the message cannot take effect twice. A
+    /// keyed message may be repeated where its key is known, and only while the repeat arrives within the
+    /// key's window. Each entry of `may_have_run` is an attempt's number, when it was sent, and its endpoint.
+    fn repeat_allowed(&self, pending: &PendingMessage, endpoint: EndpointId) -> bool {
+        let Some(first) = pending.may_have_run.iter().min_by_key(|attempt| attempt.1) else { return true };
+        match pending.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
-            Idempotency::Keyed { scope: group, window } => {
+            Idempotency::Keyed { scope, window } => {
                 let margin = arrival_margin(&self.settings, window);
                 let zone = |e: EndpointId| self.endpoints.get(&e).map(|e| e.zone);
                 self.now + margin < first.1 + window
-                    && held.may_have_run.iter().all(|a| match group {
+                    && pending.may_have_run.iter().all(|attempt| match scope {
                         IdempotencyScope::All => true,
-                        IdempotencyScope::Zone => zone(a.2) == zone(endpoint),
-                        IdempotencyScope::Endpoint => a.2 == endpoint,
+                        IdempotencyScope::Zone => zone(attempt.2) == zone(endpoint),
+                        IdempotencyScope::Endpoint => attempt.2 == endpoint,
                     })
             }
         }
     }
 }
 
-/// Guards endpoints' tables of connections against the idle ones of many senders: the more there are, the
-/// sooner each connection must be used again to be kept. It costs handshakes where the tables are large.
+/// Returns the initial value of `Policy::idle_connection_limit`. Beyond [`FEW_SENDERS`] it is the shorter the
+/// more senders there are, so that the idle connections of many senders do not fill the endpoints' connection
+/// tables. Costs handshakes where those tables are large.
 fn initial_idle_limit(settings: &Settings) -> Micros {
     let (few, senders) = (FEW_SENDERS as Micros, settings.senders as Micros);
     if senders > few { settings.idle_timeout / senders * few } else { settings.idle_timeout }
 }
 
-/// A repeat must get there, connection and all, while its key is remembered. A connection may take
-/// longer than that: [`way`] bounds when its bytes leave.
+/// Returns the time that a repeat is allowed to take, including the time to connect, to arrive while its key
+/// is still remembered. Connecting may take longer than that: [`send_margin`] limits when the last byte may
+/// leave.
 fn arrival_margin(settings: &Settings, window: Micros) -> Micros {
     settings.connect_timeout.min(window / 4)
 }
 
-/// The way there alone, once the connection is up.
+/// Returns the time that a repeat is allowed to take once the connection is established.
 fn send_margin(settings: &Settings, window: Micros) -> Micros {
     arrival_margin(settings, window) / 4
 }
--- a/crates/decision/src/policy/candidate.rs
+++ b/crates/decision/src/policy/candidate.rs
@@ -1,4 +1,5 @@
-//! What the guards on a send weigh, why they refuse, and what is kept of a send. Nothing is decided here.
+//! The input of the admission checks, their reasons for refusal, and the bookkeeping of a send. No decisions
+//! are made here.
 
 use super::Policy;
 use super::admission::BATCHED_WEIGHT;
@@ -7,27 +8,27 @@
 use crate::health::Tick;
 use crate::interface::{DestinationId, EndpointId, Idempotency, MessageId, Micros, RouteId, Settings};
 
-/// A message, and an endpoint that it may go to.
+/// A message together with an endpoint that it may be sent to.
 pub(super) struct Candidate {
     pub message: MessageId,
     /// The message's destination.
     pub destination: DestinationId,
     pub endpoint: EndpointId,
-    /// The route that leads to the endpoint.
+    /// The endpoint's route.
     pub route: RouteId,
-    /// Most messages in a call there.
+    /// Maximum number of messages in one call to the endpoint.
     pub max_batch: usize,
-    /// The call of this tick that the message joins.
+    /// The call, started in this iteration, that the message joins; `None` if it needs a call of its own.
     pub joined: Option<u64>,
-    pub effect: Idempotency,
-    /// Its ordering key, where its class goes in order.
+    pub idempotency: Idempotency,
+    /// Its ordering key, if its class is delivered in order.
     pub key: Option<u64>,
-    /// When the first of its attempts was sent that may have run; now if none was.
+    /// When the first of its attempts that may have run was sent; the current time if there is none.
     pub first_sent: Micros,
-    /// When it must be answered.
+    /// When it must have its final answer.
     pub end: Micros,
     pub latency_objective: Micros,
-    /// Priority weight of the message and all that is queued with it.
+    /// Priority weight of the message times the destination's backlog.
     pub priority: f64,
     /// Messages queued for the destination.
     pub backlog: f64,
@@ -36,48 +37,53 @@
 }
 
 impl Candidate {
-    /// Weight of the send in slow start.
+    /// Returns the weight of the send in slow start.
     pub(super) fn weight(&self) -> f64 {
         if self.joined.is_some() { BATCHED_WEIGHT } else { 1.0 }
     }
 
+    /// Returns the conditions under which the route assesses the send.
     pub(super) fn tick<'a>(&self, settings: &'a Settings, now: Micros) -> Tick<'a> {
         Tick { settings, now, latency_objective: self.latency_objective, jitter: self.jitter }
     }
 }
 
-/// Why a message does not go to an endpoint now.
+/// Why a message is not sent to an endpoint now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// The message, the endpoint or its route is gone.
+    /// The message, the endpoint or its route is not known.
     Unknown,
-    /// The message's time or attempts are used up, or one is in flight.
+    /// The message has no time or attempts left, or has an attempt in flight.
     MessageDone,
-    /// A repeat might take effect twice.
+    /// A repeat might take effect a second time.
     UnsafeRepeat,
-    /// An older message with the same key goes first.
+    /// An older message with the same ordering key goes first, or the key is paused.
     OutOfOrder,
-    /// The answer might come after the end of the process.
+    /// The answer might arrive after the process has ended.
     ShuttingDown,
-    /// The endpoint drains, is gone, or belongs to another destination.
+    /// The endpoint is draining, no longer listed, or belongs to another destination.
     NotListed,
-    /// The endpoint has no place for a connection.
+    /// The endpoint has no slot for a connection.
     NoConnection,
+    /// The send rate of the route allows no further call yet.
     RateLimited,
-    /// A Retry-After or our own backoff runs.
+    /// A Retry-After or this sender's own backoff has not expired, or the destination rejects calls and one
+    /// is in flight.
     BackingOff,
+    /// The destination is recovering from an outage and slow start admits nothing more now.
     SlowStart,
-    /// The destination has as many slots as it may.
+    /// The destination already uses its maximum share of the slots.
     DestinationShare,
-    /// All slots are taken.
+    /// All slots of the sender are in use.
     NoSlot,
-    /// Other destinations are activated first.
+    /// The destination is being activated, and has its first call in flight or has to wait for others.
     Activating,
+    /// The circuit breaker admits no call.
     BreakerOpen,
 }
 
 impl Refusal {
-    /// What it means for other messages at the same endpoint.
+    /// Returns what the refusal means for other messages for the same endpoint.
     pub(super) fn verdict(self) -> Verdict {
         match self {
             Self::MessageDone | Self::UnsafeRepeat | Self::OutOfOrder | Self::ShuttingDown => {
@@ -95,36 +101,36 @@
 }
 
 impl Policy {
-    /// All that the guards weigh, if both the message and the endpoint are known.
+    /// Collects the input of the admission checks; `None` if the message or the endpoint is not known.
     pub(super) fn candidate(
         &self,
         id: MessageId,
         endpoint_id: EndpointId,
         backlog: f64,
-        begun: &StartedCalls,
+        started: &StartedCalls,
     ) -> Option<Candidate> {
-        let (held, endpoint) = (self.messages.get(&id)?, self.endpoints.get(&endpoint_id)?);
-        let class = &self.settings.classes[held.message.class];
+        let (pending, endpoint) = (self.messages.get(&id)?, self.endpoints.get(&endpoint_id)?);
+        let class = &self.settings.classes[pending.message.class];
         Some(Candidate {
             message: id,
-            destination: held.message.destination,
+            destination: pending.message.destination,
             endpoint: endpoint_id,
             route: (endpoint.destination, endpoint.kind.separate_routes.then_some(endpoint_id)),
             max_batch: endpoint.kind.max_batch,
-            joined: begun.open(endpoint_id, endpoint.kind.max_batch),
-            effect: held.idempotency,
-            key: held.message.key.filter(|_| class.in_order),
-            first_sent: held.may_have_run.iter().map(|attempt| attempt.1).min().unwrap_or(self.now),
-            end: held.end,
+            joined: started.joinable(endpoint_id, endpoint.kind.max_batch),
+            idempotency: pending.idempotency,
+            key: pending.message.key.filter(|_| class.in_order),
+            first_sent: pending.may_have_run.iter().map(|attempt| attempt.1).min().unwrap_or(self.now),
+            end: pending.end,
             latency_objective: class.latency_objective,
-            priority: self.weight_at(held, self.now) * backlog,
+            priority: self.weight_at(pending, self.now) * backlog,
             backlog,
             jitter: message_rng(self.seed, self.now, id, endpoint_id).f64(),
         })
     }
 
-    /// Keeps count of an attempt that goes, and of the call that begins with it.
-    pub(super) fn track_attempt(&mut self, candidate: &Candidate, begun: &mut StartedCalls) {
+    /// Records an attempt that is being sent, and the call that starts with it, if any.
+    pub(super) fn track_attempt(&mut self, candidate: &Candidate, started: &mut StartedCalls) {
         let call = candidate.joined.unwrap_or(self.calls.next());
         if let Some(route) = self.routes.get_mut(&candidate.route) {
             route.record_sent(candidate.weight(), self.now);
@@ -132,7 +138,7 @@
         if candidate.joined.is_none() {
             self.track_call(call, candidate);
         }
-        begun.record(candidate.endpoint, call);
+        started.record(candidate.endpoint, call);
         if let Some(attempt) = self.messages.attempt_started(candidate.message, self.now, candidate.endpoint)
         {
             if let Some(key) = candidate.key {
@@ -142,6 +148,7 @@
         }
     }
 
+    /// Records a call that starts with the candidate's message.
     fn track_call(&mut self, call: u64, candidate: &Candidate) {
         if let Some(route) = self.routes.get_mut(&candidate.route) {
             route.call_started(call);
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! The one path of every send: which message is tried next, and at which endpoint.
+//! Chooses the message to send next and its endpoint. Every send goes through here.
 
 use super::Policy;
 use crate::destination_queues::QueuePosition;
@@ -7,31 +7,33 @@
 use crate::health::FEW_SENDERS;
 use crate::interface::{Action, DestinationId, EndpointId, Event, MessageId, Micros, Outcome};
 
-/// More destinations that wait for a slot than this are a crowd.
-const MANY_READY: usize = 256;
+/// Maximum number of destinations waiting for a slot whose positions are recomputed when fewer messages count
+/// as late; if there are more, each keeps its position until something changes there.
+const MAX_RESORTED: usize = 256;
 
 impl Policy {
-    /// The one path of every send. It looks at the destinations that something happened to, or that wait for
-    /// a slot alone; of each, at its messages in order, until no more can go there.
+    /// Sends all messages that may be sent now; every send goes through here. Examines only destinations with
+    /// a change since the last iteration and those that lack nothing but a slot; at each, its messages in
+    /// order until nothing more can be sent there.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let late = self.late_before();
-        self.resort_if_less_is_late();
+        self.resort_if_fewer_late();
         for destination in self.messages.queues.take_touched() {
             self.messages.queues.set_ready(destination, self.messages.queues.next(destination, None, &late));
         }
         let mut round = DispatchRound::default();
-        while let Some((place, destination)) = self.first_ready(&round) {
+        while let Some((position, destination)) = self.first_ready(&round) {
             let next = self.messages.queues.next(destination, round.after(destination), &late);
-            if next != Some(place) {
+            if next != Some(position) {
                 self.messages.queues.set_ready(destination, next);
                 if next.is_none() {
                     self.schedule_check(destination, &round);
                 }
                 continue;
             }
-            match self.send(place.2, destination, &mut round, actions) {
+            match self.send(position.2, destination, &mut round, actions) {
                 Verdict::Sent => {}
-                Verdict::Skipped { slot } => round.skipped(destination, place, slot),
+                Verdict::Skipped { slot } => round.skipped(destination, position, slot),
                 Verdict::NoSlot => {
                     round.wants_slot(destination, true);
                     self.schedule_check(destination, &round);
@@ -44,18 +46,21 @@
         }
     }
 
-    /// Where less is late than before, those that wait for a slot may have a better place. A crowd of them
-    /// keeps what it has until something happens there.
-    fn resort_if_less_is_late(&mut self) {
-        let sort_for = (self.abandonment_age.0, self.tenants_over_quota());
-        let sorted_for = std::mem::replace(&mut self.sorted_under, sort_for);
-        let within = sorted_for.1.iter().zip(&self.sorted_under.1).any(|(before, now)| *before && !now);
-        if self.sorted_under.0 > sorted_for.0 || within {
-            self.messages.queues.touch_ready(MANY_READY);
+    /// Recomputes the positions of destinations that wait for a slot when fewer messages count as late than
+    /// before, which may move them forward. With more than [`MAX_RESORTED`] of them each keeps its position
+    /// until something changes at the destination.
+    fn resort_if_fewer_late(&mut self) {
+        let current = (self.abandonment_age.0, self.tenants_over_quota());
+        let previous = std::mem::replace(&mut self.sorted_under, current);
+        let back_within_quota =
+            previous.1.iter().zip(&self.sorted_under.1).any(|(before, now)| *before && !now);
+        if self.sorted_under.0 > previous.0 || back_within_quota {
+            self.messages.queues.touch_ready(MAX_RESORTED);
         }
     }
 
-    /// The next message to try. With no slot left one may still travel along with a call of this tick.
+    /// Returns the next message to try. With no slot left, a message may still join a call started in this
+    /// iteration.
     fn first_ready(&self, round: &DispatchRound) -> Option<(QueuePosition, DestinationId)> {
         if self.calls.len() < self.settings.max_calls {
             return self.messages.queues.first_ready();
@@ -63,21 +68,23 @@
         round.started.first_joining(&self.endpoints, &self.messages.queues)
     }
 
-    /// Of each class and tenant, the aim before which messages are late. Guards what is in time against what
-    /// is late or given up: oldest first, a destination that is behind would get each message when nobody
-    /// waits for it any more. It hurts those that wait longer than others.
+    /// Returns, for a class and tenant, the latency objective's time before which messages count as late, so
+    /// that messages in time are sent before late and abandoned ones. With oldest-first order alone, a
+    /// destination that is behind would get each message when its client no longer waits for it. Costs those
+    /// that have waited longest, which wait even longer. All messages of a tenant over its quota count as
+    /// late.
     pub(super) fn late_before(&self) -> impl Fn(usize, usize) -> Micros + use<> {
-        let (now, given_up_from) = (self.now, self.abandonment_age.0);
-        let aims: Vec<_> = self.settings.classes.iter().map(|class| class.latency_objective).collect();
-        let beyond = self.tenants_over_quota();
-        move |class, tenant| match beyond.get(tenant) {
+        let (now, abandonment_age) = (self.now, self.abandonment_age.0);
+        let objectives: Vec<_> = self.settings.classes.iter().map(|class| class.latency_objective).collect();
+        let over_quota = self.tenants_over_quota();
+        move |class, tenant| match over_quota.get(tenant) {
             Some(true) => Micros::MAX,
-            _ if given_up_from < now => now.max(now - given_up_from + aims[class]),
+            _ if abandonment_age < now => now.max(now - abandonment_age + objectives[class]),
             _ => now,
         }
     }
 
-    /// Tries a message at its destination's endpoints, the best first.
+    /// Tries to send a message to its destination's endpoints, the best first.
     fn send(
         &mut self,
         id: MessageId,
@@ -87,7 +94,7 @@
     ) -> Verdict {
         let backlog = round.backlog(destination, &self.messages.queues);
         let mut verdict = Verdict::EndpointClosed;
-        for endpoint in self.choices(id, destination, &round.started) {
+        for endpoint in self.ranked_endpoints(id, destination, &round.started) {
             verdict = match (self.admit(id, endpoint, backlog, &mut round.started, actions), verdict) {
                 (Verdict::Sent, _) => return Verdict::Sent,
                 (Verdict::Skipped { .. }, before) => Verdict::Skipped { slot: before.wants_slot() },
@@ -99,43 +106,46 @@
         verdict
     }
 
-    /// The endpoints that are listed, the best first.
-    pub(super) fn choices(
+    /// Returns the destination's ready endpoints, the best first: those with a call to join, then by
+    /// consecutive failures, zone fee and calls in flight; ties are broken by a random draw.
+    pub(super) fn ranked_endpoints(
         &self,
         id: MessageId,
         destination: DestinationId,
-        begun: &StartedCalls,
+        started: &StartedCalls,
     ) -> Vec<EndpointId> {
-        let mut choices: Vec<_> = self
+        let mut ranked: Vec<_> = self
             .endpoints
             .of(destination)
             .filter(|(_, e)| e.ready)
             .map(|(endpoint, e)| {
-                let joins = begun.open(endpoint, e.kind.max_batch).is_some();
-                let toll = self.settings.zone_fees.get(e.zone as usize).copied().unwrap_or(0.0);
-                let toll = if e.kind.separate_routes { (toll * 1e6) as u64 } else { 0 };
-                let luck = message_rng(self.seed, self.now, id, endpoint).usize(0..256);
-                (!joins, e.consecutive_failures, toll, e.in_flight * 256 + luck, endpoint)
+                let joins = started.joinable(endpoint, e.kind.max_batch).is_some();
+                let fee = self.settings.zone_fees.get(e.zone as usize).copied().unwrap_or(0.0);
+                let fee = if e.kind.separate_routes { (fee * 1e6) as u64 } else { 0 };
+                let jitter = message_rng(self.seed, self.now, id, endpoint).usize(0..256);
+                (!joins, e.consecutive_failures, fee, e.in_flight * 256 + jitter, endpoint)
             })
             .collect();
-        choices.sort_unstable();
-        choices.into_iter().map(|choice| choice.4).collect()
+        ranked.sort_unstable();
+        ranked.into_iter().map(|ranked| ranked.4).collect()
     }
 
-    /// Guards an endpoint's table of connections against idle ones: closes what is not used again before it
-    /// closes by itself; a failed connect, or one that found no place, halves what is kept. Costs handshakes.
+    /// Closes idle connections to endpoints where the last interval between calls exceeds the limit, since
+    /// they would otherwise occupy the endpoint's connection table until they time out unused. A failed or
+    /// rejected connect halves the limit, each success raises it a little. Costs handshakes.
     pub(super) fn close_idle(&mut self, events: &[Event], actions: &mut Vec<Action>) {
-        let (longest, few) = (self.settings.idle_timeout, FEW_SENDERS as Micros);
+        let (max_limit, few) = (self.settings.idle_timeout, FEW_SENDERS as Micros);
         let senders = self.settings.senders.max(1) as Micros;
         for event in events {
             let Event::AttemptCompleted { endpoint: id, outcome, .. } = event else { continue };
             if matches!(outcome, Outcome::ConnectFailed | Outcome::ConnectionRejected) {
                 self.idle_connection_limit = (self.idle_connection_limit / 2)
-                    .max(longest / (senders * senders) * few * few)
-                    .min(longest);
+                    .max(max_limit / (senders * senders) * few * few)
+                    .min(max_limit);
             } else if *outcome == Outcome::Delivered {
-                let more = self.idle_connection_limit / 32 * few / senders.max(few) + 1;
-                self.idle_connection_limit = self.idle_connection_limit.saturating_add(more).min(longest);
+                let increase = self.idle_connection_limit / 32 * few / senders.max(few) + 1;
+                self.idle_connection_limit =
+                    self.idle_connection_limit.saturating_add(increase).min(max_limit);
             }
             if self
                 .endpoints
--- a/crates/decision/src/policy/events.rs
+++ b/crates/decision/src/policy/events.rs
@@ -1,7 +1,8 @@
-//! Takes events into what is known: messages, outcomes, lists, reports. Nothing is decided here. Where an event calls for a
-//! decision (a breaker that opens, a message that is turned away, a report that can't be meant) the policy's files are asked.
+//! Applies events to the state: messages, outcomes, endpoint lists, load reports. No decisions are made here.
+//! Where an event calls for one (a breaker that opens, a message to reject, an implausible report), the
+//! policy's files make it.
 
-use super::{Policy, RESTART, REUSE_SAMPLES, arrival_margin};
+use super::{Policy, RESTART_DURATION, REUSE_SAMPLES, arrival_margin};
 use crate::call_table::CompletedAttempt;
 use crate::estimate::message_rng;
 use crate::health::{RESET_TIMEOUT, Tick};
@@ -11,11 +12,12 @@
 };
 use crate::message_table::PendingMessage;
 
-/// A message is answered no more than this part of its class's time early.
-const LEAST_OF_TIME: Micros = 64;
+/// A message is answered at most its class's deadline divided by this early, or two periods where that is
+/// longer.
+const ANSWER_SLACK_DIVISOR: Micros = 64;
 
 impl Policy {
-    /// Folds in events, and what fell due.
+    /// Applies events and everything that has fallen due.
     pub(super) fn apply_events(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         for event in events {
@@ -26,8 +28,8 @@
                     self.message_accepted(message, actions);
                     self.recall_gossip(message.destination);
                 }
-                Event::Recovered { message, attempts, may_have_run, idempotency: effect } => {
-                    self.recover(message, *attempts, may_have_run, *effect);
+                Event::Recovered { message, attempts, may_have_run, idempotency } => {
+                    self.recover(message, *attempts, may_have_run, *idempotency);
                     self.recall_gossip(message.destination);
                 }
                 Event::ShuttingDown(at) => {
@@ -35,7 +37,7 @@
                     self.messages.queues.touch_all();
                     let windows = self.settings.classes.iter().filter_map(|class| class.idempotency.window());
                     self.repeat_boundaries =
-                        windows.map(|window| (at + RESTART + 1).saturating_sub(window)).collect();
+                        windows.map(|window| (at + RESTART_DURATION + 1).saturating_sub(window)).collect();
                 }
                 Event::RetryAfter { endpoint, wait } => {
                     let Some(id) = self.endpoints.route(*endpoint) else { continue };
@@ -53,12 +55,12 @@
                 Event::EndpointList(entries) => {
                     self.endpoints.begin_full_list();
                     self.apply_list(entries);
-                    // What it does not name is gone without a word.
+                    // Endpoints that the full list omits are removed without an entry of their own.
                     self.messages.all_endpoints_changed();
                 }
                 Event::EndpointChanges(entries) => self.apply_list(entries),
                 Event::DiscoveryFailed if self.settings.polling_only => {
-                    // Asked again well inside the interval after which we would be deemed told.
+                    // Retries well within the poll interval, the longest time allowed without asking.
                     let every = self.settings.rules.poll_interval.unwrap_or(RESET_TIMEOUT);
                     self.poll_at = Some(now + every / 8 + self.rng.u64(0..=every / 8));
                 }
@@ -66,11 +68,11 @@
                     self.reuse_loss_rate +=
                         (f64::from(u8::from(*lost)) - self.reuse_loss_rate) / REUSE_SAMPLES;
                 }
-                Event::SnapshotRestored { route, snapshot: learnt } => {
-                    self.routes.restored(*route, *learnt, &self.endpoints, now);
+                Event::SnapshotRestored { route, snapshot } => {
+                    self.routes.restored(*route, *snapshot, &self.endpoints, now);
                 }
-                Event::CapacityChanged { max_calls: slots, max_messages: held } => {
-                    (self.settings.max_calls, self.settings.max_messages) = (*slots, *held);
+                Event::CapacityChanged { max_calls: calls, max_messages: messages } => {
+                    (self.settings.max_calls, self.settings.max_messages) = (*calls, *messages);
                 }
                 Event::SnapshotLost => self.routes.snapshot_lost(),
                 Event::HealthChecked { endpoint, report, .. } => self.record_report(*endpoint, report),
@@ -96,29 +98,32 @@
         }
     }
 
-    /// It may be this message's turn.
+    /// Has the message's destination examined in this iteration, since it may be the message's turn in its
+    /// lane.
     pub(super) fn reconsider(&mut self, message: Option<MessageId>) {
-        if let Some(held) = message.and_then(|id| self.messages.get(&id)) {
-            let destination = held.message.destination;
+        if let Some(pending) = message.and_then(|id| self.messages.get(&id)) {
+            let destination = pending.message.destination;
             self.messages.queues.touch(destination);
         }
     }
 
-    /// A message that outlived the process that took it: what may have run then still binds.
+    /// Takes over a message that an earlier process accepted. Attempts from then that may have run still
+    /// restrict how it may be repeated: `may_have_run` holds the age and the endpoint of each.
     fn recover(
         &mut self,
         message: &Message,
         attempts: u32,
         may_have_run: &[(Micros, EndpointId)],
-        effect: Option<Idempotency>,
+        idempotency: Option<Idempotency>,
     ) {
-        self.accept(message, effect);
+        self.accept(message, idempotency);
         self.routes.activate(message.destination, &self.endpoints, self.now);
-        let may_have_run = may_have_run.iter().map(|a| (0, self.now.saturating_sub(a.0), a.1)).collect();
+        let may_have_run =
+            may_have_run.iter().map(|attempt| (0, self.now.saturating_sub(attempt.0), attempt.1)).collect();
         self.messages.recovered(message.id, attempts, may_have_run);
     }
 
-    fn accept(&mut self, message: &Message, taken_on_under: Option<Idempotency>) {
+    fn accept(&mut self, message: &Message, recovered_idempotency: Option<Idempotency>) {
         let Some(class) = self.settings.classes.get(message.class) else { return };
         let deadline = self.now + message.remaining_time;
         if let Some(rate) = self.tenants.get_mut(message.tenant) {
@@ -127,23 +132,31 @@
         if let (true, Some(key)) = (class.in_order, message.key) {
             self.lanes.push(key, message.id);
         }
-        let aim = (deadline + class.latency_objective).saturating_sub(class.deadline);
-        // It must be answered two ticks before its time is up, and by as much before as answers are out by there: when the
-        // client sent it is known by when it was read alone. An answer to a call that comes between the two is no end.
-        let early = self.settings.rules.answer_slack.min(class.deadline / LEAST_OF_TIME);
-        let end = deadline.saturating_sub(early.max(2 * self.settings.period));
-        let effect = taken_on_under.map_or(class.idempotency, |before| before.stricter(class.idempotency));
-        let repeats = effect.window().map(|window| window - arrival_margin(&self.settings, window));
-        self.messages.insert(PendingMessage::new(message.clone(), (deadline, aim, end), effect, repeats));
+        let objective_at = (deadline + class.latency_objective).saturating_sub(class.deadline);
+        // A message must be answered at least two periods before its deadline, and earlier by the slack
+        // within which final answers are accepted: the sender knows when it read the message, not when the
+        // client sent it. An answer to a call that arrives after this end does not count as the final answer.
+        let slack = self.settings.rules.answer_slack.min(class.deadline / ANSWER_SLACK_DIVISOR);
+        let end = deadline.saturating_sub(slack.max(2 * self.settings.period));
+        let idempotency =
+            recovered_idempotency.map_or(class.idempotency, |before| before.stricter(class.idempotency));
+        let repeatable_for =
+            idempotency.window().map(|window| window - arrival_margin(&self.settings, window));
+        self.messages.insert(PendingMessage::new(
+            message.clone(),
+            (deadline, objective_at, end),
+            idempotency,
+            repeatable_for,
+        ));
     }
 
     fn apply_list(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
-            let plain = DestinationKind { separate_routes: false, max_batch: 1 };
-            let kind = self.settings.kinds.get(entry.kind).copied().unwrap_or(plain);
-            let listed = self.settings.weights.calls(entry.weight);
-            let id = self.endpoints.apply_entry(entry, kind, listed, self.now);
-            self.routes.limit_listed(id, listed, &self.endpoints, self.now);
+            let default_kind = DestinationKind { separate_routes: false, max_batch: 1 };
+            let kind = self.settings.kinds.get(entry.kind).copied().unwrap_or(default_kind);
+            let calls_per_second = self.settings.weights.calls(entry.weight);
+            let id = self.endpoints.apply_entry(entry, kind, calls_per_second, self.now);
+            self.routes.limit_listed(id, calls_per_second, &self.endpoints, self.now);
             self.messages.endpoints_changed(entry.destination);
         }
         for (destination, endpoint) in self.endpoints.prune(|| self.messages.endpoints()) {
@@ -154,36 +167,36 @@
 
     fn record_report(&mut self, endpoint: EndpointId, report: &[f32]) {
         let field = |at: Option<usize>| Some(f64::from(*report.get(at?)?)).filter(|field| field.is_finite());
-        let (left, limit) = (field(self.settings.report.0), field(self.settings.report.1));
-        let aim = self.settings.shortest_latency_objective();
+        let (remaining, limit) = (field(self.settings.report.0), field(self.settings.report.1));
+        let latency_objective = self.settings.shortest_latency_objective();
         let Some(id) = self.endpoints.route(endpoint) else { return };
         let (Some(limit), Some(route)) = (limit, self.routes.get_mut(&id)) else { return };
-        let left = left.unwrap_or(0.0).clamp(0.0, 1.0);
-        if route.record_report(limit, left, aim, self.now) {
+        let remaining = remaining.unwrap_or(0.0).clamp(0.0, 1.0);
+        if route.record_report(limit, remaining, latency_objective, self.now) {
             self.share_limit(id, limit);
             self.messages.queues.touch(id.0);
         }
     }
 
     fn attempt_completed(&mut self, id: MessageId, attempt: u16, outcome: Outcome, terminal: bool) {
-        let Some(CompletedAttempt { number, call, key, first, call_completed: done }) =
+        let Some(CompletedAttempt { number, call, key, first, call_completed }) =
             self.calls.complete_attempt(id, attempt, outcome)
         else {
             return;
         };
         let (now, sent) = (self.now, call.sent);
-        let luck = message_rng(self.seed, now, id, call.endpoint).f64();
+        let jitter = message_rng(self.seed, now, id, call.endpoint).f64();
         self.messages.queues.touch(call.route.0);
-        if done {
+        if call_completed {
             self.activations.call_completed(number);
         }
         let latency_objective = self.settings.shortest_latency_objective();
-        let tick = Tick { settings: &self.settings, now, latency_objective, jitter: luck };
+        let tick = Tick { settings: &self.settings, now, latency_objective, jitter };
         if let Some(route) = self.routes.get_mut(&call.route) {
-            if done {
+            if call_completed {
                 route.call_completed();
             }
-            // Each message of a call may be told a wait of its own.
+            // Each message of a call may be rejected with a wait of its own.
             if let Outcome::Rejected(Some(wait)) = outcome {
                 route.wait_until_at_least(now + wait);
             }
@@ -196,36 +209,37 @@
             }
         }
         if let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) {
-            endpoint.attempt_completed(outcome, first, done);
+            endpoint.attempt_completed(outcome, first, call_completed);
         }
         if first && outcome == Outcome::ConnectionRejected {
-            self.connection_rejected(call.endpoint, luck);
+            self.connection_rejected(call.endpoint, jitter);
         }
         if let Some(key) = key {
             let unclear = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-            let rest = unclear.then_some(now + self.settings.rules.ordering_pause);
-            let first = self.lanes.attempt_completed(key, id, attempt, rest, now);
+            let pause = unclear.then_some(now + self.settings.rules.ordering_pause);
+            let first = self.lanes.attempt_completed(key, id, attempt, pause, now);
             self.reconsider(first);
         }
         self.messages.attempt_completed(id, attempt, outcome.never_ran());
         if terminal {
-            // How old messages get before those who wait for them give them up, only a call tells.
-            if let Some(held) = self.messages.get(&id) {
-                self.abandonment_age.note(sent.saturating_sub(self.accepted_at(held)), outcome);
+            // Only the outcome of a call shows at what age clients abandon their messages.
+            if let Some(pending) = self.messages.get(&id) {
+                self.abandonment_age.note(sent.saturating_sub(self.accepted_at(pending)), outcome);
             }
             self.forget(id);
         }
     }
 
-    /// When a message was handed in.
-    pub(super) fn accepted_at(&self, held: &PendingMessage) -> Micros {
-        held.objective_at.saturating_sub(self.settings.classes[held.message.class].latency_objective)
+    /// Returns when a message was accepted.
+    pub(super) fn accepted_at(&self, pending: &PendingMessage) -> Micros {
+        pending.objective_at.saturating_sub(self.settings.classes[pending.message.class].latency_objective)
     }
 
-    /// The message is over; attempts that are out keep their slots until their outcomes come.
+    /// Removes a message that has its final answer or was withdrawn. Attempts in flight keep their slots
+    /// until they complete.
     pub(super) fn forget(&mut self, id: MessageId) {
-        let Some(held) = self.messages.remove(id) else { return };
-        if let Some(key) = held.message.key {
+        let Some(pending) = self.messages.remove(id) else { return };
+        if let Some(key) = pending.message.key {
             let first = self.lanes.remove(key, id, self.now);
             self.reconsider(first);
         }
--- a/crates/decision/src/policy/gossip.rs
+++ b/crates/decision/src/policy/gossip.rs
@@ -1,5 +1,6 @@
-//! What this sender tells others of what it sees, and what it hears from them, put into the module's terms. Nothing is decided
-//! here: what gossip counts for stands in `health`, beside the guards that it adds to.
+//! Translates between this module and the gossip among senders: publishes this sender's observations and
+//! applies those of others. No decisions are made here: the effect of gossip on a route is defined in
+//! `health`.
 
 use gossip::{FailureKind, Gossip, Observation};
 
@@ -7,17 +8,19 @@
 use crate::health::{FailureCounts, MAX_FAILURES};
 use crate::interface::{Action, DestinationId, Micros, Outcome, RouteId};
 
-/// Notes that are used for nothing are told of so often.
-const COMPLAIN_EVERY: Micros = 10_000_000;
+/// Shortest time between two warnings about rejected gossip messages.
+const GOSSIP_WARNING_INTERVAL: Micros = 10_000_000;
 
 impl Policy {
-    /// What is shared is by destination; routes apart are a sender's own.
-    fn gossip_of(&mut self, route: RouteId) -> Option<(&mut Gossip, u16)> {
+    /// Returns the gossip state and the destination's number. Gossip is by destination: `None` for separate
+    /// routes, whose health each sender keeps to itself.
+    fn gossip_for(&mut self, route: RouteId) -> Option<(&mut Gossip, u16)> {
         let (destination, None) = route else { return None };
         Some((self.gossip.as_mut()?, destination.0))
     }
 
-    /// How a call ended, with failures and unexplained refusals in a row before and after it.
+    /// Publishes how a call ended, given the consecutive failures and unexplained rejections before and after
+    /// it.
     pub(super) fn share_outcome(
         &mut self,
         route: RouteId,
@@ -28,9 +31,9 @@
     ) {
         let now = self.now;
         let failed = after.failures > before.failures;
-        let seen = match outcome {
+        let observation = match outcome {
             Outcome::Delivered => Observation::Success(sent),
-            // One that is a limit's, or no more than one lost connection, is no evidence.
+            // A rejection that a limit explains, or a single lost connection, is no evidence of an outage.
             Outcome::Rejected(_)
                 if after.unattributed_rejections > before.unattributed_rejections
                     && after.unattributed_rejections >= MAX_FAILURES =>
@@ -45,46 +48,48 @@
             }
             _ => return,
         };
-        if let Some((shared, destination)) = self.gossip_of(route) {
-            shared.observe(destination, seen, now);
+        if let Some((gossip, destination)) = self.gossip_for(route) {
+            gossip.observe(destination, observation, now);
         }
     }
 
-    /// A report told a limit.
+    /// Publishes a limit that a load report stated.
     pub(super) fn share_limit(&mut self, route: RouteId, limit: f64) {
         let now = self.now;
-        if let Some((shared, destination)) = self.gossip_of(route) {
-            shared.observe_limit(destination, limit as f32, now);
+        if let Some((gossip, destination)) = self.gossip_for(route) {
+            gossip.observe_limit(destination, limit as f32, now);
         }
     }
 
-    /// A destination told a wait.
+    /// Publishes a Retry-After of a destination.
     pub(super) fn share_wait(&mut self, route: RouteId, until: Micros) {
         let now = self.now;
-        if let Some((shared, destination)) = self.gossip_of(route) {
-            shared.observe_wait(destination, until, now);
+        if let Some((gossip, destination)) = self.gossip_for(route) {
+            gossip.observe_wait(destination, until, now);
         }
     }
 
-    /// A note came.
+    /// Takes in a gossip message. Rejected ones are counted, with at most one warning per
+    /// [`GOSSIP_WARNING_INTERVAL`].
     pub(super) fn receive_gossip(&mut self, from: u16, content: &[u8], actions: &mut Vec<Action>) {
-        let Some(shared) = &mut self.gossip else { return };
-        if let Err(why) = shared.receive(from, content, self.now)
+        let Some(gossip) = &mut self.gossip else { return };
+        if let Err(error) = gossip.receive(from, content, self.now)
             && self.now >= self.next_gossip_warning_at
         {
-            self.next_gossip_warning_at = self.now + COMPLAIN_EVERY;
-            let rejected = shared.traffic().rejected_messages;
-            let line = format!("a note from sender {from} is used for nothing ({rejected} so far): {why}");
+            self.next_gossip_warning_at = self.now + GOSSIP_WARNING_INTERVAL;
+            let rejected = gossip.traffic().rejected_messages;
+            let line = format!("rejected a gossip message from sender {from} ({rejected} so far): {error}");
             actions.push(Action::Log(line));
         }
     }
 
-    /// A destination that a message came for may have slept while others learnt of it.
+    /// Applies to a destination that a message was accepted for what other senders reported while it was
+    /// idle.
     pub(super) fn recall_gossip(&mut self, destination: DestinationId) {
-        let (Some(shared), Some(route)) = (&self.gossip, self.routes.get_mut(&(destination, None))) else {
+        let (Some(gossip), Some(route)) = (&self.gossip, self.routes.get_mut(&(destination, None))) else {
             return;
         };
-        let belief = shared.belief(destination.0, self.now);
+        let belief = gossip.belief(destination.0, self.now);
         if belief.unhealthy.is_some() && !route.is_reported_unhealthy()
             || belief.wait_until > route.wait_until()
         {
@@ -92,10 +97,10 @@
         }
     }
 
-    /// Routes hear what is believed otherwise now.
+    /// Applies changed beliefs to their routes.
     pub(super) fn apply_gossip(&mut self, now: Micros) {
-        let Some(shared) = &mut self.gossip else { return };
-        for (destination, belief) in shared.take_changes(now) {
+        let Some(gossip) = &mut self.gossip else { return };
+        for (destination, belief) in gossip.take_changes(now) {
             let id = (DestinationId(destination), None);
             if let Some(route) = self.routes.get_mut(&id) {
                 route.record_gossip(&belief, now);
@@ -104,22 +109,22 @@
         }
     }
 
-    /// What is said now.
+    /// Publishes what is due, after counting this iteration's retries.
     pub(super) fn publish_gossip(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some(shared) = &mut self.gossip else { return };
+        let Some(gossip) = &mut self.gossip else { return };
         for action in actions.iter() {
             if let Action::Attempt { message, .. } = action
-                && let Some(held) = self.messages.get(message).filter(|held| held.attempts > 1)
+                && let Some(pending) = self.messages.get(message).filter(|pending| pending.attempts > 1)
             {
-                shared.count_retry(held.message.destination.0, now);
+                gossip.count_retry(pending.message.destination.0, now);
             }
         }
         actions.extend(
-            shared.publish(now).into_iter().map(|m| Action::SendGossip { to: m.to, content: m.content }),
+            gossip.publish(now).into_iter().map(|m| Action::SendGossip { to: m.to, content: m.content }),
         );
     }
 
-    /// What is shared, for operators.
+    /// Returns the gossip state, for operators; `None` if gossip is disabled.
     pub fn gossip(&self) -> Option<&Gossip> {
         self.gossip.as_ref()
     }
--- a/crates/decision/src/policy/hand_over.rs
+++ b/crates/decision/src/policy/hand_over.rs
@@ -1,36 +1,39 @@
-//! What one process of a sender hands to the next while both run. Nothing is decided here: the next one goes on as this
-//! one would have.
+//! The state that a process hands over to its successor while both run. No decisions are made here: the
+//! successor decides as its predecessor would have.
 
 use std::fmt;
 
 use super::Policy;
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, RouteId, RouteSnapshot, Settings};
 
-/// Another version's state that can't be read: go on as after a kill, with the journal alone.
+/// The state, perhaps of another version, cannot be read; the successor has to start as after a crash, from
+/// the journal alone.
 #[derive(Debug)]
 pub struct UnreadableState(rmp_serde::decode::Error);
 
 impl fmt::Display for UnreadableState {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "the state of the process before can't be read: {}", self.0)
+        write!(f, "cannot read the predecessor's state: {}", self.0)
     }
 }
 
 impl std::error::Error for UnreadableState {}
 
 impl Policy {
-    /// All that it knows, fields by their names, so that another version reads what it has in common.
+    /// Serializes the whole state. Fields are stored by name, so that another version can read those that
+    /// both have.
     ///
     /// # Errors
-    /// Fails when there is no memory for it.
+    /// Fails when the state cannot be serialized, for lack of memory.
     pub fn state(&self) -> Result<Vec<u8>, rmp_serde::encode::Error> {
         rmp_serde::to_vec_named(self)
     }
 
-    /// Goes on where another process is, under settings of its own; an end that was announced there is not here.
+    /// Restores the state of a predecessor under this process's own settings. A shutdown announced to the
+    /// predecessor does not apply here.
     ///
     /// # Errors
-    /// Fails when the state is none, or another version's.
+    /// Fails when the data is not a state, or one of an incompatible version.
     pub fn from_state(
         state: &[u8],
         settings: Settings,
@@ -41,10 +44,10 @@
         policy.routes.reconfigure(&settings);
         policy
             .activations
-            .reconfigure(settings.idle.map(|dormant| dormant.activations_per_second), settings.max_calls / 2);
-        policy.gossip = settings.gossip.map(|law| gossip::Gossip::new(law, seed, now));
-        let effects: Vec<_> = settings.classes.iter().map(|class| class.idempotency).collect();
-        policy.messages.bind_idempotency(&effects);
+            .reconfigure(settings.idle.map(|idle| idle.activations_per_second), settings.max_calls / 2);
+        policy.gossip = settings.gossip.map(|config| gossip::Gossip::new(config, seed, now));
+        let idempotency: Vec<_> = settings.classes.iter().map(|class| class.idempotency).collect();
+        policy.messages.bind_idempotency(&idempotency);
         policy.settings = settings;
         policy.rng = fastrand::Rng::with_seed(seed);
         policy.now = policy.now.max(now);
@@ -57,34 +60,35 @@
         Ok(policy)
     }
 
-    /// Whether it holds a message.
+    /// Returns whether a message is pending here.
     pub fn holds(&self, message: MessageId) -> bool {
         self.messages.get(&message).is_some()
     }
 
-    /// The messages that it holds, in order.
+    /// Returns the pending messages in ascending order of id.
     pub fn messages(&self) -> Vec<MessageId> {
         let mut messages: Vec<_> = self.messages.ids().collect();
         messages.sort_unstable();
         messages
     }
 
-    /// Destinations of which anything was learnt.
+    /// Returns the destinations whose health has been observed.
     pub fn observed_destinations(&self) -> Vec<DestinationId> {
         self.routes.observed_destinations().into_iter().collect()
     }
 
-    /// What was learnt of a destination's routes, awake or not, as [`Event::SnapshotRestored`](crate::interface::Event::SnapshotRestored) tells it to another process.
+    /// Returns the health of a destination's routes, active or idle, in the form that
+    /// [`Event::SnapshotRestored`](crate::interface::Event::SnapshotRestored) passes to another process.
     pub fn route_snapshots(&self, destination: DestinationId) -> Vec<(RouteId, RouteSnapshot)> {
         self.routes.snapshots(destination, &self.endpoints, self.now)
     }
 
-    /// Endpoints of a destination, as lists named them.
+    /// Returns the known endpoints of a destination, ready or not.
     pub fn endpoints(&self, destination: DestinationId) -> Vec<EndpointId> {
         self.endpoints.of(destination).map(|(id, _)| id).collect()
     }
 
-    /// Endpoints of destinations that told a wait which still runs, and until when.
+    /// Returns the listed endpoints whose route has a wait that has not expired, and when it ends.
     pub fn waits(&self) -> Vec<(EndpointId, Micros)> {
         let listed = self.endpoints.in_list().filter_map(|(id, _)| {
             let route = self.routes.get(&self.endpoints.route(id)?)?;
--- a/crates/decision/src/policy/inspection.rs
+++ b/crates/decision/src/policy/inspection.rs
@@ -1,10 +1,11 @@
-//! What the module shows of itself to operators. Nothing is decided here and nothing is changed.
+//! Read-only views of the state for operators.
 
 use super::Policy;
 use crate::interface::DestinationId;
 
 impl Policy {
-    /// Destinations with a breaker that is open, or half-open until its trial has come back; each once, in order.
+    /// Returns the destinations with an open breaker, or a half-open one whose trial call has not completed;
+    /// each once, in ascending order.
     pub fn open_breakers(&self) -> Vec<DestinationId> {
         let open = self.routes.iter().filter(|(_, route)| !route.is_breaker_closed());
         let mut open: Vec<_> = open.map(|((destination, _), _)| *destination).collect();
@@ -12,26 +13,28 @@
         open
     }
 
-    /// Endpoints in the list that nothing new goes to now, or no more than a trial.
+    /// Counts the listed endpoints that receive no new calls, or at most a trial call: draining, or with a
+    /// breaker that is not closed.
     pub fn unavailable_endpoints(&self) -> usize {
-        let shut = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
-        let avoided = |id, ready: bool| !ready || shut(id).is_some_and(|r| !r.is_breaker_closed());
+        let route_of = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
+        let avoided = |id, ready: bool| !ready || route_of(id).is_some_and(|r| !r.is_breaker_closed());
         self.endpoints.in_list().filter(|(id, ready)| avoided(*id, *ready)).count()
     }
 
-    /// Endpoints in the list that may take something new, and get no more than a trial.
+    /// Counts the listed endpoints that are ready but whose breaker is not closed, so that they receive at
+    /// most a trial call.
     pub fn open_breaker_endpoints(&self) -> usize {
-        let of = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
-        let shut = |id| of(id).is_some_and(|route| !route.is_breaker_closed());
-        self.endpoints.in_list().filter(|(id, ready)| *ready && shut(*id)).count()
+        let route_of = |id| self.endpoints.route(id).and_then(|route| self.routes.get(&route));
+        let has_open_breaker = |id| route_of(id).is_some_and(|route| !route.is_breaker_closed());
+        self.endpoints.in_list().filter(|(id, ready)| *ready && has_open_breaker(*id)).count()
     }
 
-    /// Destinations that are awake, and routes that are remembered asleep.
+    /// Returns the number of active destinations and the number of idle routes that are remembered.
     pub fn active_and_idle(&self) -> (usize, usize) {
         self.routes.active_and_idle()
     }
 
-    /// Messages that are held.
+    /// Returns the number of pending messages.
     pub fn pending_messages(&self) -> usize {
         self.messages.len()
     }
--- a/crates/decision/src/policy/migration.rs
+++ b/crates/decision/src/policy/migration.rs
@@ -1,5 +1,5 @@
-//! A destination that another module of the same process goes on with: all that is known of it, held for it and out to it,
-//! as one value. Nothing is decided here; the other one goes on as this one would have.
+//! Migration of a destination to another module of the same process: its health, its pending messages and its
+//! calls in flight as one value. No decisions are made here; the other module decides as this one would have.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,12 +12,13 @@
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, RouteId, RouteSnapshot};
 use crate::message_table::PendingMessage;
 
-/// All that a module knew of a destination. It is in one place at a time: parted from one module, joined to another.
-#[must_use = "what is held for the destination is lost with it"]
+/// The whole state of a destination during its migration. It exists in one place at a time: detached from one
+/// module, then attached to another.
+#[must_use = "dropping it loses the destination's pending messages"]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MigratedState {
     destination: DestinationId,
-    /// When it was parted, on the clock of the events.
+    /// When it was detached, on the clock of the events.
     at: Micros,
     messages: Vec<PendingMessage>,
     routes: Vec<(RouteId, RouteHealth)>,
@@ -27,87 +28,90 @@
     calls: Vec<MigratedCall>,
 }
 
-/// Why a destination stays where it is.
+/// Why a destination cannot be migrated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MigrationRefused {
-    /// Messages are kept in order by keys here, and a key may have messages of several destinations.
+    /// The module has ordering lanes in use, and one key may have messages for several destinations.
     Ordered,
-    /// The process ends.
+    /// The process is shutting down.
     ShuttingDown,
 }
 
 impl std::fmt::Display for MigrationRefused {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Self::Ordered => "messages with keys are held in order here",
-            Self::ShuttingDown => "the process ends",
+            Self::Ordered => "messages with ordering keys are pending in this module",
+            Self::ShuttingDown => "the process is shutting down",
         })
     }
 }
 
 impl MigratedState {
-    /// Whose it is.
+    /// Returns the destination that the state belongs to.
     pub fn destination(&self) -> DestinationId {
         self.destination
     }
 
-    /// Messages that are held for it.
+    /// Returns the pending messages for the destination.
     pub fn messages(&self) -> impl Iterator<Item = MessageId> {
-        self.messages.iter().map(|held| held.message.id)
+        self.messages.iter().map(|pending| pending.message.id)
     }
 
-    /// Attempts that are out.
+    /// Returns the attempts in flight: message, attempt number, endpoint.
     pub fn attempts_in_flight(&self) -> impl Iterator<Item = (MessageId, u16, EndpointId)> {
-        self.calls.iter().flat_map(|moved| {
-            moved.attempts.iter().map(|(message, attempt, _)| (*message, *attempt, moved.call.endpoint))
+        self.calls.iter().flat_map(|migrated| {
+            migrated.attempts.iter().map(|(message, attempt, _)| (*message, *attempt, migrated.call.endpoint))
         })
     }
 
-    /// Calls that are out, each of which needs a slot where it is joined.
+    /// Returns the number of calls in flight, each of which needs a slot in the module that it is attached
+    /// to.
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Endpoints that it names.
+    /// Returns all endpoints that the state refers to.
     pub fn endpoints(&self) -> BTreeSet<EndpointId> {
-        let tried = self.messages.iter().flat_map(|held| &held.may_have_run).map(|attempt| attempt.2);
+        let tried = self.messages.iter().flat_map(|pending| &pending.may_have_run).map(|attempt| attempt.2);
         let routes = self.routes.iter().filter_map(|route| route.0.1);
-        let asleep = self.idle.iter().filter_map(|route| route.0.1);
-        let calls = self.calls.iter().map(|moved| moved.call.endpoint);
+        let idle = self.idle.iter().filter_map(|route| route.0.1);
+        let calls = self.calls.iter().map(|migrated| migrated.call.endpoint);
         let known = self.endpoints.iter().map(|endpoint| endpoint.0);
-        tried.chain(routes).chain(asleep).chain(calls).chain(known).collect()
+        tried.chain(routes).chain(idle).chain(calls).chain(known).collect()
     }
 
-    /// Calls endpoints by other ids, where the other module knows them by others. It must be told of each that
-    /// [`MigratedState::endpoints`] names.
+    /// Replaces endpoint ids by those that the other module uses. `ids` must hold each endpoint that
+    /// [`MigratedState::endpoints`] returns and that has another id there.
     pub fn rename(mut self, ids: &BTreeMap<EndpointId, EndpointId>) -> Self {
-        let name = |id: &mut EndpointId| *id = ids.get(id).copied().unwrap_or(*id);
-        let route = |id: &mut RouteId| id.1.iter_mut().for_each(name);
-        for attempt in self.messages.iter_mut().flat_map(|held| &mut held.may_have_run) {
-            name(&mut attempt.2);
+        let rename_endpoint = |id: &mut EndpointId| *id = ids.get(id).copied().unwrap_or(*id);
+        let rename_route = |id: &mut RouteId| id.1.iter_mut().for_each(rename_endpoint);
+        for attempt in self.messages.iter_mut().flat_map(|pending| &mut pending.may_have_run) {
+            rename_endpoint(&mut attempt.2);
         }
-        self.routes.iter_mut().for_each(|known| route(&mut known.0));
-        self.idle.iter_mut().for_each(|known| route(&mut known.0));
-        self.endpoints.iter_mut().for_each(|known| name(&mut known.0));
+        self.routes.iter_mut().for_each(|known| rename_route(&mut known.0));
+        self.idle.iter_mut().for_each(|known| rename_route(&mut known.0));
+        self.endpoints.iter_mut().for_each(|known| rename_endpoint(&mut known.0));
         for MigratedCall { call, .. } in &mut self.calls {
-            name(&mut call.endpoint);
-            route(&mut call.route);
+            rename_endpoint(&mut call.endpoint);
+            rename_route(&mut call.route);
         }
         self
     }
 }
 
 impl Policy {
-    /// Counts calls from there: guards calls that are out in several modules of a process, one of which may come to this
-    /// one, against calls under the same numbers. To be told before the first event.
+    /// Sets the number that call numbering starts from, so that calls in flight in several modules of a
+    /// process have distinct numbers when they are migrated between them. Must be called before the first
+    /// event.
     pub fn count_calls_from(&mut self, first: u64) {
         self.calls.count_from(first);
     }
 
-    /// Parts with a destination. From now on nothing goes there from here, and what ends of it is the other module's to hear.
+    /// Detaches a destination. From then on this module sends nothing there, and the outcomes of its calls
+    /// belong to the other module.
     ///
     /// # Errors
-    /// Fails where it has to stay; then nothing has changed.
+    /// Fails if the destination cannot be migrated; nothing has changed then.
     pub fn detach(&mut self, destination: DestinationId) -> Result<MigratedState, MigrationRefused> {
         if !self.lanes.is_empty() {
             return Err(MigrationRefused::Ordered);
@@ -115,49 +119,52 @@
         if self.shutdown_at.is_some() {
             return Err(MigrationRefused::ShuttingDown);
         }
-        let (routes, asleep) = self.routes.detach(destination, &self.endpoints, self.now);
+        let (routes, idle) = self.routes.detach(destination, &self.endpoints, self.now);
         let mut calls = self.calls.detach(destination);
-        calls.iter_mut().for_each(|moved| moved.activating = self.activations.call_completed(moved.number));
+        calls
+            .iter_mut()
+            .for_each(|migrated| migrated.activating = self.activations.call_completed(migrated.number));
         Ok(MigratedState {
             destination,
             at: self.now,
             messages: self.messages.detach(destination),
             routes,
-            idle: asleep,
+            idle,
             endpoints: self.endpoints.detach(destination),
             calls,
         })
     }
 
-    /// Goes on with a destination that another module parted with. What the lists said here of its endpoints holds.
-    pub fn attach(&mut self, parcel: MigratedState) {
-        let MigratedState { destination, at, messages, routes, idle: asleep, endpoints, calls } = parcel;
-        // Guards reckoning with time against what is younger than the last event here.
+    /// Attaches a destination that another module detached. Its endpoints keep the listing that this module
+    /// was given.
+    pub fn attach(&mut self, state: MigratedState) {
+        let MigratedState { destination, at, messages, routes, idle, endpoints, calls } = state;
+        // The state may be newer than the last event here; time must not run backwards.
         self.now = self.now.max(at);
         self.endpoints.attach(destination, endpoints);
-        self.routes.attach(destination, routes, asleep, &self.endpoints, self.now);
-        for moved in calls {
-            if moved.activating {
-                self.activations.call_started(moved.number);
+        self.routes.attach(destination, routes, idle, &self.endpoints, self.now);
+        for migrated in calls {
+            if migrated.activating {
+                self.activations.call_started(migrated.number);
             }
-            self.calls.attach(moved);
+            self.calls.attach(migrated);
         }
-        messages.into_iter().for_each(|held| self.messages.attach(held));
+        messages.into_iter().for_each(|pending| self.messages.attach(pending));
         self.messages.endpoints_changed(destination);
         self.timer = None;
     }
 
-    /// Attempts that are out, and where.
+    /// Returns the attempts in flight: message, attempt number, endpoint.
     pub fn attempts_in_flight(&self) -> Vec<(MessageId, u16, EndpointId)> {
         self.calls.attempts_in_flight().collect()
     }
 
-    /// Calls that are out.
+    /// Returns the number of calls in flight.
     pub fn calls_in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Messages that wait for a call.
+    /// Returns the number of messages that wait for a call.
     pub fn queued_messages(&self) -> usize {
         self.messages.queues.len()
     }
--- a/crates/decision/src/policy/state.rs
+++ b/crates/decision/src/policy/state.rs
@@ -1,4 +1,4 @@
-//! What a sender knows, and how it begins. Nothing is decided here.
+//! The state of a sender, and its order of work in an iteration. No decisions are made here.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 use crate::ordering::OrderingLanes;
 use crate::route_table::RouteTable;
 
-/// The decisions of one sender.
+/// The decision logic of one sender, with all of its state.
 #[derive(Serialize, Deserialize)]
 pub struct Policy {
     pub(super) settings: Settings,
@@ -25,7 +25,7 @@
     pub(super) now: Micros,
     pub(super) endpoints: Endpoints,
     pub(super) routes: RouteTable,
-    /// Who of those that wake may begin.
+    /// Limits how many destinations may be activated at a time.
     #[serde(rename = "waking")]
     pub(super) activations: ActivationLimiter<RouteId>,
     #[serde(rename = "book")]
@@ -34,42 +34,46 @@
     #[serde(rename = "lines")]
     pub(super) lanes: OrderingLanes,
     pub(super) seed: u64,
-    /// When to ask for the list (again).
+    /// When to request the endpoint list next, where it has to be polled.
     #[serde(rename = "ask_at")]
     pub(super) poll_at: Option<Micros>,
+    /// When the last requested timer fires.
     #[serde(rename = "reminder")]
     pub(super) timer: Option<Micros>,
-    /// Connections that are used no more often than this are closed after use.
+    /// Idle connections to an endpoint are closed after use if its calls are further apart than this.
     #[serde(rename = "keep")]
     pub(super) idle_connection_limit: Micros,
+    /// The age from which clients are taken to have abandoned their messages.
     #[serde(rename = "given_up_from")]
     pub(super) abandonment_age: AbandonmentAge,
-    /// That, and which tenants were beyond their shares, when what waits for a slot was sorted.
+    /// The abandonment age, and which tenants exceeded their quota, when destinations waiting for a slot were
+    /// last sorted.
     #[serde(rename = "sorted_for")]
     pub(super) sorted_under: (Micros, Vec<bool>),
-    /// Share of kept connections that were lost under a further call, smoothed.
+    /// Smoothed share of reused connections that were lost under the call that reused them.
     #[serde(rename = "kept_lost")]
     pub(super) reuse_loss_rate: f64,
-    /// When this process ends, once that is known.
+    /// When this process ends, once its shutdown is announced.
     #[serde(rename = "stop_at")]
     pub(super) shutdown_at: Option<Micros>,
-    /// From when on the next process may repeat what is first sent then, for each window.
+    /// For each idempotency window, the time from which a message first sent may be repeated by the next
+    /// process.
     #[serde(rename = "unbound")]
     pub(super) repeat_boundaries: BTreeSet<Micros>,
-    /// Messages a second that each tenant submitted here of late.
+    /// Recent messages per second from each tenant at this sender.
     pub(super) tenants: Vec<DecayingRate>,
-    /// What is shared with other senders. The next process begins anew with it, and hears it from them.
+    /// What senders share by gossip. A successor starts without it and receives it from the other senders.
     #[serde(skip)]
     #[serde(rename = "shared")]
     pub(super) gossip: Option<Gossip>,
-    /// When notes that are used for nothing may be told of again.
+    /// When the next warning about rejected gossip messages may be logged.
     #[serde(skip)]
     #[serde(rename = "complain_at")]
     pub(super) next_gossip_warning_at: Micros,
 }
 
 impl Policy {
-    /// Applies all events of an iteration, then decides once. Each step decides in a file of its own.
+    /// Applies all events of an iteration, then makes all decisions once. Each step is in a file of its own.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.apply_events(now, events, actions);
         self.apply_gossip(now);
@@ -82,14 +86,14 @@
         self.set_timer(actions);
     }
 
-    /// A sender that knows nothing but its settings.
+    /// Creates a sender with no state but its settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         Self {
-            gossip: settings.gossip.map(|law| Gossip::new(law, seed, now)),
+            gossip: settings.gossip.map(|config| Gossip::new(config, seed, now)),
             next_gossip_warning_at: 0,
             routes: RouteTable::new(&settings, now),
             activations: ActivationLimiter::new(
-                settings.idle.map(|d| d.activations_per_second),
+                settings.idle.map(|idle| idle.activations_per_second),
                 settings.max_calls / 2,
                 now,
             ),
@@ -113,8 +117,8 @@
         }
     }
 
-    /// Endpoints that are listed for a destination, with their routes.
-    pub(super) fn usable(
+    /// Returns the ready endpoints of a destination with the health of their routes.
+    pub(super) fn ready_routes(
         &self,
         destination: DestinationId,
     ) -> impl Iterator<Item = (EndpointId, &RouteHealth)> {
@@ -124,8 +128,9 @@
         })
     }
 
-    /// When a trial is due at the first of a destination's endpoints; 0 where one takes calls.
-    pub(super) fn trial(&self, destination: DestinationId) -> Micros {
-        self.usable(destination).map(|(_, r)| r.trial_at()).min().unwrap_or(0)
+    /// Returns when the first trial call is due at any of a destination's endpoints; 0 if one of them needs
+    /// no trial.
+    pub(super) fn first_trial_at(&self, destination: DestinationId) -> Micros {
+        self.ready_routes(destination).map(|(_, r)| r.trial_at()).min().unwrap_or(0)
     }
 }
--- a/crates/decision/src/policy/tests/mod.rs
+++ b/crates/decision/src/policy/tests/mod.rs
@@ -1,3 +1,3 @@
-//! Tests of the decisions that need a look inside.
+//! Tests of the decisions that need access to private state.
 
 mod reference_model;
--- a/crates/decision/src/policy/tests/reference_model.rs
+++ b/crates/decision/src/policy/tests/reference_model.rs
@@ -1,11 +1,11 @@
-//! The decisions as they were made before: in every tick all that is held is looked at, sorted and tried. What the
-//! module does now must come to the same, on any events.
+//! Compares the policy with a reference model that examines, sorts and tries all pending messages in every
+//! iteration. Both must take the same actions on the same random events.
 //!
-//! Two differences are known, and kept out of the comparison. Where many senders have little each, a ramp counts down to
-//! the next turn at the rate that it had when it was last looked at; that is more seldom now while all slots are taken, or
-//! with more than 64 destinations waiting (here: at most three senders, for whom the ramp is a count of calls). And a
-//! crowd of over 256 destinations that wait for a slot keeps its places when messages are found to be less late than was
-//! thought, until something happens there.
+//! Two known differences are kept out of the comparison. With many senders of little traffic each, slow start
+//! counts down to the next turn at the rate of its last check, and the policy checks less often while all
+//! slots are in use or with more than 64 destinations waiting; here there are at most three senders, for
+//! which slow start counts calls. And more than 256 destinations waiting for a slot keep their positions when
+//! fewer messages count as late than before, until something changes there.
 
 use std::collections::BTreeMap;
 
@@ -37,61 +37,63 @@
 
     fn settle_all(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        let mut over = Vec::new();
+        let mut unsendable = Vec::new();
         for id in self.ids() {
-            let held = self.messages.get(&id).unwrap();
-            if now >= held.end {
-                over.push((id, 0));
-            } else if held.in_flight == 0 {
-                let trial = self.trial(held.message.destination);
-                let limit = held.attempts >= self.settings.max_attempts;
-                if self.cannot_be_attempted(held) || limit || trial > held.end {
-                    over.push((id, trial.saturating_sub(now)));
+            let pending = self.messages.get(&id).unwrap();
+            if now >= pending.end {
+                unsendable.push((id, 0));
+            } else if pending.in_flight == 0 {
+                let trial_at = self.first_trial_at(pending.message.destination);
+                let limit = pending.attempts >= self.settings.max_attempts;
+                if self.cannot_be_attempted(pending) || limit || trial_at > pending.end {
+                    unsendable.push((id, trial_at.saturating_sub(now)));
                 }
             }
         }
-        for (id, retry_after) in over {
+        for (id, retry_after) in unsendable {
             self.answer(id, retry_after, actions);
         }
     }
 
     fn shed_all(&mut self, actions: &mut Vec<Action>) {
-        let room = (self.settings.max_messages / 16).max(1);
-        let excess = (self.messages.len() + room).saturating_sub(self.settings.max_messages);
-        let mut least = Vec::new();
-        let idle = |held: &PendingMessage| {
-            held.in_flight == 0 && held.may_have_run.is_empty() && !held.is_owed_attempt()
+        let headroom = (self.settings.max_messages / 16).max(1);
+        let excess = (self.messages.len() + headroom).saturating_sub(self.settings.max_messages);
+        let mut candidates = Vec::new();
+        let unattempted = |pending: &PendingMessage| {
+            pending.in_flight == 0 && pending.may_have_run.is_empty() && !pending.is_owed_attempt()
         };
-        for (id, held) in self.messages.iter().filter(|(_, held)| idle(held)) {
-            let wait = self.expected_wait(held.message.destination);
-            let worth = self.weight_at(held, self.now.saturating_add(wait));
-            least.push(((worth * 1e6) as u64, held.objective_at, *id, wait));
+        for (id, pending) in self.messages.iter().filter(|(_, pending)| unattempted(pending)) {
+            let wait = self.expected_wait(pending.message.destination);
+            let weight = self.weight_at(pending, self.now.saturating_add(wait));
+            candidates.push(((weight * 1e6) as u64, pending.objective_at, *id, wait));
         }
-        least.sort_unstable();
-        for (_, _, id, wait) in least.into_iter().take(excess) {
+        candidates.sort_unstable();
+        for (_, _, id, wait) in candidates.into_iter().take(excess) {
             self.answer(id, wait, actions);
         }
     }
 
     fn dispatch_all(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        let late = |held: &PendingMessage| {
-            let given_up = self.accepted_at(held).saturating_add(self.abandonment_age.0);
-            let late = now > held.objective_at.min(given_up) || self.quota_weight(held.message.tenant) < 0.5;
-            late && !held.is_owed_attempt()
+        let late = |pending: &PendingMessage| {
+            let abandoned_at = self.accepted_at(pending).saturating_add(self.abandonment_age.0);
+            let late = now > pending.objective_at.min(abandoned_at)
+                || self.quota_weight(pending.message.tenant) < 0.5;
+            late && !pending.is_owed_attempt()
         };
-        let waiting = self.messages.iter().filter(|(_, held)| held.in_flight == 0);
-        let mut queue: Vec<_> = waiting.map(|(id, held)| (late(held), held.objective_at, *id)).collect();
+        let waiting = self.messages.iter().filter(|(_, pending)| pending.in_flight == 0);
+        let mut queue: Vec<_> =
+            waiting.map(|(id, pending)| (late(pending), pending.objective_at, *id)).collect();
         queue.sort_unstable();
         let mut backlog: BTreeMap<DestinationId, f64> = BTreeMap::new();
         for (_, _, id) in &queue {
             *backlog.entry(self.messages.get(id).unwrap().message.destination).or_default() += 1.0;
         }
-        let mut begun = StartedCalls::default();
+        let mut started = StartedCalls::default();
         for (_, _, id) in queue {
             let destination = self.messages.get(&id).unwrap().message.destination;
-            for endpoint in self.choices(id, destination, &begun) {
-                if self.admit(id, endpoint, backlog[&destination], &mut begun, actions) == Verdict::Sent {
+            for endpoint in self.ranked_endpoints(id, destination, &started) {
+                if self.admit(id, endpoint, backlog[&destination], &mut started, actions) == Verdict::Sent {
                     break;
                 }
             }
@@ -99,16 +101,16 @@
     }
 }
 
-fn drawn(rng: &mut fastrand::Rng) -> Settings {
-    let class = |effect, in_order| Class {
-        idempotency: effect,
+fn random_settings(rng: &mut fastrand::Rng) -> Settings {
+    let class = |idempotency, in_order| Class {
+        idempotency,
         latency_objective: 2_000_000,
         deadline: 8_000_000,
         priority_weight: 1.0,
         late_weight: 0.25,
         in_order,
     };
-    let keyed = |group| Idempotency::Keyed { scope: group, window: 3_000_000 };
+    let keyed = |scope| Idempotency::Keyed { scope, window: 3_000_000 };
     let common = settings::settings();
     Settings {
         classes: vec![
@@ -145,13 +147,14 @@
     }
 }
 
-/// The same events for both, drawn from what both have out; the same actions from both, whatever their order.
+/// Feeds both the same random events and checks that both take the same actions, in any order. Returns the
+/// number of attempts.
 fn compare(seed: u64) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let settings = drawn(&mut rng);
+    let settings = random_settings(&mut rng);
     let mut now = 1_000_000_000;
-    let mut new = Policy::new(settings.clone(), seed, now);
-    let mut old = Policy::new(settings.clone(), seed, now);
+    let mut policy = Policy::new(settings.clone(), seed, now);
+    let mut reference = Policy::new(settings.clone(), seed, now);
     let endpoint = |n: u8| EndpointId([10, 0, 0, n, 0, 80]);
     let entry = |n: u8, rng: &mut fastrand::Rng| EndpointEntry {
         endpoint: endpoint(n),
@@ -166,13 +169,13 @@
         },
     };
     let (mut next, mut sent) = (0u32, 0);
-    // Attempts that are out: message, attempt, endpoint, when.
-    let mut out: Vec<(MessageId, u16, EndpointId)> = vec![];
-    let mut held: Vec<MessageId> = vec![];
-    // Destinations fall ill for a while.
-    let mut ill = [0u8; 6];
+    // Attempts in flight: message, attempt number, endpoint.
+    let mut in_flight_attempts: Vec<(MessageId, u16, EndpointId)> = vec![];
+    let mut pending: Vec<MessageId> = vec![];
+    // Current failure mode of each destination; 0 and 6 deliver.
+    let mut failure_modes = [0u8; 6];
     for tick in 0..1_500 {
-        // As far apart as a ramp is looked at, so that it is looked at in every tick.
+        // Iterations are at least a slow-start check apart, so that slow start is checked in each.
         let longest = if rng.u8(..20) == 0 { 2_000_000 } else { 60_000 };
         now += rng.u64(20_000..longest);
         let mut events = vec![];
@@ -184,7 +187,7 @@
             events.push(Event::EndpointChanges(vec![entry(n, &mut rng)]));
         }
         if rng.u8(..40) == 0 {
-            ill[rng.usize(..6)] = rng.u8(..7);
+            failure_modes[rng.usize(..6)] = rng.u8(..7);
         }
         for _ in 0..rng.u8(..4) {
             let message = Message {
@@ -196,7 +199,7 @@
                 hint: None,
                 destination: DestinationId(rng.u16(..6)),
             };
-            held.push(message.id);
+            pending.push(message.id);
             next += 1;
             let ran = vec![(rng.u64(..2_000_000), endpoint(rng.u8(..18)))];
             events.push(match rng.u8(..20) {
@@ -207,10 +210,11 @@
                 _ => Event::Accepted(message),
             });
         }
-        for _ in 0..rng.usize(..3).min(out.len()) {
-            let (message, attempt, endpoint) = out.swap_remove(rng.usize(..out.len()));
+        for _ in 0..rng.usize(..3).min(in_flight_attempts.len()) {
+            let (message, attempt, endpoint) =
+                in_flight_attempts.swap_remove(rng.usize(..in_flight_attempts.len()));
             let wait = rng.bool().then(|| rng.u64(..500_000));
-            let outcome = match ill[usize::from(endpoint.0[3] / 3)] {
+            let outcome = match failure_modes[usize::from(endpoint.0[3] / 3)] {
                 1 => [Outcome::ConnectFailed, Outcome::ConnectionRejected][rng.usize(..2)],
                 2 => Outcome::TimedOut,
                 3 => Outcome::Rejected(wait),
@@ -221,7 +225,7 @@
             };
             let terminal = outcome == Outcome::Delivered;
             if terminal {
-                held.retain(|id| *id != message);
+                pending.retain(|id| *id != message);
             }
             let report = if rng.u8(..4) == 0 { vec![rng.f32(), 20.0 * rng.f32()] } else { vec![] };
             events.push(Event::AttemptCompleted {
@@ -237,26 +241,26 @@
         match rng.u8(..60) {
             0 => events
                 .push(Event::RetryAfter { endpoint: endpoint(rng.u8(..18)), wait: rng.u64(..2_000_000) }),
-            1 if !held.is_empty() => {
-                let id = held.swap_remove(rng.usize(..held.len()));
+            1 if !pending.is_empty() => {
+                let id = pending.swap_remove(rng.usize(..pending.len()));
                 events.push(Event::Withdrawn(id));
             }
             2 if tick > 1_400 => events.push(Event::ShuttingDown(now + 3_000_000)),
             _ => {}
         }
-        let (mut mine, mut theirs) = (vec![], vec![]);
-        new.handle(now, &events, &mut mine);
-        old.handle_all(now, &events, &mut theirs);
-        mine.retain(|action| !matches!(action, Action::SetTimer { .. }));
-        for action in &mine {
+        let (mut policy_actions, mut reference_actions) = (vec![], vec![]);
+        policy.handle(now, &events, &mut policy_actions);
+        reference.handle_all(now, &events, &mut reference_actions);
+        policy_actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
+        for action in &policy_actions {
             match action {
                 Action::Attempt { message, endpoint, .. } => {
                     sent += 1;
-                    // The policy numbers attempts as it makes them.
-                    let number = new.messages.get(message).unwrap().attempts as u16 - 1;
-                    out.push((*message, number, *endpoint));
+                    // Attempts are numbered in the order in which they are made.
+                    let number = policy.messages.get(message).unwrap().attempts as u16 - 1;
+                    in_flight_attempts.push((*message, number, *endpoint));
                 }
-                Action::Reject { message, .. } | Action::Fail(message) => held.retain(|id| id != message),
+                Action::Reject { message, .. } | Action::Fail(message) => pending.retain(|id| id != message),
                 _ => {}
             }
         }
@@ -265,19 +269,19 @@
             texts.sort();
             texts
         };
-        assert_eq!(sorted(&mine), sorted(&theirs), "seed {seed}, tick {tick}");
-        assert_eq!(new.pending_messages(), old.pending_messages(), "seed {seed}, tick {tick}");
+        assert_eq!(sorted(&policy_actions), sorted(&reference_actions), "seed {seed}, tick {tick}");
+        assert_eq!(policy.pending_messages(), reference.pending_messages(), "seed {seed}, tick {tick}");
     }
     assert_eq!(
-        new.messages.queues.destinations() == 0,
-        new.messages.iter().all(|(_, held)| held.in_flight > 0)
+        policy.messages.queues.destinations() == 0,
+        policy.messages.iter().all(|(_, pending)| pending.in_flight > 0)
     );
     sent
 }
 
-/// Another first seed in ORACLE_SEED gives other runs.
+/// ORACLE_SEED sets the first of the 40 seeds.
 #[test]
-fn the_same_events_come_to_the_same_actions_as_when_all_is_looked_at() {
+fn takes_the_same_actions_as_the_reference_model() {
     let first = std::env::var("ORACLE_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
     let sent: Vec<usize> = (first..first + 40).map(compare).collect();
     println!("ORACLE_SEED={first}, {} attempts", sent.iter().sum::<usize>());
