--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -88,8 +88,8 @@
 
     /// Records that an endpoint rejected a connection because its connection table is full. From then on no
     /// more calls than had slots are sent there at once. If none of our calls was in flight there, the
-    /// endpoint is left alone for a random time that doubles with each rejection; another endpoint may take
-    /// the message meanwhile. Costs time where slots are free again at once.
+    /// endpoint is left alone for a random time that doubles with each rejection, up to four times; another
+    /// endpoint may take the message meanwhile. Costs time where slots are free again at once.
     pub(super) fn connection_rejected(&mut self, id: EndpointId, jitter: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.connection_slots.record_rejection(endpoint.in_flight, self.now);
@@ -122,9 +122,9 @@
     }
 }
 
-/// Returns the initial value of `Policy::idle_connection_limit`. Beyond [`FEW_SENDERS`] it is the shorter the
-/// more senders there are, so that the idle connections of many senders do not fill the endpoints' connection
-/// tables. Costs handshakes where those tables are large.
+/// Returns the initial value of `Policy::idle_connection_limit`. Beyond [`FEW_SENDERS`] senders it is
+/// shorter the more there are, so that the idle connections of many senders do not fill the endpoints'
+/// connection tables. Costs handshakes where those tables are large.
 fn initial_idle_limit(settings: &Settings) -> Micros {
     let (few, senders) = (FEW_SENDERS as Micros, settings.senders as Micros);
     if senders > few { settings.idle_timeout / senders * few } else { settings.idle_timeout }
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -73,7 +73,8 @@
 fn silent_calls_open_the_breaker_before_they_time_out() {
     let mut s = one();
     s.serve(20);
-    // Non-idempotent calls: an idempotent one would be cancelled before the breaker opens.
+    // Non-idempotent calls stay in flight; idempotent ones would be cancelled after twice their usual
+    // latency.
     for _ in 0..2 {
         s.accept(ONCE);
     }
@@ -336,7 +337,7 @@
     assert_eq!(s.sent.last().map(|o| o.message), Some(second));
 }
 
-/// Returns the maximum number of calls sent within any three seconds after `from`.
+/// Returns the maximum number of calls sent within any three seconds from `from` on.
 fn max_calls_in_a_window(s: &Sender, from: Micros) -> usize {
     let sent: Vec<_> = s.sent.iter().map(|o| o.sent).filter(|at| *at >= from).collect();
     let span = |at: &Micros| sent.iter().filter(|o| (*at..*at + 3 * SECOND).contains(*o)).count();
@@ -586,7 +587,7 @@
     assert_eq!(s.sent.len(), 1);
 }
 
-/// The outcome of a call was ignored if its first message had been cancelled before sending.
+/// The outcome of a call must count even if its first message was not sent because it was already finished.
 #[test]
 fn unsent_message_does_not_count_as_the_outcome_of_its_call() {
     let mut s = Sender::new(settings(), &[]);
