--- a/crates/decision/src/health/assessment.rs
+++ b/crates/decision/src/health/assessment.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Micros, Rules};
 
 /// So many senders may each make a call a span at any cold destination and keep idle connections.
-pub(crate) const FEW_SENDERS: usize = 3;
+pub(crate) const SMALL_FLEET_SENDERS: usize = 3;
 
 impl RouteHealth {
     pub(crate) fn is_failing(&self) -> bool {
--- a/crates/decision/src/health/mod.rs
+++ b/crates/decision/src/health/mod.rs
@@ -20,7 +20,7 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use assessment::FEW_SENDERS;
+pub(crate) use assessment::SMALL_FLEET_SENDERS;
 pub(crate) use circuit_breaker::{MAX_FAILURES, MAX_SILENT, RESET_TIMEOUT};
 pub(crate) use quota_share::CALM_OBJECTIVES;
 pub(crate) use snapshot::{from_retained, to_retained};
--- a/crates/decision/src/health/outcomes.rs
+++ b/crates/decision/src/health/outcomes.rs
@@ -1,7 +1,7 @@
 //! What follows from outcomes, load reports and gossip.
 
 use super::rate_limiter::LimitHint;
-use super::{FEW_SENDERS, RouteHealth, Tick};
+use super::{RouteHealth, SMALL_FLEET_SENDERS, Tick};
 use crate::interface::{Micros, Outcome, Rules, Settings};
 
 /// The longest backoff after a rejection that states no wait, as a power of two of the shortest.
@@ -110,7 +110,7 @@
         let Tick { settings, now, latency_objective, jitter } = *tick;
         self.outage.rejected_at = now;
         // Guards against many that were rejected together and would come again together.
-        let max_tokens = if settings.senders > FEW_SENDERS { 0.5 - jitter } else { 0.0 };
+        let max_tokens = if settings.senders > SMALL_FLEET_SENDERS { 0.5 - jitter } else { 0.0 };
         self.limiter.record_rejection(latency_objective, self.limit_hint(settings), max_tokens, now);
         self.quota.record_rejection(now);
         if wait.is_none() {
--- a/crates/decision/src/health/quota_share.rs
+++ b/crates/decision/src/health/quota_share.rs
@@ -3,7 +3,7 @@
 use crate::interface::Micros;
 
 use super::record::{EscrowShare, RemainingCapacity};
-use super::{FEW_SENDERS, Tick};
+use super::{SMALL_FLEET_SENDERS, Tick};
 
 mod state;
 
@@ -131,7 +131,7 @@
     /// where nothing has to be shared.
     pub(super) fn rate(&self, tick: &Tick, queued: f64, cold: bool) -> Option<f64> {
         let Tick { settings, now, latency_objective, .. } = *tick;
-        if self.limit <= 0.0 || settings.senders <= FEW_SENDERS {
+        if self.limit <= 0.0 || settings.senders <= SMALL_FLEET_SENDERS {
             return None;
         }
         let even = self.even_share(settings) * self.escrow.0;
--- a/crates/decision/src/health/slow_start.rs
+++ b/crates/decision/src/health/slow_start.rs
@@ -3,7 +3,7 @@
 use crate::estimate::{SentWindow, SuccessRate};
 use crate::interface::{Micros, Rules};
 
-use super::{FEW_SENDERS, Tick};
+use super::{SMALL_FLEET_SENDERS, Tick};
 
 mod state;
 
@@ -56,7 +56,7 @@
             return true;
         };
         let seconds = rules.overload_for as f64 / 1e6;
-        let least = FEW_SENDERS as f64 / (tick.settings.senders as f64 * seconds);
+        let least = SMALL_FLEET_SENDERS as f64 / (tick.settings.senders as f64 * seconds);
         self.rate = (rules.overload_multiple * share * own_rate * SAFETY_MARGIN).max(least);
         if self.rate * seconds > WHOLE_CALL {
             let sent = self.sent.sum();
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::health::{FEW_SENDERS, MAX_SILENT, RESET_TIMEOUT};
+use crate::health::{MAX_SILENT, RESET_TIMEOUT, SMALL_FLEET_SENDERS};
 use crate::interface::{
     Action, EndpointId, Idempotency, IdempotencyScope, Message, Micros, RouteId, Settings,
 };
@@ -122,11 +122,11 @@
     }
 }
 
-/// Returns the initial value of `Policy::idle_connection_limit`. Beyond [`FEW_SENDERS`] senders it is
+/// Returns the initial value of `Policy::idle_connection_limit`. Beyond [`SMALL_FLEET_SENDERS`] senders it is
 /// shorter the more there are, so that the idle connections of many senders do not fill the endpoints'
 /// connection tables. Costs handshakes where those tables are large.
 fn initial_idle_limit(settings: &Settings) -> Micros {
-    let (few, senders) = (FEW_SENDERS as Micros, settings.senders as Micros);
+    let (few, senders) = (SMALL_FLEET_SENDERS as Micros, settings.senders as Micros);
     if senders > few { settings.idle_timeout / senders * few } else { settings.idle_timeout }
 }
 
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::destination_queues::QueuePosition;
 use crate::dispatch_round::{DispatchRound, StartedCalls, Verdict};
 use crate::estimate::message_rng;
-use crate::health::FEW_SENDERS;
+use crate::health::SMALL_FLEET_SENDERS;
 use crate::interface::{Action, DestinationId, EndpointId, Event, MessageId, Micros, Outcome};
 
 /// Maximum number of destinations waiting for a slot whose positions are recomputed when fewer messages count
@@ -134,7 +134,7 @@
     /// they would otherwise occupy the endpoint's connection table until they time out unused. A failed or
     /// rejected connect halves the limit, each success raises it a little. Costs handshakes.
     pub(super) fn close_idle(&mut self, events: &[Event], actions: &mut Vec<Action>) {
-        let (max_limit, few) = (self.settings.idle_timeout, FEW_SENDERS as Micros);
+        let (max_limit, few) = (self.settings.idle_timeout, SMALL_FLEET_SENDERS as Micros);
         let senders = self.settings.senders.max(1) as Micros;
         for event in events {
             let Event::AttemptCompleted { endpoint: id, outcome, .. } = event else { continue };
