--- a/crates/decision/src/health/assessment.rs
+++ b/crates/decision/src/health/assessment.rs
@@ -1,36 +1,41 @@
-//! What a route may do, by what is known of it.
+//! What a route may be sent, derived from its observed health.
 
 use super::slow_start::ColdCapacity;
 use super::{RouteHealth, Tick};
 use crate::interface::{Micros, Rules};
 
-/// So many senders may each make a call a span at any cold destination and keep idle connections.
+/// Up to this many senders, each may make a call per overload span (`overload_for`) to any cold destination,
+/// keep idle connections open, and send without sharing a reported limit.
 pub(crate) const SMALL_FLEET_SENDERS: usize = 3;
 
 impl RouteHealth {
+    /// Returns whether a call has failed since the last success, or the breaker is not closed.
     pub(crate) fn is_failing(&self) -> bool {
         self.outage.consecutive_failures > 0 || self.outage.has_late_call || !self.breaker.is_closed()
     }
 
-    /// Whether it is retained as unhealthy when it becomes idle.
+    /// Returns whether the route is retained as unhealthy when its destination becomes idle.
     pub(crate) fn is_unhealthy(&self, rules: &Rules, now: Micros) -> bool {
         self.is_failing() || self.in_outage(rules, now) || self.outage.connection_lost()
     }
 
-    /// Whether what was seen since the last success looks like an outage. A shut destination shows as full
-    /// without any success for longer than a limit's span; its return is as cold as any.
+    /// Returns whether the outcomes since the last success indicate an outage: enough consecutive failures, a
+    /// breaker that is not closed, or nothing but rejections for longer than a limit's span. The last is how
+    /// a destination that is shut appears; it is as cold as any other when it returns.
     pub(crate) fn in_outage(&self, rules: &Rules, now: Micros) -> bool {
         self.outage.consecutive_failures >= self.outage_threshold(rules, now)
             || !self.breaker.is_closed()
             || self.outage.is_shut(rules, now)
     }
 
+    /// Returns how many consecutive failures indicate an outage now.
     pub(super) fn outage_threshold(&self, rules: &Rules, now: Micros) -> u32 {
         self.outage.outage_threshold(self.slow_start.is_warming(rules, now))
     }
 
-    /// Guards against pushing over a returning destination: the share of its capacity to count on, if it may
-    /// be cold. It may have come back unseen while we still count failures.
+    /// Returns the share of its capacity to count on if the destination may be cold, so that a returning
+    /// destination is not overloaded at once. While this sender still counts failures, the destination may
+    /// already be back without this sender having seen it.
     pub(crate) fn cold_share(&self, rules: &Rules, now: Micros) -> Option<f64> {
         if self.in_outage(rules, now) || self.outage.is_suspected(rules, now) {
             return Some(rules.cold_share);
@@ -38,9 +43,10 @@
         self.slow_start.warm_share(rules, now)
     }
 
-    /// Whether slow start leaves room for a further weight, with `backlog` messages queued. Guards against
-    /// many senders of little each: what all have queued came since the outage began, so a message's part of
-    /// the traffic is one over the time since. It hurts where few senders have anything to send.
+    /// Returns whether slow start allows a further call of that weight, with `backlog` messages queued. Where
+    /// many senders have little traffic each, the usual rate of one says nothing: all queued messages arrived
+    /// since the outage began, so the traffic is estimated as the backlog divided by the time since then.
+    /// Costs delay where only a few senders have anything to send.
     pub(crate) fn slow_start_allows(&mut self, tick: &Tick, weight: f64, backlog: f64) -> bool {
         let rules = &tick.settings.rules;
         let cold = self.cold_share(rules, tick.now).map(|share| {
@@ -53,8 +59,8 @@
     }
 
     /// Sets the send rate to this sender's share of a reported limit, if there is one. After a restart the
-    /// first call goes at a moment that is drawn: guards a limit against many senders that come back
-    /// together. It costs that time where few come back.
+    /// first call goes at a randomly drawn moment, so that many senders that restart together do not exceed
+    /// the limit together. Costs that delay where only a few restart.
     pub(crate) fn apply_quota(&mut self, tick: &Tick, queued: f64) {
         let cold = self.cold_share(&tick.settings.rules, tick.now).is_some();
         let Some(rate) = self.quota.rate(tick, queued, cold) else { return };
--- a/crates/decision/src/health/circuit_breaker.rs
+++ b/crates/decision/src/health/circuit_breaker.rs
@@ -6,15 +6,16 @@
 
 mod state;
 
-/// Consecutive errors or failed connections that open the breaker.
+/// Number of consecutive errors or failed connections that opens the breaker.
 pub(crate) const MAX_FAILURES: u32 = 5;
-/// Consecutive time-outs that open the breaker.
+/// Number of consecutive time-outs that opens the breaker.
 const MAX_TIMEOUTS: u32 = 20;
-/// The longest time from the last failure to the trial.
+/// Longest time from the last failure to the trial call.
 pub(crate) const RESET_TIMEOUT: Micros = 5_000_000;
-/// In-flight calls past their usual latency, with no answer since, that open the breaker.
+/// Number of calls in flight beyond their usual latency, with no answer since, that opens the breaker.
 pub(crate) const MAX_SILENT: u32 = 2;
 
+/// State of the breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 enum State {
     #[default]
@@ -23,13 +24,13 @@
     HalfOpen,
 }
 
-/// Stops calls to a destination that fails, and lets one trial call through from time to time.
+/// Stops calls to a failing destination and lets one trial call through from time to time.
 ///
 /// *Input*: the outcome of each call; times in microseconds. *Rule*: closed until [`MAX_FAILURES`]
-/// consecutive failures or [`MAX_TIMEOUTS`] time-outs, then open for half a latency objective; half-open
-/// after that, with one trial at a time. A trial that fails doubles the open time, up to [`RESET_TIMEOUT`];
-/// any success closes. *Guards against* calls into an outage, which cost messages their attempts and the
-/// destination its recovery.
+/// consecutive failures or [`MAX_TIMEOUTS`] consecutive time-outs, then open for half a latency objective;
+/// then half-open, with one trial call at a time. A failed trial doubles the open time, up to
+/// [`RESET_TIMEOUT`]; any success closes the breaker. *Reason*: calls into an outage use up the attempts of
+/// messages and slow down the recovery of the destination.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct CircuitBreaker {
     state: State,
@@ -39,12 +40,13 @@
     last_failure_at: Micros,
     #[serde(rename = "reset")]
     reset_timeout: Micros,
-    /// The call in flight that decides a half-open breaker.
+    /// The call in flight whose outcome decides a half-open breaker.
     trial: Option<u64>,
 }
 
 impl CircuitBreaker {
-    /// Whether a call may go now; an open breaker whose time is up turns half-open.
+    /// Returns whether a call may start now; an open breaker whose reset time-out has passed becomes
+    /// half-open.
     pub(crate) fn allows(&mut self, now: Micros) -> bool {
         if self.state == State::Open && now >= self.trial_at() {
             self.state = State::HalfOpen;
@@ -56,7 +58,8 @@
         }
     }
 
-    /// Five seconds outlast most latency objectives: the first trial comes after half of one.
+    /// Opens the breaker. The first trial comes after half a latency objective, because the longest open
+    /// time, five seconds, exceeds most latency objectives.
     pub(super) fn open(&mut self, now: Micros, latency_objective: Micros) {
         let trial_failed = self.state == State::HalfOpen;
         let reset_timeout = if trial_failed { self.reset_timeout * 2 } else { latency_objective / 2 };
@@ -66,14 +69,16 @@
         (self.failures, self.timeouts) = (0, 0);
     }
 
+    /// Records the outcome of a call.
     pub(super) fn record(&mut self, call: u64, outcome: Outcome, now: Micros, latency_objective: Micros) {
         let was_trial = self.trial.take_if(|trial| *trial == call).is_some();
         match outcome {
-            // A late answer to a call from before the opening proves as much as a trial's.
+            // A late answer to a call that started before the breaker opened proves as much as a trial.
             Outcome::Delivered => return self.close(),
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => self.failures += 1,
             Outcome::TimedOut => self.timeouts += 1,
-            // What is spoilt on the way says nothing of the destination.
+            // A rejection, a response corrupted on the path or a cancellation says nothing about whether the
+            // destination is healthy.
             Outcome::Rejected(_) | Outcome::ConnectionRejected => return,
             Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent { .. } => return,
         }
@@ -83,6 +88,7 @@
         }
     }
 
+    /// Closes the breaker.
     fn close(&mut self) {
         (self.failures, self.timeouts) = (0, 0);
         self.state = State::Closed;
--- a/crates/decision/src/health/circuit_breaker/state.rs
+++ b/crates/decision/src/health/circuit_breaker/state.rs
@@ -1,36 +1,37 @@
-//! How it begins, what it shows: nothing is decided here.
+//! Construction of and access to the state of the circuit breaker; no decisions are made here.
 
 use super::{CircuitBreaker, RESET_TIMEOUT, State};
 use crate::interface::Micros;
 
 impl CircuitBreaker {
-    /// Half-open from the start: the first call is the trial.
+    /// Creates a half-open breaker: the first call is the trial.
     pub(in crate::health) fn half_open() -> Self {
         Self { state: State::HalfOpen, reset_timeout: RESET_TIMEOUT / 4, ..Self::default() }
     }
 
-    /// Goes on with an open breaker of an earlier process.
+    /// Continues an open breaker of an earlier process.
     pub(in crate::health) fn resume_open(&mut self, trial_at: Micros, reset_timeout: Micros) {
         self.state = State::Open;
         self.reset_timeout = reset_timeout.min(trial_at);
         self.last_failure_at = trial_at - self.reset_timeout;
     }
 
+    /// Returns whether the breaker is closed.
     pub(crate) fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// When an open breaker admits its trial; 0 in any other state.
+    /// Returns when an open breaker admits its trial call; 0 in any other state.
     pub(crate) fn trial_at(&self) -> Micros {
         if self.state == State::Open { self.last_failure_at + self.reset_timeout } else { 0 }
     }
 
-    /// Time from the last failure to the trial.
+    /// Returns the time from the last failure to the trial call.
     pub(crate) fn reset_timeout(&self) -> Micros {
         self.reset_timeout
     }
 
-    /// A call that was allowed begins; in a half-open breaker it is the trial.
+    /// Records that an admitted call starts; in a half-open breaker it is the trial.
     pub(in crate::health) fn call_started(&mut self, call: u64) {
         if self.state == State::HalfOpen {
             self.trial = Some(call);
--- a/crates/decision/src/health/mod.rs
+++ b/crates/decision/src/health/mod.rs
@@ -1,6 +1,7 @@
-//! Health of a route, as this sender saw it, and what it may do because of it. A route is a destination or, where its
-//! endpoints are independent, one of them. Each control law is a type in a file of its own; [`RouteHealth`] composes them.
-//! This file has its state and shows it; what follows from it is in `assessment`, `outcomes` and `restore`.
+//! Health of a route as this sender observes it, and the limits on its calls that follow. A route is a
+//! destination or, where the destination's endpoints are independent, one of its endpoints. Each control law
+//! is a type in a file of its own; [`RouteHealth`] combines them. This file holds the state and gives access
+//! to it; the decisions are in `assessment`, `outcomes` and `restore`.
 
 use serde::Deserialize;
 
@@ -31,7 +32,7 @@
 use rate_limiter::RateLimiter;
 use slow_start::SlowStart;
 
-/// Health of what a circuit breaker guards.
+/// Health of one route, the unit that a circuit breaker protects.
 #[derive(Debug, Deserialize)]
 #[serde(from = "record::RouteHealthRecord")]
 pub(crate) struct RouteHealth {
@@ -40,48 +41,54 @@
     slow_start: SlowStart,
     limiter: RateLimiter,
     quota: QuotaShare,
-    /// A Retry-After, or our own backoff after a rejection that stated none: nothing goes before it ends.
+    /// No call starts before this time: the end of a Retry-After, or of this sender's own backoff after a
+    /// rejection that stated no wait.
     wait_until: Micros,
-    /// Calls in flight.
+    /// Number of calls in flight.
     in_flight: usize,
-    /// No call was answered since it was activated.
+    /// No call has been answered since the route was activated.
     activating: bool,
 }
 
-/// What a decision on a call is made under.
+/// Context in which a decision about a call is made.
 #[derive(Clone, Copy)]
 pub(crate) struct Tick<'a> {
+    /// Settings of this sender.
     pub settings: &'a Settings,
+    /// Time of the current tick.
     pub now: Micros,
-    /// The time in which the call should be answered, in microseconds.
+    /// Latency objective of the call, in microseconds.
     pub latency_objective: Micros,
-    /// A random draw from 0 to 1.
+    /// Random draw between 0 and 1.
     pub jitter: f64,
 }
 
-/// What a sender needs of a limit that senders share.
+/// What this sender needs of a limit that all senders share.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Demand {
-    /// In even shares.
+    /// As a multiple of an even share.
     pub shares: f64,
-    /// The limit was used up of late.
+    /// A shortage of the limit was observed within the last [`CALM_OBJECTIVES`] latency objectives.
     pub is_short: bool,
 }
 
-/// Failures in a row, of which other senders may have to know.
+/// Consecutive failures of a route, which may have to be published to other senders.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FailureCounts {
+    /// Consecutive failures since the last success.
     pub failures: u32,
+    /// Consecutive rejections that no reported limit explains.
     pub unattributed_rejections: u32,
 }
 
-/// Where a route comes from.
+/// Construction, and changes that come from the endpoint list or from a wait.
 impl RouteHealth {
-    /// Nothing is known of it.
+    /// Creates a route about which nothing is known.
     pub(crate) fn new(now: Micros) -> Self {
         Self::listed(ListedLimit { calls_per_second: 0.0, since: now })
     }
 
+    /// Creates a route about which only its entry in the endpoint list is known.
     fn listed(listed: ListedLimit) -> Self {
         Self {
             breaker: CircuitBreaker::default(),
@@ -95,87 +102,94 @@
         }
     }
 
-    /// It was idle, and is so no more: it begins with one call.
+    /// Marks the route as just activated. With `limited`, it gets one call at a time until one has been
+    /// answered.
     pub(crate) fn begin_activation(&mut self, limited: bool) {
         self.activating = limited;
     }
 
-    /// The list states that limit. What reports said since is finer than a list that says the same as before.
+    /// Applies the limit that the endpoint list states. A list that repeats the value from before changes
+    /// nothing, because the load reports received since are more accurate.
     pub(crate) fn list_limit(&mut self, calls_per_second: f64) {
         if calls_per_second != self.quota.listed_limit() {
             self.quota.list_limit(calls_per_second);
         }
     }
 
-    /// Nothing goes before then.
+    /// Delays all calls until `until` at least.
     pub(crate) fn wait_until_at_least(&mut self, until: Micros) {
         self.wait_until = self.wait_until.max(until);
     }
 }
 
-/// What is known of it.
+/// Observed state.
 impl RouteHealth {
+    /// Returns the time before which no call starts.
     pub(crate) fn wait_until(&self) -> Micros {
         self.wait_until
     }
 
+    /// Returns the number of calls in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight
     }
 
+    /// Returns whether no call has been answered since the route was activated.
     pub(crate) fn is_activating(&self) -> bool {
         self.activating
     }
 
+    /// Returns whether the circuit breaker is closed.
     pub(crate) fn is_breaker_closed(&self) -> bool {
         self.breaker.is_closed()
     }
 
-    /// When an open breaker admits its trial; 0 where it is not open.
+    /// Returns when an open breaker admits its trial call; 0 if the breaker is not open.
     pub(crate) fn trial_at(&self) -> Micros {
         self.breaker.trial_at()
     }
 
-    /// Whether its last calls were rejected.
+    /// Returns whether a call has been rejected since the last success.
     pub(crate) fn is_rejecting(&self) -> bool {
         self.outage.rejections > 0
     }
 
-    /// Calls a second that were served here while it was warm.
+    /// Returns the rate of successful calls, in calls a second, while the destination was not warming up.
     pub(crate) fn usual_rate(&self, rules: &Rules) -> f64 {
         self.slow_start.usual_rate(rules)
     }
 
-    /// Calls a second that succeeded of late.
+    /// Returns the recent rate of successful calls, in calls a second.
     pub(crate) fn granted_rate(&self) -> f64 {
         self.limiter.granted_rate()
     }
 
-    /// When the last answer came.
+    /// Returns when the last answer arrived.
     pub(crate) fn answered_at(&self) -> Micros {
         self.outage.answered_at
     }
 
-    /// When a call was last weighed for it.
+    /// Returns when slow start last decided on a call to the route.
     pub(crate) fn checked_at(&self) -> Micros {
         self.slow_start.checked_at()
     }
 
-    /// When its limit was last seen used up.
+    /// Returns when the limit was last seen used up.
     pub(crate) fn short_at(&self) -> Option<Micros> {
         self.quota.short_at()
     }
 
-    /// When its send rate allows a call.
+    /// Returns when the send rate next allows a call.
     pub(crate) fn rate_allows_at(&self) -> Micros {
         self.limiter.allows_at()
     }
 
-    /// Whether other senders hold evidence enough that it is unhealthy.
+    /// Returns whether the evidence of other senders suffices to consider the destination unhealthy.
     pub(crate) fn is_reported_unhealthy(&self) -> bool {
         self.outage.reported_unhealthy
     }
 
+    /// Returns the counts that may have to be published to other senders.
     pub(crate) fn failure_counts(&self) -> FailureCounts {
         FailureCounts {
             failures: self.outage.consecutive_failures,
@@ -183,66 +197,72 @@
         }
     }
 
-    /// After how long without an answer a call here is silent.
+    /// Returns how long a call may go without an answer before it counts as silent.
     pub(crate) fn patience(&self, latency_objective: Micros) -> Micros {
         self.outage.latency.longest(latency_objective)
     }
 
-    /// Whether a call that was sent then is past its patience, with no answer to any since.
+    /// Returns whether a call sent at `sent` has had no answer for longer than its latency lets expect, with
+    /// no answer to any other call since it was sent.
     pub(crate) fn is_silent(&self, sent: Micros, latency_objective: Micros, now: Micros) -> bool {
         self.outage.is_silent(sent, latency_objective, now)
     }
 }
 
-/// What it may do.
+/// What may be sent now.
 impl RouteHealth {
-    /// What was transferred of the limit between senders leaves this one such a part of an even share.
+    /// Sets the part of an even share that this sender has after quota was transferred between senders.
     pub(crate) fn set_escrow(&mut self, share: f64) {
         self.quota.set_escrow(share);
     }
 
-    /// What this sender needs of a reported limit with so many queued messages.
+    /// Returns what this sender needs of the reported limit to send `queued` messages.
     pub(crate) fn demand(&self, tick: &Tick, queued: f64) -> Demand {
         self.quota.demand(tick, queued)
     }
 
+    /// Adds the tokens that have accrued at the send rate.
     pub(crate) fn refill_tokens(&mut self, now: Micros) {
         self.limiter.refill(now);
     }
 
+    /// Returns whether the send rate allows a call now.
     pub(crate) fn has_token(&self) -> bool {
         self.limiter.has_token()
     }
 
-    /// Whether the breaker admits a call now.
+    /// Returns whether the circuit breaker admits a call now.
     pub(crate) fn breaker_allows(&mut self, now: Micros) -> bool {
         self.breaker.allows(now)
     }
 }
 
-/// What happens to it.
+/// Calls as they start and end.
 impl RouteHealth {
-    /// A weight goes there, with a call of its own or with another's.
+    /// Records that a message of that weight is sent, in a call of its own or in a batch with others.
     pub(crate) fn record_sent(&mut self, weight: f64, now: Micros) {
         self.slow_start.record_sent(weight, now);
     }
 
+    /// Records that a call starts: it takes a token and may be the trial of a half-open breaker.
     pub(crate) fn call_started(&mut self, call: u64) {
         self.in_flight += 1;
         self.limiter.take_token();
         self.breaker.call_started(call);
     }
 
+    /// Records that a call is no longer in flight.
     pub(crate) fn call_completed(&mut self) {
         self.in_flight -= 1;
     }
 
+    /// Opens the circuit breaker.
     pub(crate) fn open_breaker(&mut self, now: Micros, latency_objective: Micros) {
         self.breaker.open(now, latency_objective);
     }
 
-    /// The first message of a call has an outcome, and with it the call. Latency grows with time-outs too: guards a
-    /// destination that becomes slow against repeats.
+    /// Records the latency of a call when the first of its messages gets an outcome. Time-outs count as
+    /// latency too, so that a destination that becomes slow is not sent the same messages again.
     pub(crate) fn record_latency(&mut self, sent: Micros, outcome: Outcome, now: Micros) {
         self.activating &= !outcome.answered();
         let answered = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::InvalidResponse);
--- a/crates/decision/src/health/outage_detector.rs
+++ b/crates/decision/src/health/outage_detector.rs
@@ -1,4 +1,4 @@
-//! Evidence of an outage, as this sender saw it.
+//! Detection of outages from what this sender observes.
 
 use crate::estimate::AnswerLatency;
 use crate::interface::{Micros, Rules};
@@ -7,72 +7,83 @@
 
 mod state;
 
-/// Consecutive failures, with no success, after which a success is taken for a return from an outage.
+/// Number of consecutive failures after which the next success counts as a return from an outage.
 pub(super) const OUTAGE_FAILURES: u32 = 2;
 
-/// Tells an outage from single faults, from a limit and from a path that loses calls.
+/// Distinguishes an outage from single faults, from a limit and from a path that loses calls.
 ///
 /// *Input*: outcomes of calls and what other senders publish; times in microseconds. *Rule*:
-/// [`OUTAGE_FAILURES`] consecutive failures are an outage, one where the destination is warming up; so are
-/// [`MAX_FAILURES`] rejections that no reported limit explains, over an overload's span. After that span
-/// without a sign of work, one failure makes it suspected. *Guards against* holding back for a fault that is
-/// the path's or one call's, and against a sender of little traffic that never sees a run of failures.
+/// [`OUTAGE_FAILURES`] consecutive failures are an outage, one failure where the destination is warming up;
+/// so are [`MAX_FAILURES`] rejections that no reported limit explains, over an overload span
+/// (`overload_for`). After a span of that length without a sign of work, one failure makes the destination
+/// suspected. *Reason*: a sender must not hold back for a fault of the path or of a single call, and one with
+/// little traffic, which never sees several failures in a row, must still notice an outage.
 #[derive(Debug, Default)]
 pub(super) struct OutageDetector {
+    /// Failures since the last success.
     pub(super) consecutive_failures: u32,
     /// Rejections since the last success.
     pub(super) rejections: u32,
-    /// Consecutive rejections beside which no report showed a limit that was used up.
+    /// Consecutive rejections for which no load report showed the limit as used up.
     pub(super) unattributed_rejections: u32,
-    /// Calls since the last success that found no place for their connection.
+    /// Calls since the last success whose connection was rejected because the endpoint had no free connection
+    /// slot.
     pub(super) connection_rejections: u32,
+    /// When the last rejection was recorded.
     pub(super) rejected_at: Micros,
-    /// When what may be an outage was first seen.
+    /// When the first sign of what may be an outage was seen.
     pub(super) unhealthy_since: Micros,
-    /// When it was last seen to work: a success, or a rejection at its usual limit.
+    /// When the destination was last seen to work: a success, or a rejection at its usual limit.
     pub(super) working_at: Micros,
+    /// When the last call succeeded.
     pub(super) delivered_at: Micros,
+    /// When the last answer arrived.
     pub(super) answered_at: Micros,
+    /// Latency of answers and time-outs.
     pub(super) latency: AnswerLatency,
-    /// When the first connection since the last answer was lost under a call.
+    /// When a connection was lost under a call, for the first time since the last answer.
     pub(super) connection_lost_at: Micros,
-    /// A call timed out that was sent before the last answer.
+    /// A call that was sent before the last answer has timed out.
     pub(super) has_late_call: bool,
-    /// It was unhealthy, or unknown, when it was activated: until it is warm, its outage counts as begun
-    /// then.
+    /// The destination was unhealthy, or unknown, when it was activated: until it is warm, its outage counts
+    /// as begun then.
     pub(super) activated_unhealthy: bool,
-    /// Other senders hold evidence enough that it is unhealthy.
+    /// The evidence of other senders suffices to consider the destination unhealthy.
     pub(super) reported_unhealthy: bool,
 }
 
 impl OutageDetector {
-    /// Consecutive failures that look like an outage. Where it is cold already, one is enough: at
-    /// half-failing destinations successes come between, and the warm-up counts from the end of the outage.
+    /// Returns the number of consecutive failures that indicates an outage. One is enough where the
+    /// destination is still cold: at a destination where half of the calls fail, successes come in between,
+    /// and the warm-up counts from the end of the outage.
     pub(super) fn outage_threshold(&self, is_warming: bool) -> u32 {
         if is_warming { 1 } else { OUTAGE_FAILURES }
     }
 
-    /// Rejections without any success for longer than a limit's span: a destination that is shut shows as
-    /// full.
+    /// Returns whether calls were rejected without any success for longer than a limit's span: a destination
+    /// that is shut appears as one whose limit is used up.
     pub(super) fn is_shut(&self, rules: &Rules, now: Micros) -> bool {
         self.unattributed_rejections >= MAX_FAILURES && now >= self.unhealthy_since + rules.overload_for
     }
 
-    /// A sender that sends little sees no run: one failure, or rejection that nothing explains, with the
-    /// destination not seen to work for an overload's span holds it back until the next success.
+    /// Returns whether the destination is suspected: one failure, or one rejection that nothing explains,
+    /// while the destination was not seen to work for an overload span, holds the sender back until the next
+    /// success. A sender with little traffic sees no consecutive failures that it could count.
     pub(super) fn is_suspected(&self, rules: &Rules, now: Micros) -> bool {
         let failed = self.consecutive_failures + self.unattributed_rejections > 0;
         (self.connection_lost() || failed || self.reported_unhealthy)
             && now >= self.working_at + rules.overload_for
     }
 
-    /// Guards against a destination that takes calls and answers none, whatever the cause, long before
-    /// time-outs show it: a call out past our patience, sent since it last answered. A slow one answers.
+    /// Returns whether a call has had no answer for longer than the latency lets expect, with no answer to
+    /// any other call since it was sent. Detects a destination that accepts calls and answers none, whatever
+    /// the cause, long before time-outs show it. A slow destination is not affected, because it answers.
     pub(super) fn is_silent(&self, sent: Micros, latency_objective: Micros, now: Micros) -> bool {
         sent >= self.answered_at && sent + self.latency.longest(latency_objective) <= now
     }
 
-    /// One table that is full is no outage; nothing but that, time and again, may be one.
+    /// Records a connection rejected for want of a connection slot. One full connection table is not an
+    /// outage; several such rejections with nothing else in between may be one.
     pub(super) fn record_connection_rejection(&mut self) {
         self.connection_rejections += 1;
         if self.connection_rejections >= MAX_FAILURES {
--- a/crates/decision/src/health/outage_detector/state.rs
+++ b/crates/decision/src/health/outage_detector/state.rs
@@ -1,29 +1,32 @@
-//! How it begins, what it shows, and its stored form: nothing is decided here.
+//! Construction of, access to and serialized form of the outage detector; no decisions are made here.
 
 use super::OutageDetector;
 use crate::health::record::RouteHealthRecord;
 use crate::interface::Micros;
 
 impl OutageDetector {
+    /// Creates a detector that has seen nothing but counts the destination as working until now.
     pub(in crate::health) fn new(now: Micros) -> Self {
         Self { working_at: now, delivered_at: now, answered_at: now, ..Self::default() }
     }
 
-    /// Goes on where its last success was that.
+    /// Sets the time of the last success.
     pub(in crate::health) fn restore_success(&mut self, last_success_at: Micros) {
         (self.delivered_at, self.answered_at, self.working_at) =
             (last_success_at, last_success_at, last_success_at);
     }
 
-    /// Neither failed nor rejected since the last success.
+    /// Returns whether no call has failed or been rejected since the last success.
     pub(in crate::health) fn is_clear(&self) -> bool {
         self.consecutive_failures + self.rejections + self.connection_rejections == 0
     }
 
+    /// Returns whether a connection was lost under a call since the last success.
     pub(in crate::health) fn connection_lost(&self) -> bool {
         self.connection_lost_at > self.delivered_at
     }
 
+    /// Records a success, which resets all counts.
     pub(in crate::health) fn record_success(&mut self, now: Micros) {
         (self.delivered_at, self.working_at, self.has_late_call) = (now, now, false);
         (self.consecutive_failures, self.rejections) = (0, 0);
@@ -31,7 +34,7 @@
     }
 }
 
-/// The stored form.
+/// Serialized form.
 impl OutageDetector {
     pub(in crate::health) fn load(record: &RouteHealthRecord) -> Self {
         Self {
--- a/crates/decision/src/health/quota_share.rs
+++ b/crates/decision/src/health/quota_share.rs
@@ -1,4 +1,4 @@
-//! This sender's share of a reported limit.
+//! This sender's share of a limit that all senders share.
 
 use crate::interface::Micros;
 
@@ -7,128 +7,139 @@
 
 mod state;
 
-/// Smoothed share of a limit left at which its destination has headroom. Within a span the share falls
-/// evenly, so that half is left on average at a destination that is used to its limit.
+/// Smoothed remaining share of a limit from which on the destination has headroom. Within a limit's span the
+/// remaining share falls evenly, so that it is half on average at a destination that is used up to its limit.
 const HEADROOM_REMAINING: f64 = 0.6;
-/// Of an even share: ours while the last report shows that nothing is left, so that what went beyond the
-/// limit is made up for.
+/// Part of an even share that this sender uses while the last report shows that nothing remains; less than
+/// the even share, to make up for what went beyond the limit.
 const SCARCE_SHARE: f64 = 0.75;
-/// Ours else, and where nothing but the limit itself is known.
+/// Part of an even share that this sender uses otherwise, and where only the limit itself is known.
 const NORMAL_SHARE: f64 = 0.9;
-/// Ours at most while shortages are seen.
+/// Largest multiple of an even share that this sender uses while shortages are observed.
 const MAX_SHARE: f64 = 3.0;
-/// Growth of our share in a latency objective's time where all is left.
+/// Growth of this sender's share per latency objective where all of the limit remains.
 const SHARE_GROWTH: f64 = 0.8;
-/// Share left from which on ours grows.
+/// Remaining share of the limit above which this sender's share grows.
 const AMPLE_REMAINING: f64 = 0.5;
-/// Calls in a latency objective's time that are ours in any case, up to our most, while no shortage is seen.
-const CALLS_IN_AN_OBJECTIVE: f64 = 2.0;
-/// So many latency objectives without a shortage are long.
+/// Calls per latency objective that this sender may make in any case, up to [`MAX_SHARE`], while no shortage
+/// is observed.
+const MIN_CALLS_PER_OBJECTIVE: f64 = 2.0;
+/// Number of latency objectives after which a shortage no longer counts as recent.
 pub(crate) const CALM_OBJECTIVES: Micros = 2;
-/// Where less is left, a limit was used up.
+/// Remaining share below which a limit counts as used up.
 const EXHAUSTED_BELOW: f64 = 0.1;
-/// A limit that falls below such a part of the one before was lowered.
-const LOWERED: f64 = 0.75;
-/// Where so much of a limit is left, it is not for the limit that a call is rejected.
-const UNUSED_ABOVE: f64 = 0.75;
-/// A limit further than this factor from the one before takes the send rate along.
-const RATE_FOLLOWS: f64 = 2.0;
-/// Largest and smallest limit to be believed, as multiples of the listed one.
-const BELIEVABLE: std::ops::RangeInclusive<f64> = 1.0 / 16.0..=4.0;
+/// A new limit below this part of the previous one counts as lowered, which is a shortage.
+const LOWERED_BELOW_FACTOR: f64 = 0.75;
+/// Remaining share from which on a rejection is not attributed to the limit.
+const UNUSED_LIMIT_ABOVE: f64 = 0.75;
+/// Factor between the new and the previous limit beyond which the send rate is scaled with the limit.
+const RATE_SCALING_FACTOR: f64 = 2.0;
+/// Range of plausible limits, as multiples of the listed limit.
+const PLAUSIBLE_LIMIT_FACTORS: std::ops::RangeInclusive<f64> = 1.0 / 16.0..=4.0;
 
-/// Keeps to this sender's share of a limit that reports or the endpoint list state for all senders together.
+/// Keeps this sender within its share of a limit that load reports or the endpoint list state for all senders
+/// together.
 ///
-/// *Input*: the limit in calls a second, the share of it that reports say is left, and quota transferred
-/// between senders. *Rule*: an even share times a factor. The factor is [`SCARCE_SHARE`] while nothing is
-/// left; it grows while reports show much left and fades with their age; and it is without bound but a
-/// quarter of the limit where no shortage was seen for long. Beyond [`NORMAL_SHARE`] only what has to go in
-/// time goes. *Guards against* many senders that each see little of a limit: rejected calls use it up, so
-/// that all who keep to it are rejected with those who don't. It costs rejections where all senders have much
+/// *Input*: the limit in calls a second, the share of it that remains according to reports, and quota
+/// transferred between senders. *Rule*: an even share times a factor. The factor is [`SCARCE_SHARE`] while
+/// nothing remains; it grows while reports show that much remains, and that growth fades with the age of the
+/// last report; where no shortage was observed for long, only a quarter of the limit bounds it. Beyond
+/// [`NORMAL_SHARE`] only the rate is used that the queued messages need to be delivered in time. *Reason*:
+/// many senders that each see little of a limit exceed it together, and rejected calls use it up, so that
+/// senders that keep to it are rejected with those that do not. Costs rejections where all senders have much
 /// to send at once after they had little.
 #[derive(Debug)]
 pub(super) struct QuotaShare {
-    /// Calls a second from all senders that reports or the list state; 0 where nothing does.
+    /// Limit for all senders together, in calls a second, from load reports or the endpoint list; 0 if
+    /// neither states one.
     limit: f64,
-    /// The same from the list alone.
+    /// The limit that the endpoint list alone states.
     listed_limit: f64,
-    /// Share of the limit that reports say is left, smoothed.
+    /// Share of the limit that remains according to reports, smoothed.
     remaining: f64,
-    /// The same as the last report showed it.
+    /// Share of the limit that remained according to the last report.
     last_report: RemainingCapacity,
-    /// How far our share was raised, as a logarithm.
+    /// How far this sender's share was raised or lowered, as a natural logarithm of the factor.
     log_boost: f64,
-    /// When the limit was last seen used up.
+    /// When a shortage was last observed: the limit was used up or lowered, or a call was rejected.
     short_at: Option<Micros>,
-    /// When a report last showed a limit most of which was used up.
+    /// When a report last showed less than [`UNUSED_LIMIT_ABOVE`] of the limit remaining.
     used_up_at: Micros,
-    /// What is known is an earlier process's.
+    /// The state comes from an earlier process, and nothing has confirmed it since.
     restored: bool,
-    /// The moment of the first call after a restart was drawn.
+    /// The random moment of the first call after a restart has been drawn.
     first_call_drawn: bool,
-    /// Our part of an even share, with what was transferred.
+    /// Part of an even share that this sender has, including transferred quota.
     escrow: EscrowShare,
 }
 
 impl QuotaShare {
-    /// What is known is an earlier process's. Limits are lowered while a process is down; the list promises
-    /// what holds in any case.
+    /// Continues from the snapshot of an earlier process. Limits may be lowered while a process is down, so
+    /// the limit is bounded by the listed one, which holds in any case.
     pub(super) fn restore(&mut self, short_at: Option<Micros>) {
         (self.restored, self.short_at) = (true, short_at);
         self.limit = if self.listed_limit > 0.0 { self.limit.min(self.listed_limit) } else { self.limit };
     }
 
-    /// Whether reports say that the senders together leave room below the limit.
+    /// Returns whether, according to reports, the senders together stay well below the limit.
     pub(super) fn has_headroom(&self) -> bool {
         self.limit > 0.0 && self.remaining >= HEADROOM_REMAINING
     }
 
-    /// Guards against reports that can't be meant: the list is rough, and limits are lowered for a while, but
-    /// not by more than this.
-    pub(super) fn believes(&self, limit: f64) -> bool {
-        let (least, most) = (self.listed_limit * BELIEVABLE.start(), self.listed_limit * BELIEVABLE.end());
+    /// Returns whether a reported limit is plausible: the listed limit is approximate, and limits are lowered
+    /// for a while, but never by more than [`PLAUSIBLE_LIMIT_FACTORS`] allows. Rejects reports that are
+    /// evidently wrong.
+    pub(super) fn is_plausible(&self, limit: f64) -> bool {
+        let (least, most) = (
+            self.listed_limit * PLAUSIBLE_LIMIT_FACTORS.start(),
+            self.listed_limit * PLAUSIBLE_LIMIT_FACTORS.end(),
+        );
         limit > 0.0 && (self.listed_limit == 0.0 || (least..=most).contains(&limit))
     }
 
-    /// The factor by which the send rate has to follow a new limit, where that is far from the one before.
+    /// Returns the factor by which the send rate has to be scaled for a new limit, if that is far from the
+    /// previous one.
     pub(super) fn rate_factor(&self, limit: f64) -> Option<f64> {
-        let near = self.limit / RATE_FOLLOWS..=self.limit * RATE_FOLLOWS;
+        let near = self.limit / RATE_SCALING_FACTOR..=self.limit * RATE_SCALING_FACTOR;
         (self.limit > 0.0 && !near.contains(&limit)).then(|| limit / self.limit)
     }
 
-    /// The limit is that from now on; returns whether it was lowered by much, which is a shortage.
+    /// Sets the limit; returns whether it was lowered so far that this counts as a shortage.
     pub(super) fn set_limit(&mut self, limit: f64) -> bool {
-        limit < LOWERED * std::mem::replace(&mut self.limit, limit)
+        limit < LOWERED_BELOW_FACTOR * std::mem::replace(&mut self.limit, limit)
     }
 
-    /// The limit is used up, or was lowered.
+    /// Records that the limit is used up or was lowered.
     pub(super) fn record_shortage(&mut self, now: Micros) {
         self.log_boost = self.log_boost.min((SCARCE_SHARE / NORMAL_SHARE).ln());
         self.short_at = Some(now);
     }
 
+    /// Records a rejected call, which is a shortage too.
     pub(super) fn record_rejection(&mut self, now: Micros) {
         (self.log_boost, self.short_at) = (self.log_boost.min(0.0), Some(now));
     }
 
-    /// A report says what is left of the limit, which it may have lowered.
+    /// Records the share of the limit that remains according to a report, which may have lowered the limit.
     pub(super) fn observe(&mut self, left: f64, lowered: bool, latency_objective: Micros, now: Micros) {
         self.remaining += (left - self.remaining) / 8.0;
         let objective = latency_objective.max(1) as f64;
-        let seen = now.saturating_sub(self.last_report.at).min(latency_objective / 2) as f64 / objective;
-        let much = ((left - AMPLE_REMAINING) / (1.0 - AMPLE_REMAINING)).max(0.0);
+        let since_report =
+            now.saturating_sub(self.last_report.at).min(latency_objective / 2) as f64 / objective;
+        let excess = ((left - AMPLE_REMAINING) / (1.0 - AMPLE_REMAINING)).max(0.0);
         let most = (MAX_SHARE / NORMAL_SHARE).ln();
-        self.log_boost = (self.log_boost + SHARE_GROWTH * seen * much).min(most);
+        self.log_boost = (self.log_boost + SHARE_GROWTH * since_report * excess).min(most);
         if left < EXHAUSTED_BELOW || lowered {
             self.record_shortage(now);
         }
         (self.last_report, self.restored) = (RemainingCapacity { share: left, at: now }, false);
-        if left < UNUSED_ABOVE {
+        if left < UNUSED_LIMIT_ABOVE {
             self.used_up_at = now;
         }
     }
 
-    /// Calls a second that are ours, with so many messages queued at a destination that may be cold; none
-    /// where nothing has to be shared.
+    /// Returns the calls a second that this sender may make with `queued` messages waiting for a destination
+    /// that may be cold; `None` where nothing has to be shared.
     pub(super) fn rate(&self, tick: &Tick, queued: f64, cold: bool) -> Option<f64> {
         let Tick { settings, now, latency_objective, .. } = *tick;
         if self.limit <= 0.0 || settings.senders <= SMALL_FLEET_SENDERS {
@@ -142,28 +153,35 @@
         if age < latency_objective && self.last_report.share < EXHAUSTED_BELOW {
             return Some(even * SCARCE_SHARE);
         }
-        let in_an_objective = even * (latency_objective.max(1) as f64 / 1e6);
-        let most = self.most(tick, in_an_objective, cold);
-        let needed = 2.0 * queued.max(1.0) / in_an_objective;
+        let calls_per_objective = even * (latency_objective.max(1) as f64 / 1e6);
+        let most = self.max_share(tick, calls_per_objective, cold);
+        let needed = 2.0 * queued.max(1.0) / calls_per_objective;
         Some(even * needed.clamp(NORMAL_SHARE.min(most), most))
     }
 
-    /// Our share at most, in even shares, of which each allows so many calls in a latency objective's time.
-    fn most(&self, tick: &Tick, in_an_objective: f64, cold: bool) -> f64 {
+    /// Returns the most that this sender may use, as a multiple of an even share; an even share allows
+    /// `calls_per_objective` calls per latency objective.
+    fn max_share(&self, tick: &Tick, calls_per_objective: f64, cold: bool) -> f64 {
         let Tick { settings, now, latency_objective, .. } = *tick;
         let age = now.saturating_sub(self.last_report.at);
-        let fade = (-(age as f64) / latency_objective as f64).exp();
-        let boosted = NORMAL_SHARE * (self.log_boost * fade).exp();
-        let calm = now.saturating_sub(self.short_at.unwrap_or(0));
+        let decay = (-(age as f64) / latency_objective as f64).exp();
+        let boosted = NORMAL_SHARE * (self.log_boost * decay).exp();
+        let since_shortage = now.saturating_sub(self.short_at.unwrap_or(0));
         if cold {
             return boosted.min(NORMAL_SHARE);
         }
-        if self.short_at.is_some() && calm < latency_objective {
+        if self.short_at.is_some() && since_shortage < latency_objective {
             return boosted;
         }
-        let any = (CALLS_IN_AN_OBJECTIVE / in_an_objective).clamp(NORMAL_SHARE, MAX_SHARE).max(boosted);
-        let long_calm = self.short_at.is_none() || calm > CALM_OBJECTIVES * latency_objective;
-        let plenty = self.last_report.share > AMPLE_REMAINING || self.last_report.at == 0;
-        if long_calm && plenty { any.max(settings.senders as f64 / 4.0) } else { any }
+        let without_shortage =
+            (MIN_CALLS_PER_OBJECTIVE / calls_per_objective).clamp(NORMAL_SHARE, MAX_SHARE).max(boosted);
+        let no_recent_shortage =
+            self.short_at.is_none() || since_shortage > CALM_OBJECTIVES * latency_objective;
+        let ample = self.last_report.share > AMPLE_REMAINING || self.last_report.at == 0;
+        if no_recent_shortage && ample {
+            without_shortage.max(settings.senders as f64 / 4.0)
+        } else {
+            without_shortage
+        }
     }
 }
--- a/crates/decision/src/health/quota_share/state.rs
+++ b/crates/decision/src/health/quota_share/state.rs
@@ -1,4 +1,4 @@
-//! How it begins, what it shows, and its stored form: nothing is decided here.
+//! Construction of, access to and serialized form of the quota share; no decisions are made here.
 
 use super::{CALM_OBJECTIVES, QuotaShare};
 use crate::health::record::{EscrowShare, RemainingCapacity, RouteHealthRecord};
@@ -6,7 +6,7 @@
 use crate::interface::{Micros, Settings};
 
 impl QuotaShare {
-    /// With the limit that the endpoint list promises; 0 where it promises none.
+    /// Creates a share of the limit that the endpoint list states; 0 if it states none.
     pub(in crate::health) fn listed(limit: f64) -> Self {
         Self {
             limit,
@@ -22,70 +22,79 @@
         }
     }
 
-    /// With a limit that was known before an idle time; 0 where none was.
+    /// Continues with the limit that was known before the destination became idle; 0 if none was.
     pub(in crate::health) fn retain_limit(&mut self, limit: f64) {
         self.limit = if limit > 0.0 { limit } else { self.limit };
     }
 
-    /// A call of this process went well, so that not all is an earlier process's.
+    /// Records that a call of this process succeeded: the state no longer comes from an earlier process
+    /// alone.
     pub(in crate::health) fn confirm(&mut self) {
         self.restored = false;
     }
 
-    /// Whether the moment of the first call after a restart has to be drawn, which it is once.
+    /// Returns whether the random moment of the first call after a restart is still to be drawn; true once
+    /// only.
     pub(in crate::health) fn take_first_draw(&mut self) -> bool {
         self.restored && !std::mem::replace(&mut self.first_call_drawn, true)
     }
 
+    /// Returns the limit for all senders together, in calls a second; 0 if none is known.
     pub(in crate::health) fn limit(&self) -> f64 {
         self.limit
     }
 
+    /// Returns the limit that the endpoint list states; 0 if it states none.
     pub(in crate::health) fn listed_limit(&self) -> f64 {
         self.listed_limit
     }
 
-    /// The list states that limit from now on.
+    /// Sets the limit that the endpoint list states from now on.
     pub(in crate::health) fn list_limit(&mut self, limit: f64) {
         (self.listed_limit, self.limit) = (limit, limit);
     }
 
+    /// Sets the part of an even share that this sender has, including transferred quota.
     pub(in crate::health) fn set_escrow(&mut self, share: f64) {
         self.escrow.0 = share;
     }
 
+    /// Returns when a shortage was last observed.
     pub(in crate::health) fn short_at(&self) -> Option<Micros> {
         self.short_at
     }
 
+    /// Returns when the last load report was received.
     pub(in crate::health) fn reported_at(&self) -> Micros {
         self.last_report.at
     }
 
-    /// Whether a report of just now shows that most of the limit is used up.
+    /// Returns whether a report received in this tick shows a limit that is used up enough to explain a
+    /// rejection.
     pub(in crate::health) fn was_used_up_at(&self, now: Micros) -> bool {
         self.used_up_at == now
     }
 
-    /// An even share of the limit, in calls a second.
+    /// Returns an even share of the limit, in calls a second.
     pub(in crate::health) fn even_share(&self, settings: &Settings) -> f64 {
         self.limit / settings.senders as f64
     }
 
-    /// What this sender needs of the limit with so many queued messages, at twice the rate that empties the queue in time.
+    /// Returns what this sender needs of the limit: twice the rate that sends the queued messages within the
+    /// latency objective.
     pub(in crate::health) fn demand(&self, tick: &Tick, queued: f64) -> Demand {
         let even = self.even_share(tick.settings);
         if even <= 0.0 {
             return Demand { shares: 0.0, is_short: false };
         }
         let objective = tick.latency_objective.max(1) as f64;
-        let calm = CALM_OBJECTIVES * tick.latency_objective;
-        let is_short = self.short_at.is_some_and(|at| tick.now < at + calm);
+        let recent = CALM_OBJECTIVES * tick.latency_objective;
+        let is_short = self.short_at.is_some_and(|at| tick.now < at + recent);
         Demand { shares: 2.0 * queued * 1e6 / (even * objective), is_short }
     }
 }
 
-/// The stored form.
+/// Serialized form.
 impl QuotaShare {
     pub(in crate::health) fn load(record: &RouteHealthRecord) -> Self {
         Self {
--- a/crates/decision/src/health/record.rs
+++ b/crates/decision/src/health/record.rs
@@ -1,5 +1,6 @@
-//! The stored form of a route's health. It is part of the state that one process hands to the next, where fields go by
-//! their names: these names and their order are a format, and stay whatever the fields in memory are called.
+//! Serialized form of a route's health. It is part of the state that a process hands over to its successor,
+//! which finds the fields by name. The names and their order are therefore a format: they stay as they are,
+//! whatever the fields in memory are called.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +13,8 @@
 use crate::estimate::{AnswerLatency, DecayingRate, SentWindow, SuccessRate, TokenBucket};
 use crate::interface::Micros;
 
-/// All fields of [`RouteHealth`]; as new where an older process lacks one. The components say what each means.
+/// All fields of [`RouteHealth`]; a field that an older process did not write gets the value of a new route.
+/// The fields are documented at the types that own them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(super) struct RouteHealthRecord {
@@ -56,7 +58,8 @@
     pub share: EscrowShare,
 }
 
-/// A share of an even share, with what senders transferred to one another.
+/// Part of an even share that this sender has, including quota transferred between senders; 1 without
+/// transfers.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub(super) struct EscrowShare(pub f64);
 
@@ -66,13 +69,14 @@
     }
 }
 
-/// Share of a limit that a report showed as left, and when; stored as a pair.
+/// Share of a limit that a report showed as remaining, and when it was received; stored as a pair.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
 pub(super) struct RemainingCapacity {
-    /// From 0 to 1.
+    /// Between 0 and 1.
     #[serde(rename = "left")]
     pub share: f64,
+    /// When the report was received.
     pub at: Micros,
 }
 
--- a/crates/decision/src/health/restore.rs
+++ b/crates/decision/src/health/restore.rs
@@ -1,4 +1,4 @@
-//! How a route goes on after its destination was idle, or with what an earlier process knew.
+//! How a route continues after its destination was idle, or from a predecessor's snapshot.
 
 use idle_destinations::{Condition, RetainedHealth};
 
@@ -10,9 +10,10 @@
 use crate::interface::{Micros, RouteSnapshot, Rules};
 
 impl RouteHealth {
-    /// With what is retained of it, and what the list promises. Guards against pushing over what changed
-    /// while it was idle: what was unhealthy, or is unknown by now, gets one call first, its trial, and then
-    /// slow start; what rejected gets one call at a time until it takes one. It costs those their time that
+    /// Creates a route from what was retained of it and from its entry in the endpoint list. A destination
+    /// that was unhealthy, or of which nothing is known any more, gets one call first (its trial) and then
+    /// slow start; one that rejected calls gets one call at a time until it accepts one. This keeps a
+    /// destination that changed while it was idle from being overloaded. Costs delay for destinations that
     /// are healthy again.
     pub(crate) fn activated(
         retained: Option<RetainedHealth>,
@@ -37,9 +38,9 @@
         route
     }
 
-    /// With what an earlier process observed: breaker, slow start and shortage go on where they were. Guards
-    /// partners against a fleet that restarts and would find it out anew at their cost. It harms where all is
-    /// well again.
+    /// Creates a route from the snapshot of an earlier process: breaker, slow start and shortage continue
+    /// where they were. Otherwise a restarted fleet would find out everything again at the partners' expense.
+    /// Costs delay where all is healthy again.
     pub(crate) fn restored(
         snapshot: &RouteSnapshot,
         listed: ListedLimit,
--- a/crates/decision/src/health/slow_start.rs
+++ b/crates/decision/src/health/slow_start.rs
@@ -9,44 +9,50 @@
 
 pub(super) use state::ColdCapacity;
 
-/// Part of the load that a cold destination bears which this sender allows itself.
+/// Part of the load that a cold destination can take which this sender allows itself.
 const SAFETY_MARGIN: f64 = 0.9;
-/// Where the window takes less than a whole call, single calls are spaced at random instead.
+/// Allowance in calls per overload span below which single calls are spaced at random instead; 1 with a
+/// margin for rounding.
 const WHOLE_CALL: f64 = 0.999;
 
-/// Limits calls to a destination that may be cold to what it bears while it warms up.
+/// Limits calls to a destination that may be cold to what it can take while it warms up.
 ///
-/// *Input*: when the destination came back, its success rate before, each weight that is sent. *Rule*: the
-/// share of capacity to count on rises evenly from the rules' `cold_share` to 1 within `warm_within`. Calls a
-/// second are `overload_multiple * share * own rate *` [`SAFETY_MARGIN`]; what was sent within the last
-/// `overload_for` stays below that. Where this is under a call, single calls go at random moments at that
-/// rate. *Guards against* pushing a destination back into the outage that it returns from.
+/// *Input*: when the destination came back, its success rate before, and the weight of each message sent.
+/// *Rule*: the share of capacity to count on rises linearly from the setting `cold_share` to 1 within
+/// `warm_within`. The allowed calls a second are `overload_multiple * share * own rate *` [`SAFETY_MARGIN`];
+/// the weight sent within the last `overload_for` stays below that. Where this is less than one call, single
+/// calls go at random moments at that rate. *Reason*: a destination that returns from an outage must not be
+/// pushed back into it.
 #[derive(Debug)]
 pub(super) struct SlowStart {
-    /// When a destination back from an outage first answered.
+    /// When the destination first answered after an outage.
     cold_since: Option<Micros>,
-    /// Calls a second that were allowed at the last look.
+    /// Calls a second that were allowed at the last check.
     rate: f64,
-    /// Calls at that rate until the next single call may go; 0 while none is awaited.
+    /// How far the next single call is away, in calls at that rate; 0 while none is scheduled.
     calls_until_next: f64,
+    /// When the last check took place.
     checked_at: Micros,
+    /// Weight sent within the last overload span.
     sent: SentWindow,
+    /// Rate of successful calls while the destination was warm.
     successes: SuccessRate,
 }
 
 impl SlowStart {
-    /// Share of the capacity to count on, if it came back lately.
+    /// Returns the share of the capacity to count on, if the destination is still warming up.
     pub(super) fn warm_share(&self, rules: &Rules, now: Micros) -> Option<f64> {
         let warm = now.saturating_sub(self.cold_since?) as f64 / rules.warm_within.max(1) as f64;
         (warm < 1.0).then_some(rules.cold_share + (1.0 - rules.cold_share) * warm)
     }
 
-    /// Whether it came back so lately that it is still warming up.
+    /// Returns whether the destination returned so recently that it is still warming up.
     pub(super) fn is_warming(&self, rules: &Rules, now: Micros) -> bool {
         self.cold_since.is_some_and(|since| now < since + rules.warm_within)
     }
 
-    /// Whether a further weight may go to a destination that is as cold as that, or warm.
+    /// Returns whether a further call of that weight may go to a destination of that cold capacity; `None`
+    /// stands for a warm one.
     pub(super) fn allows(&mut self, cold: Option<ColdCapacity>, tick: &Tick, weight: f64) -> bool {
         let (rules, now) = (&tick.settings.rules, tick.now);
         self.sent.forget_before(rules.overload_for, now);
@@ -65,7 +71,8 @@
         self.single_call_due(last_checked_at, now, tick.jitter)
     }
 
-    /// Counts down to the next single call, or draws when it goes.
+    /// Counts down to the next single call, or draws its moment if none is scheduled; returns whether it is
+    /// due.
     fn single_call_due(&mut self, last_checked_at: Micros, now: Micros, jitter: f64) -> bool {
         if self.calls_until_next <= 0.0 {
             self.calls_until_next = 2.0 * jitter;
--- a/crates/decision/src/health/slow_start/state.rs
+++ b/crates/decision/src/health/slow_start/state.rs
@@ -1,19 +1,20 @@
-//! How it begins, what it shows, and its stored form: nothing is decided here.
+//! Construction of, access to and serialized form of slow start; no decisions are made here.
 
 use super::SlowStart;
 use crate::estimate::{SentWindow, SuccessRate};
 use crate::health::record::RouteHealthRecord;
 use crate::interface::{Micros, Rules};
 
-/// What a cold destination can be counted on for.
+/// Capacity of a cold destination to count on.
 pub(in crate::health) struct ColdCapacity {
-    /// Share of its usual capacity, from 0 to 1.
+    /// Share of its usual capacity, between 0 and 1.
     pub share: f64,
-    /// This sender's usual traffic to it, in calls a second.
+    /// This sender's usual traffic to the destination, in calls a second.
     pub own_rate: f64,
 }
 
 impl SlowStart {
+    /// Creates the slow start of a destination that counts as warm.
     pub(in crate::health) fn new(now: Micros) -> Self {
         Self {
             cold_since: None,
@@ -25,46 +26,48 @@
         }
     }
 
-    /// When a destination back from an outage first answered.
+    /// Returns when the destination first answered after an outage.
     pub(in crate::health) fn cold_since(&self) -> Option<Micros> {
         self.cold_since
     }
 
-    /// It is back from an outage since then, or was never in one.
+    /// Sets when the destination first answered after an outage; `None` if it was never in one.
     pub(in crate::health) fn set_cold_since(&mut self, since: Option<Micros>) {
         self.cold_since = since;
     }
 
-    /// Calls a second that were served while the destination was warm.
+    /// Returns the rate of successful calls while the destination was warm, in calls a second.
     pub(in crate::health) fn usual_rate(&self, rules: &Rules) -> f64 {
         self.successes.rate(rules.overload_for)
     }
 
-    /// The usual rate as an earlier process knew it.
+    /// Continues with the usual rate that an earlier process observed or that was retained.
     pub(in crate::health) fn restore_rate(&mut self, rate: f64, rules: &Rules, now: Micros) {
         self.successes = SuccessRate::at_rate(rate, rules.warm_within, rules.overload_for, now);
     }
 
+    /// Records a successful call; the time since the previous one counts only if the destination was warm.
     pub(in crate::health) fn record_success(&mut self, rules: &Rules, warm: bool, now: Micros) {
         self.successes.record(now, rules.warm_within, warm);
     }
 
+    /// Records the weight of a message that is sent.
     pub(in crate::health) fn record_sent(&mut self, weight: f64, now: Micros) {
         self.sent.push(now, weight);
     }
 
-    /// Weight sent within the last span, and when the last of it was.
+    /// Returns the weight sent within the last `span`, and when the last of it was sent.
     pub(in crate::health) fn recently_sent(&self, span: Micros, now: Micros) -> (f64, Micros) {
         self.sent.recent(span, now)
     }
 
-    /// When a call was last weighed.
+    /// Returns when the last check took place.
     pub(in crate::health) fn checked_at(&self) -> Micros {
         self.checked_at
     }
 }
 
-/// The stored form.
+/// Serialized form.
 impl SlowStart {
     pub(in crate::health) fn load(record: &RouteHealthRecord) -> Self {
         Self {
--- a/crates/decision/src/health/snapshot.rs
+++ b/crates/decision/src/health/snapshot.rs
@@ -1,5 +1,6 @@
-//! What is kept of a route's health, while its destination is idle and over the end of the process. It shows what was
-//! observed and decides nothing: how a route goes on with it is [`RouteHealth::restored`]'s.
+//! The part of a route's health that is retained while its destination is idle, and the part that is kept
+//! after the end of the process. This file exports observations and decides nothing: how a route continues
+//! from them is decided in [`RouteHealth::restored`].
 
 use idle_destinations::{Condition, RetainedHealth};
 
@@ -7,7 +8,7 @@
 use crate::interface::{Micros, RouteSnapshot, Rules};
 
 impl RouteHealth {
-    /// What is retained of it while its destination is idle.
+    /// Returns what is retained while the destination is idle.
     pub(crate) fn retained(&self, rules: &Rules, now: Micros) -> RetainedHealth {
         let unhealthy = self.is_unhealthy(rules, now);
         let rejected = if self.is_rejecting() { Condition::Rejecting } else { Condition::Healthy };
@@ -23,12 +24,12 @@
         }
     }
 
-    /// All that is to be known of it after the end of the process.
+    /// Returns all that is kept after the end of the process.
     pub(crate) fn snapshot(&self, rules: &Rules, now: Micros) -> RouteSnapshot {
         let retained = self.retained(rules, now);
         let trial_at = self.breaker.trial_at();
-        // One that goes on at once is no further than it was: a failure or two are no outage. An idle one gets a trial
-        // first.
+        // One or two failures are not an outage: a successor that continues at once must not be stricter than
+        // this process is. An idle destination, in contrast, gets a trial call first.
         let in_outage = self.in_outage(rules, now);
         let condition = match retained.condition {
             Condition::Failing if !in_outage && self.is_rejecting() => Condition::Rejecting,
@@ -48,7 +49,7 @@
     }
 }
 
-/// The part of a snapshot that is retained of an idle destination.
+/// Returns the part of a snapshot that is retained for an idle destination.
 pub(crate) fn to_retained(snapshot: &RouteSnapshot) -> RetainedHealth {
     RetainedHealth {
         wait_until: snapshot.wait_until,
@@ -62,7 +63,7 @@
     }
 }
 
-/// A snapshot that knows no more than what was retained.
+/// Returns a snapshot that holds only what was retained for an idle destination.
 pub(crate) fn from_retained(retained: RetainedHealth) -> RouteSnapshot {
     RouteSnapshot {
         wait_until: retained.wait_until,
--- a/crates/decision/src/health/tests.rs
+++ b/crates/decision/src/health/tests.rs
@@ -1,10 +1,11 @@
-//! Tests of a route's health that need no policy round it.
+//! Unit tests of a route's health, without a policy around it.
 
 use super::*;
 use crate::test_support::settings;
 
-/// A route that rejected so often, half a second apart, before a rejection at the limit that is reported, and then served.
-fn served_after(rejections: u32, reported: bool) -> RouteHealth {
+/// Returns a route whose calls were rejected `rejections` times, half a second apart, then once with a report
+/// of a used-up limit, and then succeeded. With `reported`, every rejection comes with such a report.
+fn route_after_rejections(rejections: u32, reported: bool) -> RouteHealth {
     let settings = settings::settings();
     let latency_objective = settings.shortest_latency_objective();
     let tick = |now| Tick { settings: &settings, now, latency_objective, jitter: 0.5 };
@@ -23,11 +24,15 @@
     route
 }
 
-/// Guards a destination that was shut: that it rejects at its usual limit again does not make it warm.
+/// A destination that was shut counts as cold when it returns. A further rejection at its usual limit, after
+/// the outage, does not make it warm.
 #[test]
-fn a_rejection_at_the_limit_does_not_undo_an_outage() {
+fn rejection_at_limit_does_not_clear_outage() {
     let cold_since = |route: RouteHealth| route.slow_start.cold_since();
-    assert!(cold_since(served_after(MAX_FAILURES + 3, false)).is_some());
-    assert!(cold_since(served_after(MAX_FAILURES + 3, true)).is_none(), "its limit alone is no outage");
-    assert!(cold_since(served_after(1, false)).is_none());
+    assert!(cold_since(route_after_rejections(MAX_FAILURES + 3, false)).is_some());
+    assert!(
+        cold_since(route_after_rejections(MAX_FAILURES + 3, true)).is_none(),
+        "its limit alone is no outage"
+    );
+    assert!(cold_since(route_after_rejections(1, false)).is_none());
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a relay: senders that take messages and deliver them to destinations that nobody
-//! here controls. A three-state circuit breaker per destination decides the ordinary path; the module does
-//! no I/O, knows no clock but that of its events, and shares nothing between instances.
+//! Delivery decisions of a sender, which accepts messages and delivers them to destinations that other
+//! organisations operate. A three-state circuit breaker per destination guards the normal path. The crate
+//! does no I/O, reads no clock (the time comes with the events) and shares nothing between instances.
 //!
-//! A sender tells [`policy::Policy::handle`] what happened and carries out the actions it gets back:
+//! The caller passes what happened to [`policy::Policy::handle`] and carries out the actions that it returns:
 //!
 //! ```
 //! use decision::interface::*;
@@ -28,14 +28,14 @@
 //! for action in actions.drain(..) {
 //!     match action {
 //!         Action::Attempt { message, endpoint, timeout, .. } => {
-//!             println!("call {endpoint:?} with {message:?}, wait {timeout} microseconds at most");
+//!             println!("call {endpoint:?} with {message:?}, time-out {timeout} us");
 //!         }
 //!         Action::SetTimer { at, token } => println!("send Event::TimerFired({token}) at {at}"),
 //!         other => println!("{other:?}"),
 //!     }
 //! }
 //!
-//! // Later the answer comes. It is terminal: the sender has answered the client.
+//! // The answer arrives later. It is terminal: the sender has given the client its final answer.
 //! now += 200_000;
 //! let answer = Event::AttemptCompleted {
 //!     message: MessageId(1), attempt: 0, endpoint, outcome: Outcome::Delivered,
