--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,6 +1,6 @@
-//! The module's interface: settings, events and actions as plain data.
+//! The interface of the crate: settings, events and actions as plain data.
 //!
-//! Times are microseconds on the clock of the events; the module knows no other clock.
+//! Times are in microseconds on the clock of the events, the only clock that the crate knows.
 
 mod action;
 mod endpoint_list;
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -1,63 +1,64 @@
-//! What the sender is to do.
+//! What the caller has to do.
 
 use super::{EndpointId, MessageId, Micros};
 
-/// What the sender is to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call an endpoint with the message.
+    /// Call an endpoint with a message.
     Attempt {
         /// The message.
         message: MessageId,
-        /// Where to.
+        /// The endpoint to call.
         endpoint: EndpointId,
         /// Time-out of the attempt.
         timeout: Micros,
-        /// Its last byte leaves within that time or not at all.
+        /// The last byte of the request has to be sent within this time, or the request not at all.
         send_within: Micros,
-        /// The call's last byte goes so long after the others, so that a connection that is lost shows before.
+        /// Delay of the last byte of the request after the others, so that a lost connection is noticed
+        /// before it is sent.
         last_byte_delay: Micros,
-        /// Over a connection of its own, not over one that was kept.
+        /// Open a new connection instead of reusing one.
         new_connection: bool,
     },
-    /// Final answer: handed back; handing it in again is harmless.
+    /// Final answer: the message is rejected; submitting it again is safe.
     Reject {
         /// The message.
         message: MessageId,
-        /// Advice on when to return; 0 for none.
+        /// Time after which the client should submit it again; 0 if none is advised.
         retry_after: Micros,
     },
-    /// Final answer: failed.
+    /// Final answer: delivery failed.
     Fail(MessageId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
         /// The message.
         message: MessageId,
         /// The attempt's number.
         attempt: u16,
     },
-    /// Probe an endpoint.
+    /// Make a health check of an endpoint.
     HealthCheck(EndpointId),
     /// Close idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Ask to be told of changes of the list.
+    /// Subscribe to changes of the endpoint list.
     WatchEndpoints,
-    /// Ask for the whole list once.
+    /// Fetch the complete endpoint list once.
     FetchEndpoints,
-    /// Send a note to one sender, or to all.
+    /// Send a gossip message to one sender or to all.
     SendGossip {
-        /// Rank of the receiver; none for all.
+        /// Member index of the receiver; `None` for all.
         to: Option<u16>,
         /// At most 256 bytes.
         content: Vec<u8>,
     },
-    /// Ask for a [`Event::TimerFired`](super::Event::TimerFired).
+    /// Request an [`Event::TimerFired`](super::Event::TimerFired).
     SetTimer {
-        /// When.
+        /// When it is due.
         at: Micros,
-        /// Chosen by the module.
+        /// Identifies the timer; chosen by this crate.
         token: u64,
     },
-    /// A line for the operators.
+    /// Write a line to the log for the operators.
     Log(String),
 }
--- a/crates/decision/src/interface/endpoint_list.rs
+++ b/crates/decision/src/interface/endpoint_list.rs
@@ -4,30 +4,30 @@
 
 use super::{DestinationId, EndpointId};
 
-/// State of an endpoint in the list. It says nothing of health.
+/// State of an endpoint in the list, independent of its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Listing {
-    /// Listed.
+    /// Listed, and open to new calls.
     Ready,
-    /// Nothing new may be sent.
+    /// No new call may be sent.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// An entry of the list of endpoints.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// The destination it belongs to.
     pub destination: DestinationId,
-    /// Its zone.
+    /// The zone of the endpoint.
     pub zone: u16,
-    /// Its kind, a position in [`Settings::kinds`](super::Settings::kinds).
+    /// The kind of its destination, an index into [`Settings::kinds`](super::Settings::kinds).
     pub kind: usize,
-    /// Its weight; see [`Weights`](super::Weights).
+    /// The weight of the endpoint; [`Weights`](super::Weights) gives its meaning.
     pub weight: f64,
-    /// Its state.
+    /// Its state in the list.
     pub listing: Listing,
 }
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -1,38 +1,38 @@
-//! What happened since the last batch.
+//! What happened since the last batch of events.
 
 use super::{
     EndpointEntry, EndpointId, Idempotency, Message, MessageId, Micros, Outcome, RouteId, RouteSnapshot,
 };
 
-/// What happened since the last batch.
+/// An event that happened since the last batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message was handed in.
+    /// A message was accepted.
     Accepted(Message),
-    /// A message that an earlier process of this sender took on is picked up again.
+    /// A message that an earlier process of this sender accepted is recovered.
     Recovered {
-        /// The message, with what is left of its time.
+        /// The message, with the rest of its delivery time.
         message: Message,
-        /// Attempts used so far.
+        /// Attempts made so far.
         attempts: u32,
-        /// Those of them that may have run: how long ago each began, and where.
+        /// The attempts that may have taken effect: how long ago each began, and at which endpoint.
         may_have_run: Vec<(Micros, EndpointId)>,
-        /// What repeating it did under the settings it was taken on under, where that is known; the stricter of that and
-        /// its class's holds.
+        /// Effect of a repeat under the settings that the message was accepted with, if known; the stricter
+        /// of this and the idempotency of its class applies.
         idempotency: Option<Idempotency>,
     },
-    /// This process ends at that time; what is left then is picked up by the next one.
+    /// This process ends at that time; its successor recovers the messages still pending.
     ShuttingDown(Micros),
-    /// An endpoint told a wait, in whatever answer.
+    /// An endpoint stated a Retry-After, in any kind of answer.
     RetryAfter {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Nothing may go to its destination for so long.
+        /// For so long nothing may be sent to its destination.
         wait: Micros,
     },
-    /// A connection that was kept carried a further call, or broke under it.
+    /// A reused connection carried a further call, or broke under it.
     ConnectionReused {
-        /// It broke.
+        /// Whether the connection broke.
         lost: bool,
     },
     /// An attempt ended.
@@ -45,27 +45,27 @@
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
-        /// The message has its final answer.
+        /// Whether the message has its final answer.
         terminal: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         took: Micros,
         /// The load report, if one came.
         report: Vec<f32>,
     },
-    /// A streamed answer began: the attempt is now the client's.
+    /// A streamed answer began: from now on the client receives the result of the attempt.
     Streaming {
         /// The message.
         message: MessageId,
     },
-    /// The client has withdrawn the message.
+    /// The client withdrew the message.
     Withdrawn(MessageId),
-    /// The whole list of endpoints; what is not in it is gone.
+    /// The complete endpoint list; an endpoint that is not in it is gone.
     EndpointList(Vec<EndpointEntry>),
-    /// Changed entries of the list.
+    /// Changed entries of the endpoint list.
     EndpointChanges(Vec<EndpointEntry>),
-    /// Asking for the list failed, or the watch broke.
+    /// Fetching the endpoint list failed, or the subscription to it broke.
     DiscoveryFailed,
-    /// A probe came back.
+    /// A health check ended.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointId,
@@ -74,33 +74,33 @@
         /// The load report, if one came.
         report: Vec<f32>,
     },
-    /// What this module may use of the sender's slots and of its room for messages, where several modules share both. Without
-    /// it, all that the settings say.
+    /// The part of the sender's capacity for calls and messages that this instance may use, where several
+    /// instances share it. Without this event the settings apply in full.
     CapacityChanged {
-        /// Calls that may be out at once.
+        /// Largest number of calls in flight.
         max_calls: usize,
-        /// Messages that may be held.
+        /// Largest number of pending messages.
         max_messages: usize,
     },
-    /// An earlier process of this sender learnt that of a route. To be told after the list, ahead of all messages; of a
-    /// destination that is awake it changes nothing but its wait.
+    /// The health snapshot of a route from an earlier process of this sender. It has to come after the
+    /// endpoint list and before all messages; for an active destination only its wait counts.
     SnapshotRestored {
-        /// The destination, and the endpoint where its routes are apart. One that is not listed leaves its wait to the
-        /// destination.
+        /// The destination, and the endpoint if the routes of the destination are separate. For an endpoint
+        /// that is not listed, the wait applies to the destination.
         route: RouteId,
-        /// What it learnt.
+        /// The health snapshot.
         snapshot: RouteSnapshot,
     },
-    /// What an earlier process learnt of destinations is lost, or can't be believed: each one that nothing is told of
+    /// Health snapshots of an earlier process are lost or not trusted: each destination without a snapshot
     /// begins with one call.
     SnapshotLost,
-    /// A note from another sender.
+    /// A gossip message from another sender arrived.
     GossipReceived {
-        /// Its rank.
+        /// Member index of that sender.
         from: u16,
-        /// The note.
+        /// The gossip message.
         content: Vec<u8>,
     },
-    /// A reminder came due.
+    /// A timer fired; the token is that of [`Action::SetTimer`](super::Action::SetTimer).
     TimerFired(u64),
 }
--- a/crates/decision/src/interface/message.rs
+++ b/crates/decision/src/interface/message.rs
@@ -4,22 +4,22 @@
 
 use super::{DestinationId, MessageId, Micros};
 
-/// A message handed to this sender, which owes it one final answer.
+/// A message that this sender accepted and owes one final answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Its id.
+    /// Its identifier.
     pub id: MessageId,
-    /// Its class, a position in [`Settings::classes`](super::Settings::classes).
+    /// Its class, an index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Its tenant, a position in [`Settings::tenants`](super::Settings::tenants).
+    /// Its tenant, an index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
-    /// The key of its order, if any.
+    /// Key of the messages that it is delivered in order with, if any.
     pub key: Option<u64>,
-    /// How long it may still be delivered.
+    /// Time that remains to deliver it.
     #[serde(rename = "time_left")]
     pub remaining_time: Micros,
-    /// A guess of the call's time.
+    /// Estimated duration of the call, if any.
     pub hint: Option<Micros>,
-    /// Where it goes.
+    /// Its destination.
     pub destination: DestinationId,
 }
--- a/crates/decision/src/interface/outcome.rs
+++ b/crates/decision/src/interface/outcome.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended.
+//! Outcomes of attempts.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,33 +11,35 @@
     Delivered,
     /// The destination answered with an error.
     Error,
-    /// Turned away unseen, with the time to wait if one was told.
+    /// Rejected before processing, with the Retry-After if one was stated.
     #[serde(rename = "Full")]
     Rejected(Option<Micros>),
     /// No answer in time.
     TimedOut,
-    /// No connection was made.
+    /// No connection was established.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// An answer came that can't be believed: the endpoint is there, and the attempt may have run.
+    /// A response arrived that is not valid: the endpoint is reachable, and the attempt may have taken
+    /// effect.
     #[serde(rename = "Spoilt")]
     InvalidResponse,
-    /// Turned away unseen, together with its connection: the endpoint holds as many of them as it can.
+    /// Rejected before processing together with its connection: the endpoint already has as many connections
+    /// as it accepts.
     #[serde(rename = "Crowded")]
     ConnectionRejected,
-    /// Called off.
+    /// Cancelled by this sender.
     Cancelled,
-    /// Not sent at all.
+    /// Not sent.
     #[serde(rename = "Moot")]
     NotSent {
-        /// Because no slot was free.
+        /// Whether that was because no call slot was free.
         no_slot: bool,
     },
 }
 
 impl Outcome {
-    /// Whether the destination answered, with whatever.
+    /// Returns whether the destination answered, with any result.
     pub(crate) fn answered(self) -> bool {
         matches!(
             self,
@@ -49,7 +51,7 @@
         )
     }
 
-    /// Whether the outcome proves that the attempt never took effect.
+    /// Returns whether the outcome proves that the attempt never took effect.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -1,32 +1,33 @@
-//! What a decision module is configured with: classes, tenants, kinds of destination, limits and rules.
+//! Settings of the decisions: classes, tenants, kinds of destination, limits and rules.
 
 use serde::{Deserialize, Serialize};
 
 use super::{GossipConfig, Micros};
 
-/// Where a keyed repeat is recognised.
+/// Which endpoints recognise a repeat by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum IdempotencyScope {
-    /// At every endpoint of the destination.
+    /// All endpoints of the destination.
     All,
-    /// At the endpoints of one zone.
+    /// The endpoints of the same zone.
     Zone,
-    /// At the one endpoint (the narrowest reading of a group that is not known).
+    /// The same endpoint only; also assumed for a scope that is not known, as the narrowest one.
     Endpoint,
 }
 
-/// What repeating a message does.
+/// Effect of a repeated attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Repeats do no harm.
+    /// Repeats are harmless.
     #[serde(rename = "Repeatable")]
     Idempotent,
-    /// Repeats are dropped by the destination for a while after the first that may have run.
+    /// The destination drops repeats by their idempotency key, for a while after the first attempt that may
+    /// have taken effect.
     Keyed {
         /// Which endpoints drop repeats.
         #[serde(rename = "group")]
         scope: IdempotencyScope,
-        /// For how long they do.
+        /// For how long they drop repeats.
         window: Micros,
     },
     /// Must never take effect twice.
@@ -35,7 +36,7 @@
 }
 
 impl Idempotency {
-    /// For how long repeats are dropped.
+    /// Returns for how long the destination drops repeats, if it does.
     pub fn window(self) -> Option<Micros> {
         match self {
             Self::Keyed { window, .. } => Some(window),
@@ -43,88 +44,89 @@
         }
     }
 
-    /// What a message is bound by to which both applied. Guards what an earlier process took on under other settings.
+    /// Returns the stricter of two rules that both apply to a message, so that one accepted by an earlier
+    /// process under other settings stays protected by them.
     #[must_use]
     pub fn stricter(self, other: Self) -> Self {
         match (self, other) {
             (Self::NonIdempotent, _) | (_, Self::NonIdempotent) => Self::NonIdempotent,
             (Self::Idempotent, other) => other,
             (this, Self::Idempotent) => this,
-            (Self::Keyed { scope: group, window }, Self::Keyed { scope: other, window: until }) => {
-                let group = match (group, other) {
-                    (IdempotencyScope::All, group) | (group, IdempotencyScope::All) => group,
+            (Self::Keyed { scope, window }, Self::Keyed { scope: other, window: other_window }) => {
+                let narrower = match (scope, other) {
+                    (IdempotencyScope::All, scope) | (scope, IdempotencyScope::All) => scope,
                     (IdempotencyScope::Zone, IdempotencyScope::Zone) => IdempotencyScope::Zone,
                     _ => IdempotencyScope::Endpoint,
                 };
-                Self::Keyed { scope: group, window: window.min(until) }
+                Self::Keyed { scope: narrower, window: window.min(other_window) }
             }
         }
     }
 }
 
-/// How worth falls once the aim has passed.
+/// How the priority weight of a message falls after its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decay {
-    /// Evenly, down to the late worth at the deadline.
+    /// Linearly, down to the late weight at the deadline.
     #[serde(rename = "Line")]
     Linear,
-    /// By half with each further aim, not under the late worth.
+    /// By half with each further latency objective, but not below the late weight.
     #[serde(rename = "Halves")]
     Halving,
 }
 
-/// A class of message.
+/// A class of messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// What repeating does.
+    /// Effect of a repeated attempt.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Full worth is earned within this time.
+    /// A message delivered within this time counts with its full priority weight.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// The longest time to deliver in.
+    /// Longest time in which a message may be delivered.
     pub deadline: Micros,
-    /// Worth of a message in time.
+    /// Priority weight of a message delivered within its latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the priority weight that remains at the deadline.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
-    /// Messages sharing a key go one at a time, in order.
+    /// Messages with the same key are delivered one at a time, in order.
     pub in_order: bool,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Messages a second, over all senders, within its share.
+    /// Messages a second within its quota, over all senders.
     pub quota: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DestinationKind {
-    /// Its endpoints are routes apart, each with limit, pace and outages of its own.
+    /// Each of its endpoints is a separate route, with its own limit, send rate and outages.
     #[serde(rename = "routes_apart")]
     pub separate_routes: bool,
-    /// Messages that one call carries at most.
+    /// Largest number of messages in one call.
     #[serde(rename = "bundle")]
     pub max_batch: usize,
 }
 
-/// What the weight of an endpoint's listing says.
+/// Meaning of the weight in an entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Weights {
-    /// Nothing.
+    /// The weight has no meaning.
     None,
-    /// Calls a second that the destination takes from all senders together.
+    /// Calls a second that the destination accepts from all senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, but up to half too high or too low.
     Rough,
 }
 
 impl Weights {
-    /// Calls a second that a weight promises at least; 0 where it promises nothing.
+    /// Returns the calls a second that a weight guarantees at least; 0 if it guarantees none.
     pub(crate) fn calls(self, weight: f64) -> f64 {
         match self {
             Self::None => 0.0,
@@ -134,123 +136,123 @@
     }
 }
 
-/// How destinations that nothing is sent to for long are remembered, and woken.
+/// How destinations without traffic become idle, what is retained of them, and how they are activated again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IdlePolicy {
-    /// A destination sleeps when nothing was sent to it for so long.
+    /// A destination becomes idle when nothing was sent to it for so long.
     #[serde(rename = "after")]
     pub idle_after: Micros,
-    /// What is remembered of it, its wait apart, is worth nothing after this time.
+    /// The health retained for an idle destination, except its wait, is discarded after this time.
     #[serde(rename = "remember")]
     pub retain_for: Micros,
-    /// Routes that are remembered asleep at most.
+    /// Largest number of idle routes whose health is retained.
     #[serde(rename = "most")]
     pub max_retained: usize,
-    /// Destinations that are awake at most; what is handed in for a further one is refused.
+    /// Largest number of active destinations; messages for a further one are rejected.
     #[serde(rename = "awake")]
     pub max_active: usize,
-    /// First calls to destinations that wake, a second.
+    /// First calls a second to destinations that are being activated.
     #[serde(rename = "wakes")]
     pub activations_per_second: f64,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that the users of the sender set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// A final answer is valid this long after the deadline.
+    /// A final answer is valid for this long after the deadline.
     pub answer_slack: Micros,
-    /// Where the list is asked for: the longest time without asking.
+    /// Longest time between two polls of the endpoint list, if it is polled.
     #[serde(rename = "ask_every")]
     pub poll_interval: Option<Micros>,
-    /// A returning destination has at least this share of its capacity.
+    /// Share of its capacity that a destination has at least when it returns from an outage.
     pub cold_share: f64,
-    /// It has all of it after this time.
+    /// Time after which it has its full capacity.
     pub warm_within: Micros,
-    /// It falls over when sent this multiple of its present capacity ...
+    /// A destination fails when it receives this multiple of its current capacity ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// ... for this long (an overload span).
     pub overload_for: Micros,
-    /// Sends to a draining or gone endpoint must have ceased after this.
+    /// Time after which nothing may be sent any more to an endpoint that is draining or gone.
     #[serde(rename = "drain_grace")]
     pub drain_timeout: Micros,
-    /// Rest of an ordered key after an attempt that may still be executing.
+    /// Pause of an ordering key after an attempt that may still be executing.
     #[serde(rename = "order_pause")]
     pub ordering_pause: Micros,
 }
 
-/// What an instance is told at its start.
+/// Settings of an instance, given at its start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Classes of message.
+    /// Classes of messages.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Kinds of destination.
     pub kinds: Vec<DestinationKind>,
-    /// Fee for each zone, for messages that a route apart there takes on.
+    /// Fee of each zone, for messages accepted by a separate route in that zone.
     #[serde(rename = "tolls")]
     pub zone_fees: Vec<f64>,
-    /// How worth falls after the aim.
+    /// How the priority weight falls after the latency objective.
     pub decay: Decay,
-    /// Calls that may be out at once.
+    /// Largest number of calls in flight.
     #[serde(rename = "slots")]
     pub max_calls: usize,
-    /// Messages that may be held.
+    /// Largest number of pending messages.
     #[serde(rename = "max_open")]
     pub max_messages: usize,
-    /// Most attempts for one message.
+    /// Largest number of attempts for one message.
     #[serde(rename = "try_limit")]
     pub max_attempts: u32,
-    /// A message may have two attempts out at once.
+    /// A message may have two attempts in flight at once.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
     /// Attempts may be cancelled.
     #[serde(rename = "cancelling")]
     pub cancellation: bool,
-    /// Endpoints may be probed.
+    /// Endpoints may be sent health checks.
     #[serde(rename = "probing")]
     pub health_checks: bool,
-    /// Price of a probe, in the unit of a message's worth.
+    /// Price of a health check, in the unit of the priority weight.
     #[serde(rename = "probe_price")]
     pub health_check_price: f64,
-    /// Price of a call refused above a limit, in the same unit.
+    /// Price of a call rejected above a limit, in the same unit.
     #[serde(rename = "refused_price")]
     pub rejection_price: f64,
-    /// A connection not made within this time has failed.
+    /// Time within which a connection has to be established; otherwise it has failed.
     pub connect_timeout: Micros,
-    /// An idle connection closes by itself after this time; `Micros::MAX` if it does not.
+    /// Time after which an idle connection closes by itself; `Micros::MAX` if it does not.
     #[serde(rename = "idle_close")]
     pub idle_timeout: Micros,
-    /// Longest advice to return later that clients heed.
+    /// Longest Retry-After that clients follow.
     pub max_retry_after: Micros,
-    /// The list of endpoints comes only when asked for.
+    /// The endpoint list is available by polling only.
     #[serde(rename = "must_ask")]
     pub polling_only: bool,
-    /// What an endpoint's weight says.
+    /// Meaning of an endpoint's weight.
     pub weights: Weights,
-    /// Share of worth left to a message beyond its tenant's share.
+    /// Share of the priority weight of a message beyond its tenant's quota.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
-    /// Places of `x0` (share of the limit left) and `x1` (limit, calls a second) in a load report.
+    /// Positions of `x0` (remaining share of the limit) and `x1` (limit, in calls a second) in a load report.
     pub report: (Option<usize>, Option<usize>),
-    /// Senders of this tier.
+    /// Number of senders in this tier.
     pub senders: usize,
     /// Shortest time between two batches of events.
     pub period: Micros,
-    /// Idle destinations sleep; without it none does.
+    /// How destinations become idle; without it none does.
     #[serde(rename = "dormant")]
     pub idle: Option<IdlePolicy>,
-    /// What senders tell one another; without it nothing is said, and what others say counts for nothing.
+    /// Gossip among senders; without it nothing is published, and what others publish is ignored.
     #[serde(default)]
     #[serde(rename = "shared")]
     pub gossip: Option<GossipConfig>,
-    /// Rules of the users.
+    /// Parameters of the rules.
     pub rules: Rules,
 }
 
 impl Settings {
-    /// The shortest latency objective of all classes.
+    /// Returns the shortest latency objective of all classes.
     pub fn shortest_latency_objective(&self) -> Micros {
         self.classes.iter().map(|class| class.latency_objective).min().unwrap_or(0)
     }
--- a/crates/decision/src/interface/snapshot.rs
+++ b/crates/decision/src/interface/snapshot.rs
@@ -1,51 +1,51 @@
-//! A route's health in plain form, as it outlasts the process.
+//! Health snapshot of a route, which outlives the process.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Condition, Micros};
 
-/// What was learnt of a route, in plain form: for the next process of this sender, or from the one before. Times are on the
-/// clock of the events; 0, or nothing, stands for what is not known.
+/// Health snapshot of a route, for the next process of this sender or from the previous one. Times are on the
+/// clock of the events; 0 or `None` stands for an unknown value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteSnapshot {
-    /// Nothing may go before: a wait that was told, or this sender's own pause.
+    /// No call may start before this time: the end of a Retry-After or of this sender's own backoff.
     pub wait_until: Micros,
-    /// Calls a second from all senders that reports or the list told of.
+    /// Limit for all senders together, in calls a second, from load reports or the endpoint list.
     pub limit: f64,
-    /// When a limit was last seen used up, or was told to be lowered.
+    /// When the limit was last seen used up or lowered.
     #[serde(rename = "short_at")]
     pub shortage_at: Option<Micros>,
-    /// Calls a second at which it refused no more; 0 where it never refused.
+    /// Send rate in calls a second at which it rejected no more; 0 if it never rejected.
     #[serde(rename = "pace")]
     pub send_rate: f64,
-    /// Calls a second that went well from here.
+    /// Rate of successful calls from this sender, in calls a second.
     #[serde(rename = "rate")]
     pub success_rate: f64,
-    /// The worst that its last calls came to.
+    /// Worst condition that its last calls indicate.
     #[serde(rename = "worst")]
     pub condition: Condition,
-    /// Failures in a row that are no outage yet.
+    /// Consecutive failures that are not an outage yet.
     pub failures: u32,
-    /// When the outage was first seen that may not be over.
+    /// When an outage that may not be over was first seen.
     #[serde(rename = "ill_since")]
     pub unhealthy_since: Option<Micros>,
     /// When it first answered after an outage.
     pub cold_since: Option<Micros>,
-    /// When a call last went well.
+    /// When a call last succeeded.
     #[serde(rename = "well_at")]
     pub last_success_at: Micros,
-    /// When the next trial is due where the breaker is open; and the time from a failure to the trial.
+    /// When the next trial call is due if the breaker is open, and the time from a failure to the trial.
     pub trial: Option<(Micros, Micros)>,
-    /// Weight of the calls of the last overload's span, and when the last one went.
+    /// Weight of the calls sent within the last overload span, and when the last one was sent.
     #[serde(rename = "spent")]
     pub recent_calls: (f64, Micros),
-    /// Mean time of an answer and its mean deviation, in microseconds.
+    /// Mean latency of answers and its mean deviation, in microseconds.
     #[serde(rename = "answers")]
     pub latency: Option<(f64, f64)>,
 }
 
 impl RouteSnapshot {
-    /// Of a route of which something was known that is lost: it may be ill.
+    /// Returns the snapshot of a route whose own snapshot is lost: it may be unhealthy.
     pub fn unknown() -> Self {
         Self { condition: Condition::Failing, ..Self::default() }
     }
