--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the list has them, by destination.
+//! Endpoints from the endpoint list, grouped by destination.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -9,13 +9,13 @@
     DestinationId, DestinationKind, EndpointEntry, EndpointId, Listing, Micros, Outcome, RouteId,
 };
 
-/// What the endpoint list promises of a route; stored as a pair.
+/// Limit of a route that the endpoint list states; stored as a pair.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, Micros)", into = "(f64, Micros)")]
 pub(crate) struct ListedLimit {
-    /// Calls a second from all senders; 0 where none are promised.
+    /// Calls a second from all senders; 0 if the list states none.
     pub calls_per_second: f64,
-    /// When it was first listed.
+    /// When the route was first listed.
     pub since: Micros,
 }
 
@@ -31,52 +31,59 @@
     }
 }
 
-/// An endpoint.
+/// An endpoint that was listed, with the state of the calls to it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Endpoint {
     pub destination: DestinationId,
     pub zone: u16,
     pub kind: DestinationKind,
+    /// Whether the list allows new calls to it.
     pub ready: bool,
-    /// No list names it any more.
+    /// The endpoint is no longer in the list.
     #[serde(rename = "gone")]
     unlisted: bool,
-    /// The last whole list that named it, or change since.
+    /// Number of the last complete list that named it, or after which a change named it.
     #[serde(rename = "named")]
     last_listed: u64,
     listed: ListedLimit,
+    /// Number of attempts in flight.
     #[serde(rename = "out")]
     pub in_flight: usize,
+    /// Consecutive calls that failed.
     #[serde(rename = "bad_run")]
     pub consecutive_failures: u32,
-    /// Connections of ours that there were places for.
+    /// Connection slots that the endpoint had for this sender.
     #[serde(default)]
     #[serde(rename = "places")]
     pub connection_slots: ConnectionSlots,
-    /// Calls in a row that found no place, with none of ours there, and until when none goes for that.
+    /// Consecutive calls whose connection was rejected while this sender had no other connection there.
     #[serde(default)]
     #[serde(rename = "crowded")]
     pub connection_rejections: u32,
+    /// No call goes to the endpoint before this time because of those rejections.
     #[serde(default)]
     #[serde(rename = "rest_until")]
     pub backoff_until: Micros,
-    /// A connection was lost or failed since the last success.
+    /// A connection was lost, or could not be established, since the last success.
     pub lost: bool,
-    /// When the last call was sent, and how long after the one before.
+    /// When the last call was sent.
     pub sent_at: Micros,
+    /// Time between the last two calls.
     #[serde(rename = "gap")]
     pub call_interval: Micros,
 }
 
 impl Endpoint {
-    /// The outcome of an attempt there: the first that its call got, and the last that is out.
+    /// Records the outcome of an attempt: `first` if it is the first outcome of its call, `done` if it is the
+    /// last that the call was waiting for.
     pub fn attempt_completed(&mut self, outcome: Outcome, first: bool, done: bool) {
         self.in_flight -= usize::from(done);
         match outcome {
             Outcome::Delivered => {
                 (self.consecutive_failures, self.lost, self.connection_rejections) = (0, false, 0);
             }
-            // Turned away only where it happens again: one connection is not the endpoint.
+            // The first lost or failed connection does not count as a failure: one connection says nothing
+            // about the endpoint. The next one counts.
             Outcome::Reset | Outcome::ConnectFailed if first && !self.lost => self.lost = true,
             Outcome::Rejected(_) | Outcome::ConnectionRejected => {}
             Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent { .. } => {}
@@ -85,49 +92,53 @@
     }
 }
 
-/// The endpoints of a destination, and the listing of its common route: calls a second that it promises, and since when.
+/// The endpoints of a destination, and the limit that the list states for its common route.
 #[derive(Debug, Serialize, Deserialize)]
 struct DestinationEndpoints {
     ids: BTreeSet<EndpointId>,
     listed: ListedLimit,
 }
 
-/// All that lists named and that something refers to.
+/// All endpoints that are listed or that something still refers to.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Endpoints {
     all: HashMap<EndpointId, Endpoint>,
-    /// By destination, so that no tick looks at those that nothing is held for.
+    /// Endpoints by destination, so that a tick does not visit destinations without pending messages.
     #[serde(rename = "cells")]
     by_destination: BTreeMap<DestinationId, DestinationEndpoints>,
     #[serde(rename = "gone")]
     unlisted: BTreeSet<EndpointId>,
-    /// Whole lists so far, and whether the last one has been seen to its end.
+    /// Number of complete lists received so far.
     lists: u64,
+    /// A complete list was received, and endpoints missing from it have not been marked yet.
     #[serde(rename = "whole")]
     full_list_pending: bool,
 }
 
 impl Endpoints {
+    /// Returns an endpoint.
     pub fn get(&self, id: &EndpointId) -> Option<&Endpoint> {
         self.all.get(id)
     }
 
+    /// Returns an endpoint for changes.
     pub fn get_mut(&mut self, id: &EndpointId) -> Option<&mut Endpoint> {
         self.all.get_mut(id)
     }
 
-    /// Endpoints in the list, and whether they take what is new.
+    /// Returns the endpoints in the list, and whether the list allows new calls to them.
     pub fn in_list(&self) -> impl Iterator<Item = (EndpointId, bool)> {
         self.all.iter().filter(|(_, e)| !e.unlisted).map(|(id, e)| (*id, e.ready))
     }
 
-    /// A whole list begins. What it has not named by the next [`Self::prune`] is gone.
+    /// Begins a complete list. Endpoints that it has not named by the next [`Self::prune`] are gone.
     pub fn begin_full_list(&mut self) {
         self.lists += 1;
         self.full_list_pending = true;
     }
 
-    /// What a list says of an endpoint, with the calls a second that its weight promises. Tells the route that leads to it.
+    /// Applies an entry of the endpoint list, with the calls a second that its weight guarantees. Returns the
+    /// route of the endpoint.
     pub fn apply_entry(
         &mut self,
         entry: &EndpointEntry,
@@ -162,41 +173,42 @@
             self.unlisted.remove(&entry.endpoint)
         };
         let listed = ListedLimit { calls_per_second: calls, since: now };
-        let new = || DestinationEndpoints { ids: BTreeSet::new(), listed };
-        let cell = self.by_destination.entry(endpoint.destination).or_insert_with(new);
-        cell.ids.insert(entry.endpoint);
+        let new_group = || DestinationEndpoints { ids: BTreeSet::new(), listed };
+        let group = self.by_destination.entry(endpoint.destination).or_insert_with(new_group);
+        group.ids.insert(entry.endpoint);
         if !kind.separate_routes {
-            cell.listed.calls_per_second = calls;
+            group.listed.calls_per_second = calls;
         }
         (entry.destination, kind.separate_routes.then_some(entry.endpoint))
     }
 
-    /// Endpoints of a destination, in any state.
+    /// Returns the endpoints of a destination, in any state.
     pub fn of(&self, destination: DestinationId) -> impl Iterator<Item = (EndpointId, &Endpoint)> {
-        let ids = self.by_destination.get(&destination).into_iter().flat_map(|cell| &cell.ids);
+        let ids = self.by_destination.get(&destination).into_iter().flat_map(|group| &group.ids);
         ids.filter_map(|id| Some((*id, self.all.get(id)?)))
     }
 
-    /// The route that leads to an endpoint.
+    /// Returns the route of an endpoint.
     pub fn route(&self, id: EndpointId) -> Option<RouteId> {
         let e = self.all.get(&id)?;
         Some((e.destination, e.kind.separate_routes.then_some(id)))
     }
 
-    /// Calls a second that the listing of a route promises, and since when it is listed.
+    /// Returns the limit that the list states for a route, and since when the route is listed.
     pub fn listing(&self, route: RouteId) -> ListedLimit {
         let listed = match route.1 {
             Some(endpoint) => self.all.get(&endpoint).map(|e| e.listed),
-            None => self.by_destination.get(&route.0).map(|cell| cell.listed),
+            None => self.by_destination.get(&route.0).map(|group| group.listed),
         };
         listed.unwrap_or_default()
     }
 
-    /// What is known of a destination's endpoints, for another module; here they are as if no call had ever gone there.
+    /// Detaches the state of a destination's endpoints for a migration to another instance. The endpoints
+    /// stay here as if no call had ever been sent to them.
     pub fn detach(&mut self, destination: DestinationId) -> Vec<(EndpointId, Endpoint)> {
         let ids: Vec<_> = self.of(destination).map(|(id, _)| id).collect();
-        let known = ids.into_iter().filter_map(|id| {
-            let known = self.all.get_mut(&id)?;
+        let detached = ids.into_iter().filter_map(|id| {
+            let endpoint = self.all.get_mut(&id)?;
             let unused = Endpoint {
                 in_flight: 0,
                 consecutive_failures: 0,
@@ -206,49 +218,54 @@
                 lost: false,
                 sent_at: 0,
                 call_interval: Micros::MAX,
-                ..known.clone()
+                ..endpoint.clone()
             };
-            Some((id, std::mem::replace(known, unused)))
+            Some((id, std::mem::replace(endpoint, unused)))
         });
-        known.collect()
+        detached.collect()
     }
 
-    /// What another module knew of a destination's endpoints. What lists said here of them holds; one that none has named is
-    /// kept for the calls that are out there, as one that is gone.
+    /// Attaches the state of a destination's endpoints from another instance. The list that this instance
+    /// received takes precedence; an endpoint that is not in it is kept, as gone, for the calls in flight
+    /// there.
     pub fn attach(&mut self, destination: DestinationId, endpoints: Vec<(EndpointId, Endpoint)>) {
-        for (id, theirs) in endpoints {
-            if let Some(ours) = self.all.get_mut(&id) {
-                // Guards a drain against what is older: the list as this module was told it is what binds it.
-                *ours = Endpoint {
-                    destination: ours.destination,
-                    zone: ours.zone,
-                    kind: ours.kind,
-                    ready: ours.ready,
-                    unlisted: ours.unlisted,
-                    last_listed: ours.last_listed,
-                    listed: ListedLimit { since: ours.listed.since.min(theirs.listed.since), ..ours.listed },
-                    ..theirs
+        for (id, attached) in endpoints {
+            if let Some(own) = self.all.get_mut(&id) {
+                // This instance follows the list that it received itself: the attached state may be older and
+                // must not end a drain.
+                *own = Endpoint {
+                    destination: own.destination,
+                    zone: own.zone,
+                    kind: own.kind,
+                    ready: own.ready,
+                    unlisted: own.unlisted,
+                    last_listed: own.last_listed,
+                    listed: ListedLimit { since: own.listed.since.min(attached.listed.since), ..own.listed },
+                    ..attached
                 };
                 continue;
             }
-            let listed = theirs.listed;
+            let listed = attached.listed;
             self.by_destination
                 .entry(destination)
                 .or_insert_with(|| DestinationEndpoints { ids: BTreeSet::new(), listed })
                 .ids
                 .insert(id);
             self.unlisted.insert(id);
-            self.all
-                .insert(id, Endpoint { destination, ready: false, unlisted: true, last_listed: 0, ..theirs });
+            self.all.insert(
+                id,
+                Endpoint { destination, ready: false, unlisted: true, last_listed: 0, ..attached },
+            );
         }
     }
 
-    /// Forgets endpoints that are gone and that nothing refers to: under churn there are ever new ones. Tells which.
+    /// Removes endpoints that are gone and that nothing refers to, and returns them. Without this the table
+    /// would grow without bound, since endpoints are replaced all the time.
     pub fn prune(
         &mut self,
-        referred: impl FnOnce() -> BTreeSet<EndpointId>,
+        referenced: impl FnOnce() -> BTreeSet<EndpointId>,
     ) -> Vec<(DestinationId, EndpointId)> {
-        let mut left = Vec::new();
+        let mut removed = Vec::new();
         if std::mem::take(&mut self.full_list_pending) {
             for (id, e) in self.all.iter_mut().filter(|(_, e)| e.last_listed != self.lists) {
                 (e.ready, e.unlisted) = (false, true);
@@ -256,25 +273,25 @@
             }
         }
         if self.unlisted.is_empty() {
-            return left;
+            return removed;
         }
-        let referred = referred();
-        let (all, cells) = (&mut self.all, &mut self.by_destination);
+        let referenced = referenced();
+        let (all, by_destination) = (&mut self.all, &mut self.by_destination);
         self.unlisted.retain(|id| {
-            let Some(e) = all.get(id).filter(|e| e.in_flight == 0 && !referred.contains(id)) else {
+            let Some(e) = all.get(id).filter(|e| e.in_flight == 0 && !referenced.contains(id)) else {
                 return all.contains_key(id);
             };
             let destination = e.destination;
-            left.push((destination, *id));
-            if let Some(cell) = cells.get_mut(&destination) {
-                cell.ids.remove(id);
-                if cell.ids.is_empty() {
-                    cells.remove(&destination);
+            removed.push((destination, *id));
+            if let Some(group) = by_destination.get_mut(&destination) {
+                group.ids.remove(id);
+                if group.ids.is_empty() {
+                    by_destination.remove(&destination);
                 }
             }
             all.remove(id);
             false
         });
-        left
+        removed
     }
 }
--- a/crates/decision/src/estimate.rs
+++ b/crates/decision/src/estimate.rs
@@ -1,4 +1,4 @@
-//! Small sums that the decisions are made from. Nothing is decided here.
+//! Estimators and small calculations that the decisions use. No decisions are made here.
 
 use std::collections::VecDeque;
 
@@ -14,12 +14,13 @@
 pub(crate) struct DecayingRate {
     /// Events a second.
     pub per_second: f64,
-    /// When it was last counted.
+    /// When the rate was last updated.
     pub as_of: Micros,
 }
 
 impl DecayingRate {
-    /// What it is after further events, where those before decay with a time constant of `span`.
+    /// Returns the rate after `events` further events, where earlier ones decay with a time constant of
+    /// `span`.
     pub fn after(self, events: f64, now: Micros, span: Micros) -> Self {
         let span = span.max(1) as f64;
         let decay = (-(now.saturating_sub(self.as_of) as f64) / span).exp();
@@ -39,36 +40,39 @@
     }
 }
 
-/// Numbers that look random, and are the same however often they are asked for in a tick: what is looked at in it, and
-/// how often, makes no difference to what is drawn.
+/// Returns a generator of pseudo-random numbers that are the same however often they are drawn for a message
+/// and an endpoint within a tick: which of them are examined in it, and how often, does not change what is
+/// drawn.
 pub(crate) fn message_rng(seed: u64, now: Micros, message: MessageId, endpoint: EndpointId) -> Rng {
     let endpoint = endpoint.0.iter().fold(0u64, |sum, byte| sum << 8 | u64::from(*byte));
     let mix = |sum: u64, next: u64| (sum ^ next).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
     Rng::with_seed([now, u64::from(message.0), endpoint].into_iter().fold(seed, mix))
 }
 
-/// Mean time of an answer and its mean deviation.
+/// Mean latency of answers and its mean deviation, in microseconds.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct AnswerLatency(Option<(f64, f64)>);
 
 impl AnswerLatency {
+    /// Records the latency of one answer; each weighs an eighth.
     pub fn record(&mut self, took: Micros) {
         let took = took as f64;
         let (mean, dev) = self.0.unwrap_or((took, took / 2.0));
         self.0 = Some((mean + (took - mean) / 8.0, dev + ((took - mean).abs() - dev) / 8.0));
     }
 
-    /// As another process knew it.
+    /// Continues from the values of another process.
     pub fn known(mean_and_deviation: (f64, f64)) -> Self {
         Self(Some(mean_and_deviation))
     }
 
-    /// The mean and its mean deviation, if there was an answer.
+    /// Returns the mean and its mean deviation, if there was an answer.
     pub fn mean_and_deviation(&self) -> Option<(f64, f64)> {
         self.0
     }
 
-    /// The longest that is usual, between parts of a latency objective.
+    /// Returns the longest usual latency: the mean and five mean deviations, between a sixteenth of the
+    /// latency objective and all of it; half of it before the first answer.
     pub fn longest(&self, latency_objective: Micros) -> Micros {
         let (least, most) = (latency_objective / 16, latency_objective);
         let usual = |(mean, deviation): (f64, f64)| ((mean + 5.0 * deviation) as Micros).clamp(least, most);
@@ -76,7 +80,8 @@
     }
 }
 
-/// Calls that succeeded while the destination was warm, over the seconds that took, both decaying; and when last counted.
+/// Successful calls while the destination was warm, and the seconds in which they were made, both decaying;
+/// and when the last one was counted.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct SuccessRate {
     calls: f64,
@@ -89,63 +94,67 @@
         Self { at, ..Self::default() }
     }
 
-    /// What it is after that span at a rate that is reckoned with that doubt.
+    /// Returns the state after `span` at a rate that [`Self::rate`] is to return for the same `doubt`.
     pub fn at_rate(rate: f64, span: Micros, doubt: Micros, at: Micros) -> Self {
         let seconds = span as f64 / 1e6;
         Self { calls: rate * (seconds + doubt as f64 / 1e6), seconds, at }
     }
 
-    /// One more succeeded; the time before counts where the destination was warm.
+    /// Records a success; it and the time since the last one count only if the destination was warm.
     pub fn record(&mut self, now: Micros, span: Micros, warm: bool) {
         if warm {
             let span = span.max(1) as f64 / 1e6;
-            let fade = (-((now - self.at) as f64) / 1e6 / span).exp();
-            self.calls = self.calls * fade + 1.0;
-            self.seconds = self.seconds * fade + span * (1.0 - fade);
+            let decay = (-((now - self.at) as f64) / 1e6 / span).exp();
+            self.calls = self.calls * decay + 1.0;
+            self.seconds = self.seconds * decay + span * (1.0 - decay);
         }
         self.at = now;
     }
 
-    /// Calls a second, as if none had succeeded for `doubt` more.
+    /// Returns the calls a second, estimated low as if none had succeeded for `doubt` more.
     pub fn rate(&self, doubt: Micros) -> f64 {
         self.calls / (self.seconds + doubt as f64 / 1e6)
     }
 }
 
-/// Weights of what was sent within a span.
+/// Weights of the messages sent within a span, with their times.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct SentWindow(VecDeque<(Micros, f64)>);
 
 impl SentWindow {
+    /// Records a weight that is sent now.
     pub fn push(&mut self, now: Micros, weight: f64) {
         self.0.push_back((now, weight));
     }
 
-    /// Forgets what is older than a span.
+    /// Removes what was sent longer ago than `span`.
     pub fn forget_before(&mut self, span: Micros, now: Micros) {
         while self.0.front().is_some_and(|sent| sent.0 + span <= now) {
             self.0.pop_front();
         }
     }
 
+    /// Returns the sum of the recorded weights.
     pub fn sum(&self) -> f64 {
         self.0.iter().map(|sent| sent.1).sum()
     }
 
-    /// The weight of what was sent within a span before now, and when the last of it was.
+    /// Returns the weight sent within `span` before now, and when the last of it was sent.
     pub fn recent(&self, span: Micros, now: Micros) -> (f64, Micros) {
-        let late = self.0.iter().rev().take_while(|sent| sent.0 + span > now);
+        let recent = self.0.iter().rev().take_while(|sent| sent.0 + span > now);
         let last = self.0.back().map_or(0, |sent| sent.0);
-        let weight = late.map(|sent| sent.1).sum();
+        let weight = recent.map(|sent| sent.1).sum();
         if weight > 0.0 { (weight, last) } else { (0.0, 0) }
     }
 }
 
-/// A token bucket: a call takes a token. Without bound at first; a full one has a quarter of a second's calls and one.
+/// A token bucket from which each call takes a token. It is unlimited at first; a full one holds the calls of
+/// a quarter of a second plus one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct TokenBucket {
-    /// Tokens a second.
+    /// Tokens added a second.
     pub rate: f64,
+    /// Tokens available.
     #[serde(rename = "credit")]
     pub tokens: f64,
     #[serde(rename = "at")]
@@ -163,6 +172,7 @@
         Self { refilled_at: at, ..Self::default() }
     }
 
+    /// Adds the tokens that have accrued since the last refill.
     pub fn refill(&mut self, now: Micros) {
         let gained = self.rate * (now - self.refilled_at) as f64 / 1e6;
         let most = 1.0 + self.rate / 4.0;
@@ -170,36 +180,38 @@
         self.refilled_at = now;
     }
 
-    /// When it allows a call.
+    /// Returns when the next call may start.
     pub fn allows_at(&self) -> Micros {
         self.refilled_at.saturating_add(((1.0 - self.tokens).max(0.0) / self.rate * 1e6).ceil() as Micros)
     }
 }
 
-/// Connections that an endpoint had places for when it had no more, and when that was; without bound at first.
+/// Connection slots that an endpoint had for this sender when it rejected a connection, and when that was;
+/// unlimited at first.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct ConnectionSlots(Option<(f64, Micros)>);
 
 impl ConnectionSlots {
-    /// There was no place beside so many.
-    pub fn record_rejection(&mut self, beside: usize, now: Micros) {
-        self.0 = Some((beside as f64, now));
+    /// Records that a connection was rejected while this sender had `open` others.
+    pub fn record_rejection(&mut self, open: usize, now: Micros) {
+        self.0 = Some((open as f64, now));
     }
 
-    /// When there may be one beside so many, where places come free at that rate; one alone may be had at any time.
-    pub fn allow_at(&self, beside: usize, rate: f64) -> Micros {
+    /// Returns when a connection may be opened while this sender has `open` others, where slots become free
+    /// at `rate` a second; a single connection may be opened at any time.
+    pub fn allow_at(&self, open: usize, rate: f64) -> Micros {
         let after =
-            |(had, at): (f64, Micros)| at + ((beside as f64 + 1.0 - had).max(0.0) / rate * 1e6) as Micros;
-        self.0.filter(|_| beside > 0).map_or(0, after)
+            |(slots, at): (f64, Micros)| at + ((open as f64 + 1.0 - slots).max(0.0) / rate * 1e6) as Micros;
+        self.0.filter(|_| open > 0).map_or(0, after)
     }
 }
 
-/// The age from which on messages are given up by those who handed them in, as far as calls told.
+/// Age from which on clients abandon their messages, as far as the outcomes of calls show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AbandonmentAge(pub Micros);
 
 impl AbandonmentAge {
-    /// How the call of a message ended that had that age when it was sent.
+    /// Records the outcome of a call with a message that had that age when the call started.
     pub fn note(&mut self, age: Micros, outcome: Outcome) {
         match outcome {
             Outcome::NotSent { .. } => self.0 = self.0.min(age),
@@ -209,16 +221,16 @@
     }
 }
 
-/// Part of its worth that is left to a message at that time.
+/// Returns the part of its priority weight that a message has if it is delivered at time `at`.
 pub(crate) fn remaining_weight(
     decay: Decay,
     class: &Class,
-    aim: Micros,
+    objective_at: Micros,
     deadline: Micros,
     at: Micros,
 ) -> f64 {
-    let late = at.saturating_sub(aim) as f64;
-    let span = (deadline - aim).max(1) as f64;
+    let late = at.saturating_sub(objective_at) as f64;
+    let span = (deadline - objective_at).max(1) as f64;
     match decay {
         _ if at >= deadline => 0.0,
         Decay::Halving => 0.5f64.powf(late / class.latency_objective.max(1) as f64).max(class.late_weight),
--- a/crates/decision/src/test_support.rs
+++ b/crates/decision/src/test_support.rs
@@ -1,4 +1,4 @@
-//! What tests within the package share with those beside it.
+//! Test settings that unit tests share with the integration tests.
 
 use crate::interface::*;
 
