--- a/crates/decision/benches/turn.rs
+++ b/crates/decision/benches/turn.rs
@@ -1,4 +1,4 @@
-//! What a turn with ten events costs, by how many messages are held for how many destinations.
+//! Cost of handling a batch of ten events, by the number of pending messages and of destinations.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 #[path = "../tests/common/settings.rs"]
 mod common;
 
-const EVENTS: usize = 10;
+const EVENTS_PER_BATCH: usize = 10;
 
 fn settings() -> Settings {
     let class = Class {
@@ -47,27 +47,27 @@
     }
 }
 
-/// A module that holds so many messages for so many destinations, with all slots taken.
-struct Held {
+/// A policy with pending messages for a number of destinations and with all call slots in use.
+struct LoadedPolicy {
     policy: Policy,
     now: Micros,
     next: u32,
     destinations: usize,
-    out: Vec<(MessageId, EndpointId)>,
+    in_flight: Vec<(MessageId, EndpointId)>,
 }
 
-impl Held {
+impl LoadedPolicy {
     fn new(messages: usize, destinations: usize) -> Self {
         let now = 1_000_000;
         let policy = Policy::new(settings(), 1, now);
-        let mut held = Self { policy, now, next: 0, destinations, out: vec![] };
+        let mut loaded = Self { policy, now, next: 0, destinations, in_flight: vec![] };
         let mut events = vec![Event::EndpointList((0..destinations).map(entry).collect())];
-        events.extend((0..messages).map(|_| held.accepted()));
-        held.turn(&events);
-        held
+        events.extend((0..messages).map(|_| loaded.next_message()));
+        loaded.handle(&events);
+        loaded
     }
 
-    fn accepted(&mut self) -> Event {
+    fn next_message(&mut self) -> Event {
         let message = Message {
             id: MessageId(self.next),
             class: 0,
@@ -81,22 +81,22 @@
         Event::Accepted(message)
     }
 
-    fn turn(&mut self, events: &[Event]) {
+    fn handle(&mut self, events: &[Event]) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, events, &mut actions);
         for action in actions {
             if let Action::Attempt { message, endpoint, .. } = action {
-                self.out.push((message, endpoint));
+                self.in_flight.push((message, endpoint));
             }
         }
         self.now += 5_000;
     }
 
-    /// Half of the events bring messages, half are the ends of calls.
-    fn busy(&mut self) {
-        let mut events: Vec<_> = (0..EVENTS / 2).map(|_| self.accepted()).collect();
-        let ends = self.out.len().min(EVENTS / 2);
-        events.extend(self.out.drain(..ends).map(|(message, endpoint)| Event::AttemptCompleted {
+    /// Handles a batch of which half the events are new messages and half are outcomes of calls.
+    fn handle_mixed_batch(&mut self) {
+        let mut events: Vec<_> = (0..EVENTS_PER_BATCH / 2).map(|_| self.next_message()).collect();
+        let completed = self.in_flight.len().min(EVENTS_PER_BATCH / 2);
+        events.extend(self.in_flight.drain(..completed).map(|(message, endpoint)| Event::AttemptCompleted {
             message,
             attempt: 0,
             endpoint,
@@ -105,31 +105,31 @@
             took: 1_000,
             report: vec![],
         }));
-        self.turn(&events);
+        self.handle(&events);
     }
 }
 
-fn turns(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a turn of ten events");
+fn event_batches(c: &mut Criterion) {
+    let mut group = c.benchmark_group("batch of ten events");
     for destinations in [20, 20_000] {
         for messages in [100, 1_000, 10_000, 100_000] {
-            let mut held = Held::new(messages, destinations);
+            let mut loaded = LoadedPolicy::new(messages, destinations);
             let id = BenchmarkId::new(format!("{destinations} destinations"), messages);
-            group.bench_function(id, |b| b.iter(|| held.busy()));
+            group.bench_function(id, |b| b.iter(|| loaded.handle_mixed_batch()));
         }
     }
     group.finish();
 }
 
-fn lists(c: &mut Criterion) {
-    let mut group = c.benchmark_group("a list");
-    for (what, count) in [("whole", 20_000), ("a change of one", 1)] {
-        let mut held = Held::new(1_000, 20_000);
+fn endpoint_lists(c: &mut Criterion) {
+    let mut group = c.benchmark_group("endpoint list");
+    for (name, count) in [("complete list", 20_000), ("one changed entry", 1)] {
+        let mut loaded = LoadedPolicy::new(1_000, 20_000);
         let entries: Vec<_> = (0..count).map(entry).collect();
         let event = if count > 1 { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) };
         let events = [event];
-        group.bench_function(BenchmarkId::new(what, "20000 endpoints, 1000 held"), |b| {
-            b.iter(|| held.turn(&events))
+        group.bench_function(BenchmarkId::new(name, "20000 endpoints, 1000 pending"), |b| {
+            b.iter(|| loaded.handle(&events))
         });
     }
     group.finish();
@@ -138,6 +138,6 @@
 criterion_group! {
     name = benches;
     config = Criterion::default().sample_size(10).warm_up_time(Duration::from_millis(300)).measurement_time(Duration::from_secs(1));
-    targets = turns, lists
+    targets = event_batches, endpoint_lists
 }
 criterion_main!(benches);
