--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sender's surroundings in small, for driving the module alone.
+//! A simulated environment that drives the policy alone: its clock, calls and timers.
 #![allow(dead_code)]
 
 mod settings;
@@ -31,24 +31,30 @@
     }
 }
 
-/// An attempt that has no outcome yet.
+/// An attempt that the policy started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Out {
     pub message: MessageId,
     pub attempt: u16,
     pub endpoint: EndpointId,
     pub sent: Micros,
+    /// When the attempt times out.
     pub until: Micros,
 }
 
-/// The module with its attempts, answers and reminders.
+/// The policy with its attempts, final answers and timers.
 pub struct Sender {
     pub policy: Policy,
     pub now: Micros,
+    /// Attempts in flight, the oldest first.
     pub out: Vec<Out>,
+    /// All attempts so far.
     pub sent: Vec<Out>,
+    /// Rejected messages, each with the Retry-After of its rejection.
     pub refused: Vec<(MessageId, Micros)>,
+    /// Messages whose delivery failed.
     pub failed: Vec<MessageId>,
+    /// All other actions.
     pub other: Vec<Action>,
     tries: BTreeMap<MessageId, u16>,
     reminders: Vec<(Micros, u64)>,
@@ -73,6 +79,7 @@
         sender
     }
 
+    /// Passes events to the policy and carries out its actions.
     pub fn tell(&mut self, events: Vec<Event>) {
         let mut actions = vec![];
         self.policy.handle(self.now, &events, &mut actions);
@@ -95,7 +102,7 @@
         }
     }
 
-    /// Another process goes on with what this one knows.
+    /// Replaces the policy by one that a successor process restores from its state.
     pub fn hand_over(&mut self, settings: Settings) {
         let state = self.policy.state().unwrap();
         self.policy = Policy::from_state(&state, settings, 42, self.now).unwrap();
@@ -103,16 +110,19 @@
         self.tell(vec![]);
     }
 
+    /// Returns a new message that is not accepted yet.
     pub fn message(&mut self, class: usize, key: Option<u64>, time_left: Micros) -> Message {
         self.next += 1;
         let id = MessageId(self.next);
         Message { id, class, tenant: 0, key, remaining_time: time_left, hint: None, destination: DEST }
     }
 
+    /// Accepts a new message of a class.
     pub fn accept(&mut self, class: usize) -> MessageId {
         self.accept_keyed(class, None)
     }
 
+    /// Accepts a new message of a class with an ordering key.
     pub fn accept_keyed(&mut self, class: usize, key: Option<u64>) -> MessageId {
         let message = self.message(class, key, 20 * SECOND);
         let id = message.id;
@@ -120,6 +130,7 @@
         id
     }
 
+    /// Returns the event that an attempt ended with that outcome.
     pub fn ended(&self, out: Out, outcome: Outcome) -> Event {
         Event::AttemptCompleted {
             message: out.message,
@@ -132,14 +143,14 @@
         }
     }
 
-    /// The oldest attempt that is out ends so.
+    /// Ends the oldest attempt in flight with that outcome.
     pub fn end(&mut self, outcome: Outcome) {
         let out = self.out.remove(0);
         let event = self.ended(out, outcome);
         self.tell(vec![event]);
     }
 
-    /// Lets time pass: reminders come due, attempts time out at their time.
+    /// Advances the clock: timers fire and attempts time out when they are due.
     pub fn pass(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
@@ -163,7 +174,7 @@
         self.now = until;
     }
 
-    /// Messages served one after the other, each in a tenth of a second, four a second.
+    /// Delivers messages one after the other, each in a tenth of a second, four a second.
     pub fn serve(&mut self, messages: usize) {
         for _ in 0..messages {
             self.accept(SAFE);
@@ -175,7 +186,7 @@
         }
     }
 
-    /// That many calls end so, each as soon as one is out.
+    /// Ends that many calls with that outcome, each as soon as it is in flight.
     pub fn suffer(&mut self, calls: usize, outcome: Outcome) {
         for _ in 0..calls {
             self.accept(SAFE);
--- a/crates/decision/tests/common/settings.rs
+++ b/crates/decision/tests/common/settings.rs
@@ -1,12 +1,12 @@
-//! Settings that tests and measurements begin from.
+//! Base settings for tests and benchmarks.
 
 use super::*;
 
 pub const SECOND: Micros = 1_000_000;
 
 pub fn settings() -> Settings {
-    let class = |effect, in_order| Class {
-        idempotency: effect,
+    let class = |idempotency, in_order| Class {
+        idempotency,
         latency_objective: 4 * SECOND,
         deadline: 20 * SECOND,
         priority_weight: 1.0,
--- a/crates/decision/tests/moving.rs
+++ b/crates/decision/tests/migration.rs
@@ -1,5 +1,6 @@
-//! Destinations that go from one module to another of the same process: nothing that was known, held or out is lost, and
-//! several modules take the same care as one. Another first seed in MOVING_SEED gives other days.
+//! Migration of destinations between instances of the policy in one process: no health, pending message or
+//! attempt in flight is lost, and several instances keep the same guarantees as one. MOVING_SEED sets the
+//! first seed of the random runs.
 
 mod common;
 
@@ -16,15 +17,16 @@
     first
 }
 
-/// A day at one destination, which goes back and forth between two modules where that is asked for.
-fn day(seed: u64, moves: bool) -> Sender {
+/// Plays a random run with one destination, which migrates back and forth between two instances if `migrate`
+/// is set.
+fn random_run(seed: u64, migrate: bool) -> Sender {
     let mut rng = fastrand::Rng::with_seed(seed);
     let entries = [entry(1, 0), entry(2, 0), entry(3, 0), entry(4, 0)];
     let mut s = Sender::new(settings(), &entries);
     let mut spare = Policy::new(settings(), 42, START);
     spare.handle(START, &[Event::EndpointList(entries.to_vec())], &mut vec![]);
     spare.count_calls_from(1 << 48);
-    let mut said: BTreeMap<u8, EndpointEntry> = BTreeMap::new();
+    let mut last_changes: BTreeMap<u8, EndpointEntry> = BTreeMap::new();
     for _ in 0..400 {
         match rng.u8(..12) {
             0..4 => drop(s.accept(rng.usize(..3))),
@@ -47,20 +49,22 @@
                     [Listing::Ready, Listing::Ready, Listing::Draining, Listing::Gone][rng.usize(..4)];
                 let n = rng.u8(1..4);
                 let changed = EndpointEntry { listing, ..entry(n, 0) };
-                said.insert(n, changed.clone());
+                last_changes.insert(n, changed.clone());
                 let event = Event::EndpointChanges(vec![changed]);
                 spare.handle(s.now, std::slice::from_ref(&event), &mut vec![]);
                 s.tell(vec![event]);
             }
             9 => {
-                // What is looked at once more is reckoned in one step more: said again, so that both are.
-                let again = Event::EndpointChanges(said.values().cloned().chain([entry(4, 0)]).collect());
-                spare.handle(s.now, std::slice::from_ref(&again), &mut vec![]);
-                if moves {
+                // A further tick changes the floating-point results by one more step of decay; the changes
+                // are sent in both runs, so that both have the same ticks.
+                let repeated =
+                    Event::EndpointChanges(last_changes.values().cloned().chain([entry(4, 0)]).collect());
+                spare.handle(s.now, std::slice::from_ref(&repeated), &mut vec![]);
+                if migrate {
                     spare.attach(s.policy.detach(DEST).unwrap());
                     std::mem::swap(&mut s.policy, &mut spare);
                 }
-                s.tell(vec![again]);
+                s.tell(vec![repeated]);
             }
             _ => s.pass(rng.u64(..SECOND / 2)),
         }
@@ -69,107 +73,111 @@
     s
 }
 
-/// The same attempts at the same endpoints, and the same answers.
+/// A run with migrations has the same attempts at the same endpoints, and the same final answers, as one
+/// without.
 #[test]
-fn a_day_with_moves_is_the_same_day() {
+fn run_with_migrations_matches_run_without() {
     let mut sent = 0;
     let first = first_seed();
     for seed in first..first + 100 {
-        let (plain, moved) = (day(seed, false), day(seed, true));
+        let (plain, moved) = (random_run(seed, false), random_run(seed, true));
         assert_eq!(plain.sent, moved.sent, "seed {seed}");
         assert_eq!(plain.refused, moved.refused, "seed {seed}");
         assert_eq!(plain.failed, moved.failed, "seed {seed}");
         sent += plain.sent.len();
     }
-    assert!(sent > 1_000, "the days have calls: {sent}");
+    assert!(sent > 1_000, "the runs have calls: {sent}");
 }
 
-const MODULES: usize = 3;
+const INSTANCES: usize = 3;
 const DESTINATIONS: u16 = 4;
 const SLOTS: usize = 12;
 
-fn of(destination: u16, n: u8) -> EndpointId {
+fn endpoint_of(destination: u16, n: u8) -> EndpointId {
     EndpointId([10, 0, destination as u8, n, 0x1b, 0x58])
 }
 
-/// Several modules with a part of the slots each, and destinations that go from one to another.
-struct Team {
-    modules: Vec<Policy>,
+/// Several instances with a part of the call slots each, and destinations that migrate between them.
+struct InstanceGroup {
+    instances: Vec<Policy>,
     owner: BTreeMap<u16, usize>,
     now: Micros,
     out: Vec<(Out, DestinationId)>,
     tries: BTreeMap<MessageId, u16>,
-    held: BTreeMap<MessageId, (usize, DestinationId)>,
-    /// Attempts of each that may have run.
-    ran: BTreeMap<MessageId, usize>,
-    over: BTreeSet<MessageId>,
+    messages: BTreeMap<MessageId, (usize, DestinationId)>,
+    /// Attempts of each message that may have taken effect.
+    may_have_run: BTreeMap<MessageId, usize>,
+    finished: BTreeSet<MessageId>,
     waits: BTreeMap<DestinationId, Micros>,
-    drained: BTreeSet<EndpointId>,
+    draining_endpoints: BTreeSet<EndpointId>,
     calls: usize,
     next: u32,
 }
 
-impl Team {
+impl InstanceGroup {
     fn new() -> Self {
         let settings = Settings { max_calls: SLOTS, ..settings() };
-        let mut modules: Vec<_> =
-            (0..MODULES).map(|n| Policy::new(settings.clone(), 42 + n as u64, START)).collect();
-        for (n, module) in modules.iter_mut().enumerate() {
-            module.count_calls_from((n as u64) << 48);
+        let mut instances: Vec<_> =
+            (0..INSTANCES).map(|n| Policy::new(settings.clone(), 42 + n as u64, START)).collect();
+        for (n, instance) in instances.iter_mut().enumerate() {
+            instance.count_calls_from((n as u64) << 48);
         }
-        let owner = (0..DESTINATIONS).map(|d| (d, usize::from(d) % MODULES)).collect();
-        let mut team = Self {
-            modules,
+        let owner = (0..DESTINATIONS).map(|d| (d, usize::from(d) % INSTANCES)).collect();
+        let mut group = Self {
+            instances,
             owner,
             now: START,
             out: vec![],
             tries: BTreeMap::new(),
-            held: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            over: BTreeSet::new(),
+            messages: BTreeMap::new(),
+            may_have_run: BTreeMap::new(),
+            finished: BTreeSet::new(),
             waits: BTreeMap::new(),
-            drained: BTreeSet::new(),
+            draining_endpoints: BTreeSet::new(),
             calls: 0,
             next: 0,
         };
         let entries =
-            (0..DESTINATIONS).flat_map(|d| [1, 2].map(|n| team.entry(d, n, Listing::Ready))).collect();
-        let room = Event::CapacityChanged { max_calls: SLOTS / MODULES, max_messages: 100 };
-        team.tell_all(&[Event::EndpointList(entries), room]);
-        team
+            (0..DESTINATIONS).flat_map(|d| [1, 2].map(|n| group.entry(d, n, Listing::Ready))).collect();
+        let capacity = Event::CapacityChanged { max_calls: SLOTS / INSTANCES, max_messages: 100 };
+        group.handle_all(&[Event::EndpointList(entries), capacity]);
+        group
     }
 
     fn entry(&self, destination: u16, n: u8, listing: Listing) -> EndpointEntry {
         EndpointEntry {
-            endpoint: of(destination, n),
+            endpoint: endpoint_of(destination, n),
             destination: DestinationId(destination),
             listing,
             ..entry(n, 0)
         }
     }
 
-    fn tell_all(&mut self, events: &[Event]) {
-        (0..MODULES).for_each(|module| self.tell(module, events));
+    fn handle_all(&mut self, events: &[Event]) {
+        (0..INSTANCES).for_each(|instance| self.handle(instance, events));
     }
 
-    fn tell(&mut self, module: usize, events: &[Event]) {
+    fn handle(&mut self, instance: usize, events: &[Event]) {
         let mut actions = vec![];
-        self.modules[module].handle(self.now, events, &mut actions);
+        self.instances[instance].handle(self.now, events, &mut actions);
         for action in actions {
             match action {
                 Action::Attempt { message, endpoint, timeout, .. } => {
-                    let (class, destination) = self.held[&message];
-                    assert_eq!(self.owner[&destination.0], module, "it is the owner's alone to send");
-                    assert!(!self.over.contains(&message), "nothing goes out after the end");
-                    assert!(self.out.iter().all(|o| o.0.message != message), "never two at once");
+                    let (class, destination) = self.messages[&message];
+                    assert_eq!(self.owner[&destination.0], instance, "only the owner sends");
+                    assert!(!self.finished.contains(&message), "no attempt after the final answer");
+                    assert!(self.out.iter().all(|o| o.0.message != message), "never two attempts in flight");
                     assert!(
                         self.now >= self.waits.get(&destination).copied().unwrap_or(0),
-                        "waits are heeded"
+                        "waits are respected"
                     );
-                    assert!(!self.drained.contains(&endpoint), "drains are kept");
-                    let ran = self.ran.entry(message).or_default();
-                    assert!(class != ONCE || *ran == 0, "no effect twice");
-                    *ran += 1;
+                    assert!(
+                        !self.draining_endpoints.contains(&endpoint),
+                        "no attempt at a draining endpoint"
+                    );
+                    let may_have_run = self.may_have_run.entry(message).or_default();
+                    assert!(class != ONCE || *may_have_run == 0, "no effect twice");
+                    *may_have_run += 1;
                     let attempt = self.tries.entry(message).or_default();
                     let until = self.now + timeout;
                     let out = Out { message, attempt: *attempt, endpoint, sent: self.now, until };
@@ -177,11 +185,11 @@
                     self.out.push((out, destination));
                     self.calls += 1;
                     let there = self.out.iter().filter(|o| o.1 == destination).count();
-                    assert!(there <= SLOTS * 3 / 4, "its share of the slots");
-                    assert!(self.out.len() <= SLOTS, "all slots together");
+                    assert!(there <= SLOTS * 3 / 4, "destinations keep to their share of the slots");
+                    assert!(self.out.len() <= SLOTS, "all instances keep to the slots");
                 }
                 Action::Reject { message, .. } | Action::Fail(message) => {
-                    assert!(self.over.insert(message), "one end");
+                    assert!(self.finished.insert(message), "one final answer");
                 }
                 _ => {}
             }
@@ -192,30 +200,30 @@
         self.next += 1;
         let id = MessageId(self.next);
         let destination = DestinationId(destination);
-        self.held.insert(id, (class, destination));
+        self.messages.insert(id, (class, destination));
         let message =
             Message { id, class, tenant: 0, key: None, remaining_time: 20 * SECOND, hint: None, destination };
-        self.tell(self.owner[&destination.0], &[Event::Accepted(message)]);
+        self.handle(self.owner[&destination.0], &[Event::Accepted(message)]);
     }
 
     fn end(&mut self, at: usize, outcome: Outcome) {
         let (out, destination) = self.out.remove(at);
         if outcome.never_ran() {
-            *self.ran.entry(out.message).or_default() -= 1;
+            *self.may_have_run.entry(out.message).or_default() -= 1;
         }
         if let Outcome::Rejected(Some(wait)) = outcome {
             let until = self.waits.entry(destination).or_default();
             *until = (*until).max(self.now + wait);
         }
         let terminal = outcome == Outcome::Delivered;
-        if terminal && !self.over.contains(&out.message) {
-            self.over.insert(out.message);
+        if terminal && !self.finished.contains(&out.message) {
+            self.finished.insert(out.message);
         }
         let (message, attempt, endpoint) = (out.message, out.attempt, out.endpoint);
         let took = self.now - out.sent;
         let event =
             Event::AttemptCompleted { message, attempt, endpoint, outcome, terminal, took, report: vec![] };
-        self.tell(self.owner[&destination.0], &[event]);
+        self.handle(self.owner[&destination.0], &[event]);
     }
 
     fn pass(&mut self, span: Micros) {
@@ -225,7 +233,7 @@
             while let Some(at) = self.out.iter().position(|o| o.0.until <= self.now) {
                 self.end(at, Outcome::TimedOut);
             }
-            self.tell_all(&[Event::TimerFired(0)]);
+            self.handle_all(&[Event::TimerFired(0)]);
         }
     }
 
@@ -247,24 +255,24 @@
                 let (destination, n) = (rng.u16(..DESTINATIONS), rng.u8(1..3));
                 let listing = if rng.bool() { Listing::Ready } else { Listing::Draining };
                 if listing == Listing::Ready {
-                    self.drained.remove(&of(destination, n));
+                    self.draining_endpoints.remove(&endpoint_of(destination, n));
                 } else {
-                    self.drained.insert(of(destination, n));
+                    self.draining_endpoints.insert(endpoint_of(destination, n));
                 }
-                self.tell_all(&[Event::EndpointChanges(vec![self.entry(destination, n, listing)])]);
+                self.handle_all(&[Event::EndpointChanges(vec![self.entry(destination, n, listing)])]);
             }
             9..11 => {
-                let (destination, to) = (rng.u16(..DESTINATIONS), rng.usize(..MODULES));
+                let (destination, to) = (rng.u16(..DESTINATIONS), rng.usize(..INSTANCES));
                 let from = self.owner[&destination];
                 if from == to {
                     return;
                 }
-                let parcel = self.modules[from].detach(DestinationId(destination)).unwrap();
+                let migrated = self.instances[from].detach(DestinationId(destination)).unwrap();
                 let out = self.out.iter().filter(|o| o.1.0 == destination).count();
-                assert_eq!(parcel.attempts_in_flight().count(), out, "all that is out goes along");
-                self.modules[to].attach(parcel);
+                assert_eq!(migrated.attempts_in_flight().count(), out, "all attempts in flight migrate");
+                self.instances[to].attach(migrated);
                 self.owner.insert(destination, to);
-                self.tell_all(&[]);
+                self.handle_all(&[]);
             }
             _ => self.pass(rng.u64(..SECOND / 2)),
         }
@@ -272,47 +280,51 @@
 }
 
 #[test]
-fn several_modules_with_moves_take_the_same_care_as_one() {
-    let (mut calls, mut held) = (0, 0);
+fn instances_with_migrations_keep_delivery_guarantees() {
+    let (mut calls, mut messages) = (0, 0);
     let first = first_seed();
     for seed in first..first + 60 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut team = Team::new();
+        let mut group = InstanceGroup::new();
         for _ in 0..500 {
-            team.step(&mut rng);
+            group.step(&mut rng);
         }
-        team.pass(40 * SECOND);
-        let left: Vec<_> = team.held.keys().filter(|id| !team.over.contains(id)).collect();
-        assert!(left.is_empty(), "seed {seed}: without an end: {left:?}");
+        group.pass(40 * SECOND);
+        let unfinished: Vec<_> = group.messages.keys().filter(|id| !group.finished.contains(id)).collect();
+        assert!(unfinished.is_empty(), "seed {seed}: without a final answer: {unfinished:?}");
         assert!(
-            team.modules.iter().all(|module| module.pending_messages() == 0 && module.calls_in_flight() == 0),
+            group
+                .instances
+                .iter()
+                .all(|instance| instance.pending_messages() == 0 && instance.calls_in_flight() == 0),
             "seed {seed}"
         );
-        (calls, held) = (calls + team.calls, held + team.held.len());
+        (calls, messages) = (calls + group.calls, messages + group.messages.len());
     }
-    println!("{held} messages, {calls} calls");
-    assert!(calls > 3_000, "the days have calls: {calls}");
+    println!("{messages} messages, {calls} calls");
+    assert!(calls > 3_000, "the runs have calls: {calls}");
 }
 
-/// A breaker that is open, a wait, and what is held go along; the module that it leaves knows nothing more of it.
+/// An open breaker and the pending messages migrate with a destination; nothing of it stays with the instance
+/// that it leaves.
 #[test]
-fn what_is_known_goes_along_and_nothing_stays() {
+fn state_migrates_and_nothing_stays() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.suffer(5, Outcome::Error);
     let id = s.accept(SAFE);
     assert_eq!(s.policy.open_breakers(), [DEST]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(s.now, &[Event::EndpointList(vec![entry(1, 0)])], &mut vec![]);
-    let parcel = s.policy.detach(DEST).unwrap();
-    assert!(parcel.messages().any(|message| message == id));
+    let migrated = s.policy.detach(DEST).unwrap();
+    assert!(migrated.messages().any(|message| message == id));
     assert_eq!((s.policy.pending_messages(), s.policy.open_breakers()), (0, vec![]));
-    other.attach(parcel);
+    other.attach(migrated);
     assert!(other.pending_messages() > 0 && other.open_breakers() == [DEST]);
 }
 
-/// Guards a drain that the new owner has heard of and the old one has not.
+/// The new owner knows of a drain that the old one does not: it still applies to the messages that migrate.
 #[test]
-fn a_drain_that_was_told_here_binds_what_comes() {
+fn drain_known_to_new_owner_applies_to_migrated_messages() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.accept(SAFE);
     s.end(Outcome::Rejected(None));
@@ -325,26 +337,26 @@
     assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })), "{actions:?}");
 }
 
-/// Guards the wait of a destination that sleeps, or that nothing came for since the start.
+/// The wait of a destination that is idle, or that no message has come for since the start, migrates with it.
 #[test]
-fn a_wait_goes_along_though_nothing_is_awake() {
+fn wait_of_inactive_destination_migrates() {
     let wait_until = START + 5 * SECOND;
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    let learnt = RouteSnapshot { wait_until, ..RouteSnapshot::default() };
-    s.tell(vec![Event::SnapshotRestored { route: (DEST, None), snapshot: learnt }]);
+    let snapshot = RouteSnapshot { wait_until, ..RouteSnapshot::default() };
+    s.tell(vec![Event::SnapshotRestored { route: (DEST, None), snapshot }]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(s.now, &[Event::EndpointList(vec![entry(1, 0)])], &mut vec![]);
     other.attach(s.policy.detach(DEST).unwrap());
     s.policy = other;
     s.accept(SAFE);
-    assert!(s.out.is_empty(), "the wait runs");
+    assert!(s.out.is_empty(), "the wait has not ended");
     s.pass(6 * SECOND);
     assert!(s.sent.iter().all(|out| out.sent >= wait_until) && !s.sent.is_empty());
 }
 
-/// Guards ids: the other core may know the same endpoint by another one.
+/// The other instance may know the same endpoint by another id.
 #[test]
-fn endpoints_are_known_by_other_ids_where_they_come_to() {
+fn endpoints_are_renamed_to_ids_of_new_owner() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     let id = s.accept(ONCE);
     let out = s.out.remove(0);
@@ -355,9 +367,9 @@
         &[Event::EndpointList(vec![EndpointEntry { endpoint: theirs, ..entry(1, 0) }])],
         &mut vec![],
     );
-    let parcel = s.policy.detach(DEST).unwrap();
-    assert_eq!(parcel.endpoints(), BTreeSet::from([endpoint(1)]));
-    other.attach(parcel.rename(&BTreeMap::from([(endpoint(1), theirs)])));
+    let migrated = s.policy.detach(DEST).unwrap();
+    assert_eq!(migrated.endpoints(), BTreeSet::from([endpoint(1)]));
+    other.attach(migrated.rename(&BTreeMap::from([(endpoint(1), theirs)])));
     let mut actions = vec![];
     let ended = Event::AttemptCompleted {
         message: id,
@@ -376,7 +388,7 @@
 }
 
 #[test]
-fn messages_in_order_stay_where_they_are() {
+fn destination_with_ordered_messages_does_not_migrate() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.accept_keyed(ORDERED, Some(1));
     assert_eq!(s.policy.detach(DEST).err(), Some(MigrationRefused::Ordered));
