--- a/crates/decision/src/estimate.rs
+++ b/crates/decision/src/estimate.rs
@@ -73,7 +73,7 @@
 
     /// Returns the longest usual latency: the mean and five mean deviations, between a sixteenth of the
     /// latency objective and all of it; half of it before the first answer.
-    pub fn longest(&self, latency_objective: Micros) -> Micros {
+    pub fn longest_usual(&self, latency_objective: Micros) -> Micros {
         let (least, most) = (latency_objective / 16, latency_objective);
         let usual = |(mean, deviation): (f64, f64)| ((mean + 5.0 * deviation) as Micros).clamp(least, most);
         self.0.map_or(latency_objective / 2, usual)
--- a/crates/decision/src/health/outage_detector.rs
+++ b/crates/decision/src/health/outage_detector.rs
@@ -79,7 +79,7 @@
     /// any other call since it was sent. Detects a destination that accepts calls and answers none, whatever
     /// the cause, long before time-outs show it. A slow destination is not affected, because it answers.
     pub(super) fn is_silent(&self, sent: Micros, latency_objective: Micros, now: Micros) -> bool {
-        sent >= self.answered_at && sent + self.latency.longest(latency_objective) <= now
+        sent >= self.answered_at && sent + self.latency.longest_usual(latency_objective) <= now
     }
 
     /// Records a connection rejected for want of a connection slot. One full connection table is not an
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -56,9 +56,9 @@
     pub failed: Vec<MessageId>,
     /// All other actions.
     pub other: Vec<Action>,
-    tries: BTreeMap<MessageId, u16>,
-    reminders: Vec<(Micros, u64)>,
-    next: u32,
+    attempts: BTreeMap<MessageId, u16>,
+    timers: Vec<(Micros, u64)>,
+    next_id: u32,
 }
 
 impl Sender {
@@ -71,9 +71,9 @@
             refused: vec![],
             failed: vec![],
             other: vec![],
-            tries: BTreeMap::new(),
-            reminders: vec![],
-            next: 0,
+            attempts: BTreeMap::new(),
+            timers: vec![],
+            next_id: 0,
         };
         sender.tell(vec![Event::EndpointList(entries.to_vec())]);
         sender
@@ -86,9 +86,9 @@
         for action in actions {
             match action {
                 Action::Attempt { message, endpoint, timeout, .. } => {
-                    let tries = self.tries.entry(message).or_default();
-                    let attempt = *tries;
-                    *tries += 1;
+                    let attempts = self.attempts.entry(message).or_default();
+                    let attempt = *attempts;
+                    *attempts += 1;
                     let until = self.now + timeout;
                     let out = Out { message, attempt, endpoint, sent: self.now, until };
                     self.out.push(out);
@@ -96,7 +96,7 @@
                 }
                 Action::Reject { message, retry_after } => self.refused.push((message, retry_after)),
                 Action::Fail(message) => self.failed.push(message),
-                Action::SetTimer { at, token } => self.reminders.push((at, token)),
+                Action::SetTimer { at, token } => self.timers.push((at, token)),
                 other => self.other.push(other),
             }
         }
@@ -106,14 +106,14 @@
     pub fn hand_over(&mut self, settings: Settings) {
         let state = self.policy.state().unwrap();
         self.policy = Policy::from_state(&state, settings, 42, self.now).unwrap();
-        self.reminders.clear();
+        self.timers.clear();
         self.tell(vec![]);
     }
 
     /// Returns a new message that is not accepted yet.
     pub fn message(&mut self, class: usize, key: Option<u64>, time_left: Micros) -> Message {
-        self.next += 1;
-        let id = MessageId(self.next);
+        self.next_id += 1;
+        let id = MessageId(self.next_id);
         Message { id, class, tenant: 0, key, remaining_time: time_left, hint: None, destination: DEST }
     }
 
@@ -154,13 +154,13 @@
     pub fn pass(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
-            let reminder = self.reminders.iter().map(|r| r.0).min();
+            let timer = self.timers.iter().map(|r| r.0).min();
             let timeout = self.out.iter().map(|o| o.until).min();
-            let Some(at) = reminder.into_iter().chain(timeout).min().filter(|at| *at <= until) else { break };
+            let Some(at) = timer.into_iter().chain(timeout).min().filter(|at| *at <= until) else { break };
             self.now = at.max(self.now);
             let now = self.now;
             let mut events = vec![];
-            self.reminders.retain(|r| {
+            self.timers.retain(|r| {
                 if r.0 <= now {
                     events.push(Event::TimerFired(r.1));
                 }
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -103,7 +103,7 @@
     owner: BTreeMap<u16, usize>,
     now: Micros,
     out: Vec<(Out, DestinationId)>,
-    tries: BTreeMap<MessageId, u16>,
+    attempts: BTreeMap<MessageId, u16>,
     messages: BTreeMap<MessageId, (usize, DestinationId)>,
     /// Attempts of each message that may have taken effect.
     may_have_run: BTreeMap<MessageId, usize>,
@@ -111,7 +111,7 @@
     waits: BTreeMap<DestinationId, Micros>,
     draining_endpoints: BTreeSet<EndpointId>,
     calls: usize,
-    next: u32,
+    next_id: u32,
 }
 
 impl InstanceGroup {
@@ -128,14 +128,14 @@
             owner,
             now: START,
             out: vec![],
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             messages: BTreeMap::new(),
             may_have_run: BTreeMap::new(),
             finished: BTreeSet::new(),
             waits: BTreeMap::new(),
             draining_endpoints: BTreeSet::new(),
             calls: 0,
-            next: 0,
+            next_id: 0,
         };
         let entries =
             (0..DESTINATIONS).flat_map(|d| [1, 2].map(|n| group.entry(d, n, Listing::Ready))).collect();
@@ -178,7 +178,7 @@
                     let may_have_run = self.may_have_run.entry(message).or_default();
                     assert!(class != ONCE || *may_have_run == 0, "no effect twice");
                     *may_have_run += 1;
-                    let attempt = self.tries.entry(message).or_default();
+                    let attempt = self.attempts.entry(message).or_default();
                     let until = self.now + timeout;
                     let out = Out { message, attempt: *attempt, endpoint, sent: self.now, until };
                     *attempt += 1;
@@ -197,8 +197,8 @@
     }
 
     fn accept(&mut self, class: usize, destination: u16) {
-        self.next += 1;
-        let id = MessageId(self.next);
+        self.next_id += 1;
+        let id = MessageId(self.next_id);
         let destination = DestinationId(destination);
         self.messages.insert(id, (class, destination));
         let message =
