--- a/crates/decision/src/health/assessment.rs
+++ b/crates/decision/src/health/assessment.rs
@@ -44,9 +44,10 @@
     }
 
     /// Returns whether slow start allows a further call of that weight, with `backlog` messages queued. Where
-    /// many senders have little traffic each, the usual rate of one says nothing: all queued messages arrived
-    /// since the outage began, so the traffic is estimated as the backlog divided by the time since then.
-    /// Costs delay where only a few senders have anything to send.
+    /// many senders have little traffic each, the usual rate alone would be too low an estimate: all queued
+    /// messages arrived since the outage began, so the traffic is also estimated as the backlog divided by
+    /// the time since then, and the higher estimate counts. Costs delay where only a few senders have
+    /// anything to send.
     pub(crate) fn slow_start_allows(&mut self, tick: &Tick, weight: f64, backlog: f64) -> bool {
         let rules = &tick.settings.rules;
         let cold = self.cold_share(rules, tick.now).map(|share| {
--- a/crates/decision/src/health/circuit_breaker.rs
+++ b/crates/decision/src/health/circuit_breaker.rs
@@ -29,8 +29,8 @@
 /// *Input*: the outcome of each call; times in microseconds. *Rule*: closed until [`MAX_FAILURES`]
 /// consecutive failures or [`MAX_TIMEOUTS`] consecutive time-outs, then open for half a latency objective;
 /// then half-open, with one trial call at a time. A failed trial doubles the open time, up to
-/// [`RESET_TIMEOUT`]; any success closes the breaker. *Reason*: calls into an outage use up the attempts of
-/// messages and slow down the recovery of the destination.
+/// [`RESET_TIMEOUT`]; any success closes the breaker. *Reason*: calls into an outage use up the attempts
+/// of messages and slow down the recovery of the destination.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct CircuitBreaker {
     state: State,
--- a/crates/decision/src/health/mod.rs
+++ b/crates/decision/src/health/mod.rs
@@ -68,7 +68,8 @@
 pub(crate) struct Demand {
     /// As a multiple of an even share.
     pub shares: f64,
-    /// A shortage of the limit was observed within the last [`CALM_OBJECTIVES`] latency objectives.
+    /// A shortage of the limit was observed within the last
+    /// [`CALM_OBJECTIVES`] latency objectives.
     pub is_short: bool,
 }
 
@@ -174,7 +175,7 @@
         self.slow_start.checked_at()
     }
 
-    /// Returns when the limit was last seen used up.
+    /// Returns when a shortage of the limit was last observed.
     pub(crate) fn short_at(&self) -> Option<Micros> {
         self.quota.short_at()
     }
@@ -202,8 +203,8 @@
         self.outage.latency.longest_usual(latency_objective)
     }
 
-    /// Returns whether a call sent at `sent` has had no answer for longer than its latency lets expect, with
-    /// no answer to any other call since it was sent.
+    /// Returns whether a call sent at `sent` has gone unanswered for longer than the longest usual latency,
+    /// with no answer to any other call since it was sent.
     pub(crate) fn is_silent(&self, sent: Micros, latency_objective: Micros, now: Micros) -> bool {
         self.outage.is_silent(sent, latency_objective, now)
     }
--- a/crates/decision/src/health/outage_detector.rs
+++ b/crates/decision/src/health/outage_detector.rs
@@ -66,18 +66,20 @@
         self.unattributed_rejections >= MAX_FAILURES && now >= self.unhealthy_since + rules.overload_for
     }
 
-    /// Returns whether the destination is suspected: one failure, or one rejection that nothing explains,
-    /// while the destination was not seen to work for an overload span, holds the sender back until the next
-    /// success. A sender with little traffic sees no consecutive failures that it could count.
+    /// Returns whether the destination is suspected: one failure, one rejection that nothing explains, one
+    /// lost connection or the evidence of other senders, while the destination was not seen to work for an
+    /// overload span, holds the sender back until the next success. A sender with little traffic sees no
+    /// consecutive failures that it could count.
     pub(super) fn is_suspected(&self, rules: &Rules, now: Micros) -> bool {
         let failed = self.consecutive_failures + self.unattributed_rejections > 0;
         (self.connection_lost() || failed || self.reported_unhealthy)
             && now >= self.working_at + rules.overload_for
     }
 
-    /// Returns whether a call has had no answer for longer than the latency lets expect, with no answer to
-    /// any other call since it was sent. Detects a destination that accepts calls and answers none, whatever
-    /// the cause, long before time-outs show it. A slow destination is not affected, because it answers.
+    /// Returns whether a call has gone unanswered for longer than the longest usual latency, with no answer
+    /// to any other call since it was sent. Detects a destination that accepts calls and answers none,
+    /// whatever the cause, long before time-outs show it. A slow destination is not affected, because it
+    /// answers.
     pub(super) fn is_silent(&self, sent: Micros, latency_objective: Micros, now: Micros) -> bool {
         sent >= self.answered_at && sent + self.latency.longest_usual(latency_objective) <= now
     }
--- a/crates/decision/src/health/outcomes.rs
+++ b/crates/decision/src/health/outcomes.rs
@@ -12,11 +12,17 @@
     /// plausible. A limit that was lowered, or raised again, by half or more scales the send rate with it: a
     /// destination whose limit is lowered for a while is not sent the rate from before, and its queue is not
     /// held to the lowered rate afterwards. Does harm where such reports are wrong.
-    pub(crate) fn record_report(&mut self, limit: f64, left: f64, objective: Micros, now: Micros) -> bool {
+    pub(crate) fn record_report(
+        &mut self,
+        limit: f64,
+        remaining: f64,
+        objective: Micros,
+        now: Micros,
+    ) -> bool {
         let plausible = self.quota.is_plausible(limit);
         if plausible {
             let lowered = self.set_limit(limit, now);
-            self.quota.observe(left, lowered, objective, now);
+            self.quota.observe(remaining, lowered, objective, now);
         }
         plausible
     }
@@ -80,7 +86,7 @@
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset | Outcome::TimedOut => {
                 self.outage.consecutive_failures += 1;
             }
-            // The call used nothing of the limit: the send rate must not suffer when messages end before they
+            // The call used nothing of the limit: the send rate stays as it is when messages end before they
             // are sent.
             Outcome::NotSent { no_slot: false } => self.limiter.return_token(),
             Outcome::ConnectionRejected => {
--- a/crates/decision/src/health/quota_share.rs
+++ b/crates/decision/src/health/quota_share.rs
@@ -121,19 +121,19 @@
     }
 
     /// Records the share of the limit that remains according to a report, which may have lowered the limit.
-    pub(super) fn observe(&mut self, left: f64, lowered: bool, latency_objective: Micros, now: Micros) {
-        self.remaining += (left - self.remaining) / 8.0;
+    pub(super) fn observe(&mut self, remaining: f64, lowered: bool, latency_objective: Micros, now: Micros) {
+        self.remaining += (remaining - self.remaining) / 8.0;
         let objective = latency_objective.max(1) as f64;
         let since_report =
             now.saturating_sub(self.last_report.at).min(latency_objective / 2) as f64 / objective;
-        let excess = ((left - AMPLE_REMAINING) / (1.0 - AMPLE_REMAINING)).max(0.0);
+        let excess = ((remaining - AMPLE_REMAINING) / (1.0 - AMPLE_REMAINING)).max(0.0);
         let most = (MAX_SHARE / NORMAL_SHARE).ln();
         self.log_boost = (self.log_boost + SHARE_GROWTH * since_report * excess).min(most);
-        if left < EXHAUSTED_BELOW || lowered {
+        if remaining < EXHAUSTED_BELOW || lowered {
             self.record_shortage(now);
         }
-        (self.last_report, self.restored) = (RemainingCapacity { share: left, at: now }, false);
-        if left < UNUSED_LIMIT_ABOVE {
+        (self.last_report, self.restored) = (RemainingCapacity { share: remaining, at: now }, false);
+        if remaining < UNUSED_LIMIT_ABOVE {
             self.used_up_at = now;
         }
     }
@@ -145,18 +145,18 @@
         if self.limit <= 0.0 || settings.senders <= SMALL_FLEET_SENDERS {
             return None;
         }
-        let even = self.even_share(settings) * self.escrow.0;
+        let even_share = self.even_share(settings) * self.escrow.0;
         if self.restored {
-            return Some(even * NORMAL_SHARE);
+            return Some(even_share * NORMAL_SHARE);
         }
         let age = now.saturating_sub(self.last_report.at);
         if age < latency_objective && self.last_report.share < EXHAUSTED_BELOW {
-            return Some(even * SCARCE_SHARE);
+            return Some(even_share * SCARCE_SHARE);
         }
-        let calls_per_objective = even * (latency_objective.max(1) as f64 / 1e6);
+        let calls_per_objective = even_share * (latency_objective.max(1) as f64 / 1e6);
         let most = self.max_share(tick, calls_per_objective, cold);
         let needed = 2.0 * queued.max(1.0) / calls_per_objective;
-        Some(even * needed.clamp(NORMAL_SHARE.min(most), most))
+        Some(even_share * needed.clamp(NORMAL_SHARE.min(most), most))
     }
 
     /// Returns the most that this sender may use, as a multiple of an even share; an even share allows
--- a/crates/decision/src/health/quota_share/state.rs
+++ b/crates/decision/src/health/quota_share/state.rs
@@ -83,14 +83,14 @@
     /// Returns what this sender needs of the limit: twice the rate that sends the queued messages within the
     /// latency objective.
     pub(in crate::health) fn demand(&self, tick: &Tick, queued: f64) -> Demand {
-        let even = self.even_share(tick.settings);
-        if even <= 0.0 {
+        let even_share = self.even_share(tick.settings);
+        if even_share <= 0.0 {
             return Demand { shares: 0.0, is_short: false };
         }
         let objective = tick.latency_objective.max(1) as f64;
         let recent = CALM_OBJECTIVES * tick.latency_objective;
         let is_short = self.short_at.is_some_and(|at| tick.now < at + recent);
-        Demand { shares: 2.0 * queued * 1e6 / (even * objective), is_short }
+        Demand { shares: 2.0 * queued * 1e6 / (even_share * objective), is_short }
     }
 }
 
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,5 +1,5 @@
 //! Delivery decisions of a sender, which accepts messages and delivers them to destinations that other
-//! organisations operate. A three-state circuit breaker per destination guards the normal path. The crate
+//! organisations operate. A three-state circuit breaker per destination decides the normal path. The crate
 //! does no I/O, reads no clock (the time comes with the events) and shares nothing between instances.
 //!
 //! The caller passes what happened to [`policy::Policy::handle`] and carries out the actions that it returns:
@@ -18,7 +18,8 @@
 //!
 //! let endpoint = EndpointId([10, 0, 0, 1, 0x1f, 0x90]);
 //! let destination = DestinationId(7);
-//! let listed = EndpointEntry { endpoint, destination, zone: 0, kind: 0, weight: 1.0, listing: Listing::Ready };
+//! let listed =
+//!     EndpointEntry { endpoint, destination, zone: 0, kind: 0, weight: 1.0, listing: Listing::Ready };
 //! let message = Message {
 //!     id: MessageId(1), class: 0, tenant: 0, key: None, remaining_time: 24_000_000, hint: None, destination,
 //! };
--- a/crates/decision/src/route_table.rs
+++ b/crates/decision/src/route_table.rs
@@ -47,7 +47,7 @@
         let idle_policy = settings.idle;
         let (max_retained, retain_for) = idle_policy.map_or((0, 0), |d| (d.max_retained, d.retain_for));
         Self {
-            idle_policy: idle_policy,
+            idle_policy,
             rules: settings.rules.clone(),
             routes: BTreeMap::new(),
             active: ActiveSet::new(idle_policy.map(|d| d.idle_after)),
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -126,8 +126,8 @@
     assert_eq!(s.sent.len(), before + 1);
 }
 
-/// A destination leaves the list during a wait and comes back under another endpoint. Its endpoints form one
-/// route or separate routes (`kind`), and it is idle or active meanwhile.
+/// A destination, idle or active, leaves the list during a wait and comes back under another endpoint. `kind`
+/// gives it one route for all endpoints or separate routes.
 #[test]
 fn wait_applies_after_return_under_another_endpoint() {
     for kind in [0, 1] {
@@ -253,10 +253,7 @@
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
     let after_idle = calls(&mut s);
-    assert!(
-        before_idle < 15 && after_idle < 15,
-        "{before_idle} calls before the idle period, {after_idle} after it"
-    );
+    assert!(before_idle < 15 && after_idle < 15, "{before_idle} calls before, {after_idle} after");
 }
 
 #[test]
@@ -279,11 +276,7 @@
         deliver_all(&mut s);
         // The configured rate of 100 a second, and the tokens saved before.
         let activated = s.sent.iter().filter(|sent| sent.endpoint != entry_of(0, 0).endpoint).count();
-        assert!(
-            activated as u64 <= 26 + (s.now - started) / 10_000,
-            "{activated} activated after {}",
-            s.now - started
-        );
+        assert!(activated as u64 <= 26 + (s.now - started) / 10_000, "{activated} after {}", s.now - started);
     }
     assert_eq!(delayed, 0, "calls to the busy destination were delayed");
     assert!(s.now - started < 12 * SECOND && s.refused.is_empty(), "{}", s.now - started);
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -109,7 +109,7 @@
     may_have_run: BTreeMap<MessageId, usize>,
     finished: BTreeSet<MessageId>,
     waits: BTreeMap<DestinationId, Micros>,
-    draining_endpoints: BTreeSet<EndpointId>,
+    draining: BTreeSet<EndpointId>,
     calls: usize,
     next_id: u32,
 }
@@ -133,7 +133,7 @@
             may_have_run: BTreeMap::new(),
             finished: BTreeSet::new(),
             waits: BTreeMap::new(),
-            draining_endpoints: BTreeSet::new(),
+            draining: BTreeSet::new(),
             calls: 0,
             next_id: 0,
         };
@@ -171,10 +171,7 @@
                         self.now >= self.waits.get(&destination).copied().unwrap_or(0),
                         "waits are respected"
                     );
-                    assert!(
-                        !self.draining_endpoints.contains(&endpoint),
-                        "no attempt at a draining endpoint"
-                    );
+                    assert!(!self.draining.contains(&endpoint), "no attempt at a draining endpoint");
                     let may_have_run = self.may_have_run.entry(message).or_default();
                     assert!(class != ONCE || *may_have_run == 0, "no effect twice");
                     *may_have_run += 1;
@@ -255,9 +252,9 @@
                 let (destination, n) = (rng.u16(..DESTINATIONS), rng.u8(1..3));
                 let listing = if rng.bool() { Listing::Ready } else { Listing::Draining };
                 if listing == Listing::Ready {
-                    self.draining_endpoints.remove(&endpoint_of(destination, n));
+                    self.draining.remove(&endpoint_of(destination, n));
                 } else {
-                    self.draining_endpoints.insert(endpoint_of(destination, n));
+                    self.draining.insert(endpoint_of(destination, n));
                 }
                 self.handle_all(&[Event::EndpointChanges(vec![self.entry(destination, n, listing)])]);
             }
@@ -293,10 +290,7 @@
         let unfinished: Vec<_> = group.messages.keys().filter(|id| !group.finished.contains(id)).collect();
         assert!(unfinished.is_empty(), "seed {seed}: without a final answer: {unfinished:?}");
         assert!(
-            group
-                .instances
-                .iter()
-                .all(|instance| instance.pending_messages() == 0 && instance.calls_in_flight() == 0),
+            group.instances.iter().all(|i| i.pending_messages() == 0 && i.calls_in_flight() == 0),
             "seed {seed}"
         );
         (calls, messages) = (calls + group.calls, messages + group.messages.len());
