--- a/crates/decision/src/health/circuit_breaker.rs
+++ b/crates/decision/src/health/circuit_breaker.rs
@@ -13,7 +13,7 @@
 /// Longest time from the last failure to the trial call.
 pub(crate) const RESET_TIMEOUT: Micros = 5_000_000;
 /// Number of calls in flight beyond their usual latency, with no answer since, that opens the breaker.
-pub(crate) const MAX_SILENT: u32 = 2;
+pub(crate) const MAX_SILENT_CALLS: u32 = 2;
 
 /// State of the breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::health::{MAX_SILENT, RESET_TIMEOUT, SMALL_FLEET_SENDERS};
+use crate::health::{MAX_SILENT_CALLS, RESET_TIMEOUT, SMALL_FLEET_SENDERS};
 use crate::interface::{
     Action, EndpointId, Idempotency, IdempotencyScope, Message, Micros, RouteId, Settings,
 };
@@ -67,7 +67,7 @@
         idempotency == Idempotency::NonIdempotent && self.reuse_loss_rate > REUSE_LOSS_LIMIT
     }
 
-    /// Opens the breaker of each route on which at least [`MAX_SILENT`] calls in flight are silent, that is,
+    /// Opens the breaker of each route on which at least [`MAX_SILENT_CALLS`] calls in flight are silent, that is,
     /// past their usual latency with no answer to any call since they were sent.
     pub(super) fn open_silent(&mut self) {
         let (now, latency_objective) = (self.now, self.settings.shortest_latency_objective());
@@ -79,7 +79,7 @@
         }
         for (id, count) in silent {
             let Some(route) = self.routes.get_mut(&id) else { continue };
-            if route.is_breaker_closed() && count >= MAX_SILENT {
+            if route.is_breaker_closed() && count >= MAX_SILENT_CALLS {
                 route.open_breaker(now, latency_objective);
                 self.messages.queues.touch(id.0);
             }
