--- a/crates/decision/src/health/circuit_breaker.rs
+++ b/crates/decision/src/health/circuit_breaker.rs
@@ -11,7 +11,7 @@
 /// Number of consecutive time-outs that opens the breaker.
 const MAX_TIMEOUTS: u32 = 20;
 /// Longest time from the last failure to the trial call.
-pub(crate) const RESET_TIMEOUT: Micros = 5_000_000;
+pub(crate) const MAX_RESET_TIMEOUT: Micros = 5_000_000;
 /// Number of calls in flight beyond their usual latency, with no answer since, that opens the breaker.
 pub(crate) const MAX_SILENT_CALLS: u32 = 2;
 
@@ -29,7 +29,7 @@
 /// *Input*: the outcome of each call; times in microseconds. *Rule*: closed until [`MAX_FAILURES`]
 /// consecutive failures or [`MAX_TIMEOUTS`] consecutive time-outs, then open for half a latency objective;
 /// then half-open, with one trial call at a time. A failed trial doubles the open time, up to
-/// [`RESET_TIMEOUT`]; any success closes the breaker. *Reason*: calls into an outage use up the attempts
+/// [`MAX_RESET_TIMEOUT`]; any success closes the breaker. *Reason*: calls into an outage use up the attempts
 /// of messages and slow down the recovery of the destination.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct CircuitBreaker {
@@ -63,7 +63,7 @@
     pub(super) fn open(&mut self, now: Micros, latency_objective: Micros) {
         let trial_failed = self.state == State::HalfOpen;
         let reset_timeout = if trial_failed { self.reset_timeout * 2 } else { latency_objective / 2 };
-        self.reset_timeout = reset_timeout.min(RESET_TIMEOUT);
+        self.reset_timeout = reset_timeout.min(MAX_RESET_TIMEOUT);
         self.state = State::Open;
         self.last_failure_at = now;
         (self.failures, self.timeouts) = (0, 0);
--- a/crates/decision/src/health/circuit_breaker/state.rs
+++ b/crates/decision/src/health/circuit_breaker/state.rs
@@ -1,12 +1,12 @@
 //! Construction of and access to the state of the circuit breaker; no decisions are made here.
 
-use super::{CircuitBreaker, RESET_TIMEOUT, State};
+use super::{CircuitBreaker, MAX_RESET_TIMEOUT, State};
 use crate::interface::Micros;
 
 impl CircuitBreaker {
     /// Creates a half-open breaker: the first call is the trial.
     pub(in crate::health) fn half_open() -> Self {
-        Self { state: State::HalfOpen, reset_timeout: RESET_TIMEOUT / 4, ..Self::default() }
+        Self { state: State::HalfOpen, reset_timeout: MAX_RESET_TIMEOUT / 4, ..Self::default() }
     }
 
     /// Continues an open breaker of an earlier process.
--- a/crates/decision/src/health/mod.rs
+++ b/crates/decision/src/health/mod.rs
@@ -22,7 +22,7 @@
 mod tests;
 
 pub(crate) use assessment::SMALL_FLEET_SENDERS;
-pub(crate) use circuit_breaker::{MAX_FAILURES, MAX_SILENT_CALLS, RESET_TIMEOUT};
+pub(crate) use circuit_breaker::{MAX_FAILURES, MAX_RESET_TIMEOUT, MAX_SILENT_CALLS};
 pub(crate) use quota_share::CALM_OBJECTIVES;
 pub(crate) use snapshot::{from_retained, to_retained};
 
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::health::{MAX_SILENT_CALLS, RESET_TIMEOUT, SMALL_FLEET_SENDERS};
+use crate::health::{MAX_RESET_TIMEOUT, MAX_SILENT_CALLS, SMALL_FLEET_SENDERS};
 use crate::interface::{
     Action, EndpointId, Idempotency, IdempotencyScope, Message, Micros, RouteId, Settings,
 };
@@ -54,7 +54,7 @@
     /// the state of an active destination: one has to become idle first.
     pub(super) fn message_accepted(&mut self, message: &Message, actions: &mut Vec<Action>) {
         match self.routes.capacity_wait(message.destination, self.now) {
-            Some(wait) => self.answer(message.id, wait.max(RESET_TIMEOUT), actions),
+            Some(wait) => self.answer(message.id, wait.max(MAX_RESET_TIMEOUT), actions),
             None => self.routes.activate(message.destination, &self.endpoints, self.now),
         }
     }
--- a/crates/decision/src/policy/events.rs
+++ b/crates/decision/src/policy/events.rs
@@ -5,7 +5,7 @@
 use super::{Policy, RESTART_DURATION, REUSE_SAMPLES, arrival_margin};
 use crate::call_table::CompletedAttempt;
 use crate::estimate::message_rng;
-use crate::health::{RESET_TIMEOUT, Tick};
+use crate::health::{MAX_RESET_TIMEOUT, Tick};
 use crate::interface::{
     Action, DestinationKind, EndpointEntry, EndpointId, Event, Idempotency, Message, MessageId, Micros,
     Outcome,
@@ -61,7 +61,7 @@
                 Event::EndpointChanges(entries) => self.apply_list(entries),
                 Event::DiscoveryFailed if self.settings.polling_only => {
                     // Retries well within the poll interval, the longest time allowed without asking.
-                    let every = self.settings.rules.poll_interval.unwrap_or(RESET_TIMEOUT);
+                    let every = self.settings.rules.poll_interval.unwrap_or(MAX_RESET_TIMEOUT);
                     self.poll_at = Some(now + every / 8 + self.rng.u64(0..=every / 8));
                 }
                 Event::ConnectionReused { lost } => {
