--- a/crates/decision/src/health/mod.rs
+++ b/crates/decision/src/health/mod.rs
@@ -23,7 +23,7 @@
 
 pub(crate) use assessment::SMALL_FLEET_SENDERS;
 pub(crate) use circuit_breaker::{MAX_FAILURES, MAX_RESET_TIMEOUT, MAX_SILENT_CALLS};
-pub(crate) use quota_share::CALM_OBJECTIVES;
+pub(crate) use quota_share::RECENT_SHORTAGE_OBJECTIVES;
 pub(crate) use snapshot::{from_retained, to_retained};
 
 use circuit_breaker::CircuitBreaker;
@@ -69,7 +69,7 @@
     /// As a multiple of an even share.
     pub shares: f64,
     /// A shortage of the limit was observed within the last
-    /// [`CALM_OBJECTIVES`] latency objectives.
+    /// [`RECENT_SHORTAGE_OBJECTIVES`] latency objectives.
     pub is_short: bool,
 }
 
--- a/crates/decision/src/health/quota_share.rs
+++ b/crates/decision/src/health/quota_share.rs
@@ -25,7 +25,7 @@
 /// is observed.
 const MIN_CALLS_PER_OBJECTIVE: f64 = 2.0;
 /// Number of latency objectives after which a shortage no longer counts as recent.
-pub(crate) const CALM_OBJECTIVES: Micros = 2;
+pub(crate) const RECENT_SHORTAGE_OBJECTIVES: Micros = 2;
 /// Remaining share below which a limit counts as used up.
 const EXHAUSTED_BELOW: f64 = 0.1;
 /// A new limit below this part of the previous one counts as lowered, which is a shortage.
@@ -176,7 +176,7 @@
         let without_shortage =
             (MIN_CALLS_PER_OBJECTIVE / calls_per_objective).clamp(NORMAL_SHARE, MAX_SHARE).max(boosted);
         let no_recent_shortage =
-            self.short_at.is_none() || since_shortage > CALM_OBJECTIVES * latency_objective;
+            self.short_at.is_none() || since_shortage > RECENT_SHORTAGE_OBJECTIVES * latency_objective;
         let ample = self.last_report.share > AMPLE_REMAINING || self.last_report.at == 0;
         if no_recent_shortage && ample {
             without_shortage.max(settings.senders as f64 / 4.0)
--- a/crates/decision/src/health/quota_share/state.rs
+++ b/crates/decision/src/health/quota_share/state.rs
@@ -1,6 +1,6 @@
 //! Construction of, access to and serialized form of the quota share; no decisions are made here.
 
-use super::{CALM_OBJECTIVES, QuotaShare};
+use super::{QuotaShare, RECENT_SHORTAGE_OBJECTIVES};
 use crate::health::record::{EscrowShare, RemainingCapacity, RouteHealthRecord};
 use crate::health::{Demand, Tick};
 use crate::interface::{Micros, Settings};
@@ -88,7 +88,7 @@
             return Demand { shares: 0.0, is_short: false };
         }
         let objective = tick.latency_objective.max(1) as f64;
-        let recent = CALM_OBJECTIVES * tick.latency_objective;
+        let recent = RECENT_SHORTAGE_OBJECTIVES * tick.latency_objective;
         let is_short = self.short_at.is_some_and(|at| tick.now < at + recent);
         Demand { shares: 2.0 * queued * 1e6 / (even_share * objective), is_short }
     }
--- a/crates/decision/src/policy/timers.rs
+++ b/crates/decision/src/policy/timers.rs
@@ -3,7 +3,7 @@
 
 use super::{Policy, SLOTS_FREED_PER_SECOND};
 use crate::dispatch_round::DispatchRound;
-use crate::health::CALM_OBJECTIVES;
+use crate::health::RECENT_SHORTAGE_OBJECTIVES;
 use crate::interface::{Action, DestinationId, Micros};
 
 /// Number of periods between two checks of a destination in slow start.
@@ -33,9 +33,9 @@
         });
         let route_times = self.ready_routes(destination).flat_map(|(_, route)| {
             let slow_start = if route.cold_share(rules, now).is_some() { now + interval } else { 0 };
-            let shortage = route
-                .short_at()
-                .map_or([0, 0], |at| [at + latency_objective, at + CALM_OBJECTIVES * latency_objective]);
+            let shortage = route.short_at().map_or([0, 0], |at| {
+                [at + latency_objective, at + RECENT_SHORTAGE_OBJECTIVES * latency_objective]
+            });
             [
                 route.wait_until(),
                 route.trial_at(),
