--- a/crates/decision/src/health/mod.rs
+++ b/crates/decision/src/health/mod.rs
@@ -199,7 +199,7 @@
     }
 
     /// Returns how long a call may go without an answer before it counts as silent.
-    pub(crate) fn patience(&self, latency_objective: Micros) -> Micros {
+    pub(crate) fn silence_timeout(&self, latency_objective: Micros) -> Micros {
         self.outage.latency.longest_usual(latency_objective)
     }
 
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -42,7 +42,7 @@
         let (now, end_by) = (self.now, self.must_end_by(candidate));
         let tick = candidate.tick(&self.settings, now);
         let route = self.routes.get_mut(&candidate.route).ok_or(Refusal::Unknown)?;
-        if now.saturating_add(route.patience(candidate.latency_objective)) > end_by {
+        if now.saturating_add(route.silence_timeout(candidate.latency_objective)) > end_by {
             return Err(Refusal::ShuttingDown);
         }
         route.refill_tokens(now);
@@ -127,7 +127,7 @@
         };
         match self.routes.get(&candidate.route).filter(healthy) {
             Some(route) if candidate.idempotency != Idempotency::NonIdempotent => {
-                (2 * route.patience(objective)).min(objective)
+                (2 * route.silence_timeout(objective)).min(objective)
             }
             _ => objective,
         }
--- a/crates/decision/src/policy/timers.rs
+++ b/crates/decision/src/policy/timers.rs
@@ -53,8 +53,8 @@
         let now = self.now;
         let latency_objective = self.settings.shortest_latency_objective();
         let silent = self.calls.unanswered();
-        let silent =
-            silent.filter_map(|(id, sent)| Some(sent + self.routes.get(&id)?.patience(latency_objective)));
+        let silent = silent
+            .filter_map(|(id, sent)| Some(sent + self.routes.get(&id)?.silence_timeout(latency_objective)));
         let due = [
             self.messages.next_due(),
             self.lanes.next_due(),
