--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -75,12 +75,12 @@
             timers: vec![],
             next_id: 0,
         };
-        sender.tell(vec![Event::EndpointList(entries.to_vec())]);
+        sender.handle(vec![Event::EndpointList(entries.to_vec())]);
         sender
     }
 
     /// Passes events to the policy and carries out its actions.
-    pub fn tell(&mut self, events: Vec<Event>) {
+    pub fn handle(&mut self, events: Vec<Event>) {
         let mut actions = vec![];
         self.policy.handle(self.now, &events, &mut actions);
         for action in actions {
@@ -107,7 +107,7 @@
         let state = self.policy.state().unwrap();
         self.policy = Policy::from_state(&state, settings, 42, self.now).unwrap();
         self.timers.clear();
-        self.tell(vec![]);
+        self.handle(vec![]);
     }
 
     /// Returns a new message that is not accepted yet.
@@ -126,7 +126,7 @@
     pub fn accept_keyed(&mut self, class: usize, key: Option<u64>) -> MessageId {
         let message = self.message(class, key, 20 * SECOND);
         let id = message.id;
-        self.tell(vec![Event::Accepted(message)]);
+        self.handle(vec![Event::Accepted(message)]);
         id
     }
 
@@ -147,7 +147,7 @@
     pub fn end(&mut self, outcome: Outcome) {
         let out = self.out.remove(0);
         let event = self.ended(out, outcome);
-        self.tell(vec![event]);
+        self.handle(vec![event]);
     }
 
     /// Advances the clock: timers fire and attempts time out when they are due.
@@ -169,7 +169,7 @@
             let (over, out): (Vec<_>, Vec<_>) = self.out.iter().partition(|o| o.until <= now);
             self.out = out;
             events.extend(over.into_iter().map(|o| self.ended(o, Outcome::TimedOut)));
-            self.tell(events);
+            self.handle(events);
         }
         self.now = until;
     }
--- a/crates/decision/tests/hand_over.rs
+++ b/crates/decision/tests/hand_over.rs
@@ -27,18 +27,18 @@
                     Outcome::ConnectFailed,
                 ];
                 let event = s.ended(out, outcomes[rng.usize(..outcomes.len())]);
-                s.tell(vec![event]);
+                s.handle(vec![event]);
             }
             8 => {
                 let listing =
                     [Listing::Ready, Listing::Ready, Listing::Draining, Listing::Gone][rng.usize(..4)];
-                s.tell(vec![Event::EndpointChanges(vec![EndpointEntry {
+                s.handle(vec![Event::EndpointChanges(vec![EndpointEntry {
                     listing,
                     ..entry(rng.u8(1..4), 0)
                 }])]);
             }
             9 if hands_over => s.hand_over(settings()),
-            9 => s.tell(vec![]),
+            9 => s.handle(vec![]),
             _ => s.pass(rng.u64(..SECOND / 2)),
         }
     }
@@ -65,7 +65,7 @@
 #[test]
 fn announced_shutdown_does_not_apply_to_the_successor() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    s.tell(vec![Event::ShuttingDown(s.now + SECOND / 100)]);
+    s.handle(vec![Event::ShuttingDown(s.now + SECOND / 100)]);
     s.accept(ONCE);
     assert!(s.out.is_empty(), "its call could still be in flight at the end");
     s.hand_over(settings());
--- a/crates/decision/tests/health_restore.rs
+++ b/crates/decision/tests/health_restore.rs
@@ -17,7 +17,7 @@
         route: (DEST, *endpoint),
         snapshot: *snapshot,
     });
-    sender.tell(events.collect());
+    sender.handle(events.collect());
     sender
 }
 
@@ -54,7 +54,7 @@
             &[(Some(endpoint(1)), snapshot)],
         );
         if listed_later {
-            sender.tell(vec![Event::EndpointChanges(entries.to_vec())]);
+            sender.handle(vec![Event::EndpointChanges(entries.to_vec())]);
         }
         sender.accept(SAFE);
         sender.pass(3 * SECOND - 1_000);
@@ -131,7 +131,7 @@
         }),
     ] {
         let mut sender = Sender::new(Settings { idle, ..settings() }, &[entry(1, 0)]);
-        sender.tell(vec![Event::SnapshotLost]);
+        sender.handle(vec![Event::SnapshotLost]);
         for _ in 0..5 {
             sender.accept(SAFE);
         }
@@ -150,7 +150,7 @@
     for seed in 0..100 {
         let mut sender = Sender::new(Settings { senders: 100, ..settings() }, &[entry(1, 0)]);
         sender.policy = decision::policy::Policy::new(Settings { senders: 100, ..settings() }, seed, START);
-        sender.tell(vec![
+        sender.handle(vec![
             Event::EndpointList(vec![entry(1, 0)]),
             Event::SnapshotRestored { route: (DEST, None), snapshot },
         ]);
@@ -173,7 +173,7 @@
         let snapshot = RouteSnapshot { limit: 100.0, ..RouteSnapshot::default() };
         let settings = Settings { senders: 10, weights: Weights::Nominal, ..settings() };
         let mut sender = Sender::new(settings, &[EndpointEntry { weight: listed, ..entry(1, 0) }]);
-        sender.tell(vec![Event::SnapshotRestored { route: (DEST, None), snapshot }]);
+        sender.handle(vec![Event::SnapshotRestored { route: (DEST, None), snapshot }]);
         for _ in 0..60 {
             sender.accept(SAFE);
         }
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -33,7 +33,7 @@
 
 fn accept_all(s: &mut Sender, destinations: impl Iterator<Item = u16>) {
     let events = destinations.map(|destination| accepted_event(s, SAFE, destination)).collect();
-    s.tell(events);
+    s.handle(events);
 }
 
 fn deliver_all(s: &mut Sender) {
@@ -48,7 +48,7 @@
 }
 
 fn receive_retry_after(s: &mut Sender, wait: Micros) {
-    s.tell(vec![Event::RetryAfter { endpoint: endpoint(1), wait }]);
+    s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait }]);
 }
 
 #[test]
@@ -61,12 +61,12 @@
     assert_eq!(s.policy.active_and_idle(), (0, 1));
     // A destination with a call in flight stays active all the time.
     let message = s.message(ONCE, None, 500 * SECOND);
-    s.tell(vec![Event::Accepted(message)]);
+    s.handle(vec![Event::Accepted(message)]);
     let out = s.out.pop().unwrap();
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (1, 0));
     let end = s.ended(out, Outcome::Delivered);
-    s.tell(vec![end]);
+    s.handle(vec![end]);
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
 }
@@ -139,9 +139,9 @@
             if idle {
                 let_all_become_idle(&mut s);
             }
-            s.tell(vec![Event::EndpointList(vec![entry_of(8, 8)])]);
+            s.handle(vec![Event::EndpointList(vec![entry_of(8, 8)])]);
             s.pass(SECOND);
-            s.tell(vec![Event::EndpointList(vec![entry(2, kind), entry_of(8, 8)])]);
+            s.handle(vec![Event::EndpointList(vec![entry(2, kind), entry_of(8, 8)])]);
             let before = s.sent.len();
             s.pass(until - s.now - 10 * SECOND);
             s.accept(SAFE);
@@ -228,7 +228,7 @@
         accept_all(&mut s, [DEST.0; 4].into_iter());
         while let Some(out) = s.out.pop() {
             let end = s.ended(out, Outcome::Rejected(None));
-            s.tell(vec![end]);
+            s.handle(vec![end]);
         }
         s.pass(SECOND);
     }
@@ -248,7 +248,7 @@
     let before_idle = calls(&mut s);
     // The messages that could not be sent are withdrawn.
     let withdrawn = (0..200).map(|n| Event::Withdrawn(MessageId(n))).collect();
-    s.tell(withdrawn);
+    s.handle(withdrawn);
     deliver_all(&mut s);
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
@@ -293,7 +293,7 @@
     let mut s = Sender::new(settings, &entries);
     accept_all(&mut s, 0..100);
     let events = (100..110).map(|destination| accepted_event(&mut s, KEYED, destination)).collect();
-    s.tell(events);
+    s.handle(events);
     assert_eq!(s.sent.len(), 1);
     s.pass(5 * SECOND / 2);
     let rest: Vec<_> = s.sent[1..].iter().map(|sent| sent.endpoint).collect();
@@ -313,14 +313,14 @@
     let waits = (0..1_000)
         .map(|n| Event::RetryAfter { endpoint: entry_of(n, n).endpoint, wait: 200 * SECOND })
         .collect();
-    s.tell(waits);
+    s.handle(waits);
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1_000));
     accept_all(&mut s, 0..10);
     let before = s.sent.len();
-    s.tell(vec![Event::EndpointList(vec![])]);
+    s.handle(vec![Event::EndpointList(vec![])]);
     s.pass(SECOND);
-    s.tell(vec![Event::EndpointList(entries)]);
+    s.handle(vec![Event::EndpointList(entries)]);
     accept_all(&mut s, (10..20).chain(2_000..2_005));
     s.pass(SECOND);
     let sent: Vec<_> = s.sent[before..].iter().map(|sent| sent.endpoint).collect();
@@ -336,7 +336,7 @@
     let waits = (0..10)
         .map(|n| Event::RetryAfter { endpoint: entry_of(n, n).endpoint, wait: 300 * SECOND })
         .collect();
-    s.tell(waits);
+    s.handle(waits);
     let_all_become_idle(&mut s);
     assert_eq!(
         s.policy.active_and_idle(),
@@ -367,7 +367,7 @@
     let waits = (0..10_000)
         .map(|n| Event::RetryAfter { endpoint: entry_of(n, n).endpoint, wait: 10 * SECOND })
         .collect();
-    s.tell(waits);
+    s.handle(waits);
     accept_all(&mut s, 0..10_000);
     let mut delivered = 0;
     while s.policy.pending_messages() > 0 && s.now < until + 9 * SECOND {
@@ -376,7 +376,7 @@
         delivered += s.out.len();
         let ends = std::mem::take(&mut s.out);
         let ends = ends.into_iter().map(|out| s.ended(out, Outcome::Delivered)).collect();
-        s.tell(ends);
+        s.handle(ends);
     }
     assert!(s.sent.iter().all(|sent| sent.sent >= until));
     assert_eq!((s.policy.pending_messages(), s.refused.len(), s.sent.len()), (0, 0, 10_000), "{delivered}");
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -42,7 +42,7 @@
                     Outcome::Reset,
                 ];
                 let event = s.ended(out, outcomes[rng.usize(..outcomes.len())]);
-                s.tell(vec![event]);
+                s.handle(vec![event]);
             }
             8 => {
                 let listing =
@@ -52,7 +52,7 @@
                 last_changes.insert(n, changed.clone());
                 let event = Event::EndpointChanges(vec![changed]);
                 spare.handle(s.now, std::slice::from_ref(&event), &mut vec![]);
-                s.tell(vec![event]);
+                s.handle(vec![event]);
             }
             9 => {
                 // A further tick changes the floating-point results by one more step of decay; the changes
@@ -64,7 +64,7 @@
                     spare.attach(s.policy.detach(DEST).unwrap());
                     std::mem::swap(&mut s.policy, &mut spare);
                 }
-                s.tell(vec![repeated]);
+                s.handle(vec![repeated]);
             }
             _ => s.pass(rng.u64(..SECOND / 2)),
         }
@@ -337,7 +337,7 @@
     let wait_until = START + 5 * SECOND;
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     let snapshot = RouteSnapshot { wait_until, ..RouteSnapshot::default() };
-    s.tell(vec![Event::SnapshotRestored { route: (DEST, None), snapshot }]);
+    s.handle(vec![Event::SnapshotRestored { route: (DEST, None), snapshot }]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(s.now, &[Event::EndpointList(vec![entry(1, 0)])], &mut vec![]);
     other.attach(s.policy.detach(DEST).unwrap());
@@ -387,7 +387,7 @@
     s.accept_keyed(ORDERED, Some(1));
     assert_eq!(s.policy.detach(DEST).err(), Some(MigrationRefused::Ordered));
     assert_eq!(s.policy.pending_messages(), 1, "nothing has changed");
-    s.tell(vec![Event::ShuttingDown(s.now + 3 * SECOND)]);
+    s.handle(vec![Event::ShuttingDown(s.now + 3 * SECOND)]);
     s.end(Outcome::Delivered);
     assert_eq!(s.policy.detach(DEST).err(), Some(MigrationRefused::ShuttingDown));
 }
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -115,7 +115,7 @@
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     s.serve(1);
     let batch = (0..40).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
-    s.tell(batch);
+    s.handle(batch);
     assert_eq!(s.out.len(), 30, "six calls of five");
 }
 
@@ -136,7 +136,7 @@
     let mut s = one();
     let message = s.message(ONCE, None, 2 * SECOND);
     let id = message.id;
-    s.tell(vec![Event::Accepted(message)]);
+    s.handle(vec![Event::Accepted(message)]);
     s.pass(2 * SECOND);
     assert_eq!(s.failed, [id]);
 }
@@ -146,7 +146,7 @@
     let mut s = one();
     s.accept(SAFE);
     let left = s.out[0].message;
-    s.tell(vec![Event::Withdrawn(left)]);
+    s.handle(vec![Event::Withdrawn(left)]);
     s.end(Outcome::Error);
     s.pass(30 * SECOND);
     assert_eq!((s.sent.len(), s.refused.len(), s.failed.len()), (1, 0, 0));
@@ -156,7 +156,7 @@
 fn message_without_remaining_time_is_rejected_at_once() {
     let mut s = one();
     let message = s.message(SAFE, None, 0);
-    s.tell(vec![Event::Accepted(message)]);
+    s.handle(vec![Event::Accepted(message)]);
     assert_eq!((s.refused.len(), s.sent.len()), (1, 0));
 }
 
@@ -246,13 +246,13 @@
     let mut s = one();
     let mut drained = entry(1, 0);
     drained.listing = Listing::Draining;
-    s.tell(vec![Event::EndpointChanges(vec![drained])]);
+    s.handle(vec![Event::EndpointChanges(vec![drained])]);
     s.accept(SAFE);
     s.pass(SECOND);
     assert!(s.sent.is_empty());
-    s.tell(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
+    s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
     assert_eq!(s.sent.len(), 1, "sent once it is ready again");
-    s.tell(vec![Event::EndpointList(vec![])]);
+    s.handle(vec![Event::EndpointList(vec![])]);
     s.accept(SAFE);
     assert_eq!(s.sent.len(), 1, "an endpoint missing from a full list is removed");
 }
@@ -263,7 +263,7 @@
     settings.polling_only = true;
     let mut s = Sender::new(settings, &[entry(1, 0)]);
     assert_eq!(s.other, [Action::WatchEndpoints]);
-    s.tell(vec![Event::DiscoveryFailed]);
+    s.handle(vec![Event::DiscoveryFailed]);
     s.pass(10 * SECOND);
     assert_eq!(s.other, [Action::WatchEndpoints, Action::WatchEndpoints]);
 }
@@ -288,14 +288,14 @@
 fn applies_the_longest_retry_after_of_a_batch() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     let batch = (0..2).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
-    s.tell(batch);
+    s.handle(batch);
     assert_eq!(s.out.len(), 2);
     let ends = vec![
         s.ended(s.out[0], Outcome::Rejected(Some(SECOND / 2))),
         s.ended(s.out[1], Outcome::Rejected(Some(2 * SECOND))),
     ];
     s.out.clear();
-    s.tell(ends);
+    s.handle(ends);
     s.pass(2 * SECOND - 1);
     assert_eq!(s.sent.len(), 2);
 }
@@ -327,7 +327,7 @@
     let mut s = one();
     let first = s.accept_keyed(ORDERED, Some(9));
     let second = s.accept_keyed(ORDERED, Some(9));
-    s.tell(vec![Event::Withdrawn(first)]);
+    s.handle(vec![Event::Withdrawn(first)]);
     s.pass(SECOND);
     assert_eq!(s.sent.len(), 1, "an attempt of the withdrawn message is still in flight");
     s.end(Outcome::Reset);
@@ -418,7 +418,7 @@
     let mut message = s.message(SAFE, None, 20 * SECOND);
     message.destination = DestinationId(8);
     let id = message.id;
-    s.tell(vec![Event::Accepted(message)]);
+    s.handle(vec![Event::Accepted(message)]);
     assert!(s.refused.iter().all(|r| r.0 != id));
     assert!(s.sent.iter().any(|o| o.message == id));
 }
@@ -448,7 +448,7 @@
         s.pass(SECOND / 20);
         let answered = s.out.remove(s.out.len() - 1);
         let event = s.ended(answered, Outcome::Delivered);
-        s.tell(vec![event]);
+        s.handle(vec![event]);
         s.pass(SECOND / 5);
     }
     assert!(s.failed.len() == 3, "the three calls have timed out");
@@ -498,7 +498,7 @@
     let message = s.message(class, None, 20 * SECOND);
     let id = message.id;
     let may_have_run = ran.iter().map(|age| (*age, endpoint(1))).collect();
-    s.tell(vec![Event::Recovered { message, attempts, may_have_run, idempotency: None }]);
+    s.handle(vec![Event::Recovered { message, attempts, may_have_run, idempotency: None }]);
     id
 }
 
@@ -528,7 +528,7 @@
         .map(|_| {
             // Already past its latency objective.
             let message = s.message(SAFE, None, 10 * SECOND);
-            s.tell(vec![Event::Recovered {
+            s.handle(vec![Event::Recovered {
                 message: message.clone(),
                 attempts: 0,
                 may_have_run: vec![],
@@ -541,15 +541,15 @@
         s.accept(SAFE);
     }
     assert!(!s.refused.is_empty() && s.refused.iter().all(|refused| !before.contains(&refused.0)));
-    s.tell(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
+    s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
     s.serve(40);
     let called: BTreeSet<_> = s.sent[..40].iter().map(|out| out.message).collect();
     assert_eq!(called, before);
     // A recovered message that had an attempt is treated like any other.
-    s.tell(vec![Event::EndpointChanges(vec![draining])]);
+    s.handle(vec![Event::EndpointChanges(vec![draining])]);
     let message = s.message(SAFE, None, 10 * SECOND);
     let id = message.id;
-    s.tell(vec![Event::Recovered { message, attempts: 1, may_have_run: vec![], idempotency: None }]);
+    s.handle(vec![Event::Recovered { message, attempts: 1, may_have_run: vec![], idempotency: None }]);
     for _ in 0..64 {
         s.accept(SAFE);
     }
@@ -562,7 +562,7 @@
     let mut s = one();
     s.serve(20);
     let end = s.now + 3 * SECOND;
-    s.tell(vec![Event::ShuttingDown(end)]);
+    s.handle(vec![Event::ShuttingDown(end)]);
     s.accept(ONCE);
     assert!(s.out[0].until <= end);
     s.end(Outcome::Delivered);
@@ -579,7 +579,7 @@
 #[test]
 fn retry_after_in_any_answer_is_heeded() {
     let mut s = one();
-    s.tell(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
+    s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
     s.accept(SAFE);
     s.pass(SECOND - 10_000);
     assert!(s.sent.is_empty());
@@ -594,14 +594,14 @@
     for _ in 0..10 {
         s.accept(SAFE);
     }
-    s.tell(vec![Event::EndpointList(vec![entry(1, 2)])]);
+    s.handle(vec![Event::EndpointList(vec![entry(1, 2)])]);
     for _ in 0..5 {
         let call: Vec<_> = s.out.drain(..s.out.len().min(5)).collect();
         let ends = call.iter().enumerate().map(|(n, out)| {
             s.ended(*out, if n == 0 { Outcome::NotSent { no_slot: false } } else { Outcome::Error })
         });
         let ends = ends.collect();
-        s.tell(ends);
+        s.handle(ends);
     }
     let before = s.sent.len();
     s.accept(SAFE);
@@ -613,7 +613,7 @@
 /// report.
 fn calls_after_a_rejection(left: f32, limit: f32) -> usize {
     let mut s = Sender::new(Settings { senders: 2, weights: Weights::Nominal, ..settings() }, &[]);
-    s.tell(vec![Event::EndpointList(vec![EndpointEntry { weight: 20.0, ..entry(1, 0) }])]);
+    s.handle(vec![Event::EndpointList(vec![EndpointEntry { weight: 20.0, ..entry(1, 0) }])]);
     s.serve(20);
     s.suffer(1, Outcome::Rejected(None));
     let before = s.sent.len();
@@ -627,7 +627,7 @@
             if let Event::AttemptCompleted { report, .. } = &mut event {
                 *report = vec![left, limit];
             }
-            s.tell(vec![event]);
+            s.handle(vec![event]);
         }
     }
     s.sent.len() - before
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -135,7 +135,7 @@
                     let message = s.message(class, (class == ORDERED).then_some(key), time_left);
                     checker.accepted.insert(message.id, (class, key, s.now + time_left));
                     checker.order.push(message.id);
-                    s.tell(vec![Event::Accepted(message)]);
+                    s.handle(vec![Event::Accepted(message)]);
                 }
                 Step::End { which, outcome, wait } if !s.out.is_empty() => {
                     let out = s.out.remove(which % s.out.len());
@@ -152,12 +152,12 @@
                     ][outcome];
                     checker.ended(out, outcome, s.now);
                     let event = s.ended(out, outcome);
-                    s.tell(vec![event]);
+                    s.handle(vec![event]);
                 }
                 Step::Withdraw(which) if !checker.order.is_empty() => {
                     let id = checker.order[which % checker.order.len()];
                     checker.finished.insert(id);
-                    s.tell(vec![Event::Withdrawn(id)]);
+                    s.handle(vec![Event::Withdrawn(id)]);
                 }
                 Step::List { endpoint: n, listing } => {
                     let mut entry = entry(n, 0);
@@ -166,7 +166,7 @@
                         Listing::Ready => checker.not_ready.remove(&endpoint(n)),
                         _ => checker.not_ready.insert(endpoint(n)),
                     };
-                    s.tell(vec![Event::EndpointChanges(vec![entry])]);
+                    s.handle(vec![Event::EndpointChanges(vec![entry])]);
                 }
                 Step::Advance(span) => {
                     // In small steps, so that each time-out is recorded before the sends that follow it.
@@ -177,7 +177,7 @@
                             s.out.retain(|o| *o != out);
                             checker.ended(out, Outcome::TimedOut, s.now);
                             let event = s.ended(out, Outcome::TimedOut);
-                            s.tell(vec![event]);
+                            s.handle(vec![event]);
                             checker.check(&s);
                         }
                         s.pass((until - s.now).min(5_000));
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -24,7 +24,7 @@
     if let Event::AttemptCompleted { report, .. } = &mut event {
         *report = vec![left, limit];
     }
-    s.tell(vec![event]);
+    s.handle(vec![event]);
 }
 
 /// Returns how long a message waits for its second call after this rejection, with nothing delivered for five
@@ -62,7 +62,7 @@
 #[test]
 fn send_rate_follows_a_limit_that_is_lowered_and_raised() {
     let mut s = Sender::new(Settings { weights: Weights::Nominal, max_messages: 10_000, ..settings() }, &[]);
-    s.tell(vec![Event::EndpointList(vec![EndpointEntry { weight: 20.0, ..entry(1, 0) }])]);
+    s.handle(vec![Event::EndpointList(vec![EndpointEntry { weight: 20.0, ..entry(1, 0) }])]);
     let mut calls = [0; 3];
     let (mut window, mut received) = (0, 0);
     for tick in 0..12 * 20 {
@@ -92,7 +92,7 @@
 fn rejected_connection_does_not_lower_the_send_rate() {
     let mut s = one_of_many_senders(&[entry(1, 0), entry(2, 0)]);
     let listed = |n| EndpointEntry { weight: 1_000.0, ..entry(n, 0) };
-    s.tell(vec![Event::EndpointList(vec![listed(1), listed(2)])]);
+    s.handle(vec![Event::EndpointList(vec![listed(1), listed(2)])]);
     s.accept(SAFE);
     let rejecting = s.out[0].endpoint;
     s.end(Outcome::ConnectionRejected);
@@ -172,7 +172,7 @@
         while s.out.len() > 2 {
             let out = s.out.pop().unwrap();
             let event = s.ended(out, Outcome::ConnectionRejected);
-            s.tell(vec![event]);
+            s.handle(vec![event]);
             rejections += 1;
         }
         most = most.max(s.out.len());
@@ -197,7 +197,7 @@
     s.accept(ONCE);
     let rejected = s.out.pop().unwrap();
     let event = s.ended(rejected, Outcome::ConnectionRejected);
-    s.tell(vec![event]);
+    s.handle(vec![event]);
     assert_eq!(s.out.len(), 1);
     s.pass(SECOND);
     assert_eq!(s.out.len(), 2);
