--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -47,7 +47,7 @@
     pub policy: Policy,
     pub now: Micros,
     /// Attempts in flight, the oldest first.
-    pub out: Vec<Out>,
+    pub in_flight: Vec<Out>,
     /// All attempts so far.
     pub sent: Vec<Out>,
     /// Rejected messages, each with the Retry-After of its rejection.
@@ -66,7 +66,7 @@
         let mut sender = Self {
             policy: Policy::new(settings, 42, START),
             now: START,
-            out: vec![],
+            in_flight: vec![],
             sent: vec![],
             refused: vec![],
             failed: vec![],
@@ -91,7 +91,7 @@
                     *attempts += 1;
                     let until = self.now + timeout;
                     let out = Out { message, attempt, endpoint, sent: self.now, until };
-                    self.out.push(out);
+                    self.in_flight.push(out);
                     self.sent.push(out);
                 }
                 Action::Reject { message, retry_after } => self.refused.push((message, retry_after)),
@@ -145,7 +145,7 @@
 
     /// Ends the oldest attempt in flight with that outcome.
     pub fn end(&mut self, outcome: Outcome) {
-        let out = self.out.remove(0);
+        let out = self.in_flight.remove(0);
         let event = self.ended(out, outcome);
         self.handle(vec![event]);
     }
@@ -155,7 +155,7 @@
         let until = self.now + span;
         loop {
             let timer = self.timers.iter().map(|r| r.0).min();
-            let timeout = self.out.iter().map(|o| o.until).min();
+            let timeout = self.in_flight.iter().map(|o| o.until).min();
             let Some(at) = timer.into_iter().chain(timeout).min().filter(|at| *at <= until) else { break };
             self.now = at.max(self.now);
             let now = self.now;
@@ -166,8 +166,8 @@
                 }
                 r.0 > now
             });
-            let (over, out): (Vec<_>, Vec<_>) = self.out.iter().partition(|o| o.until <= now);
-            self.out = out;
+            let (over, out): (Vec<_>, Vec<_>) = self.in_flight.iter().partition(|o| o.until <= now);
+            self.in_flight = out;
             events.extend(over.into_iter().map(|o| self.ended(o, Outcome::TimedOut)));
             self.handle(events);
         }
@@ -179,7 +179,7 @@
         for _ in 0..messages {
             self.accept(SAFE);
             self.pass(SECOND / 10);
-            while !self.out.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.end(Outcome::Delivered);
             }
             self.pass(SECOND * 3 / 20);
@@ -191,7 +191,7 @@
         for _ in 0..calls {
             self.accept(SAFE);
             for _ in 0..400 {
-                if !self.out.is_empty() {
+                if !self.in_flight.is_empty() {
                     break;
                 }
                 self.pass(SECOND / 20);
--- a/crates/decision/tests/hand_over.rs
+++ b/crates/decision/tests/hand_over.rs
@@ -14,9 +14,9 @@
     for _ in 0..400 {
         match rng.u8(..12) {
             0..4 => drop(s.accept_keyed(rng.usize(..4), Some(rng.u64(1..4)))),
-            4..8 if !s.out.is_empty() => {
-                let at = rng.usize(..s.out.len());
-                let out = s.out.remove(at);
+            4..8 if !s.in_flight.is_empty() => {
+                let at = rng.usize(..s.in_flight.len());
+                let out = s.in_flight.remove(at);
                 let outcomes = [
                     Outcome::Delivered,
                     Outcome::Delivered,
@@ -67,9 +67,9 @@
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.handle(vec![Event::ShuttingDown(s.now + SECOND / 100)]);
     s.accept(ONCE);
-    assert!(s.out.is_empty(), "its call could still be in flight at the end");
+    assert!(s.in_flight.is_empty(), "its call could still be in flight at the end");
     s.hand_over(settings());
-    assert_eq!(s.out.len(), 1);
+    assert_eq!(s.in_flight.len(), 1);
 }
 
 #[test]
--- a/crates/decision/tests/health_restore.rs
+++ b/crates/decision/tests/health_restore.rs
@@ -104,7 +104,7 @@
         for _ in 0..30 {
             sender.accept(SAFE);
             sender.pass(20_000);
-            while !sender.out.is_empty() {
+            while !sender.in_flight.is_empty() {
                 sender.end(Outcome::Delivered);
             }
         }
@@ -250,13 +250,13 @@
     for gap in gaps {
         sender.accept(SAFE);
         sender.pass(*gap);
-        while !sender.out.is_empty() {
+        while !sender.in_flight.is_empty() {
             sender.end(outcome);
         }
     }
     for _ in 0..300 {
         sender.pass(SECOND / 20);
-        while !sender.out.is_empty() {
+        while !sender.in_flight.is_empty() {
             sender.end(outcome);
         }
     }
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -37,7 +37,7 @@
 }
 
 fn deliver_all(s: &mut Sender) {
-    while !s.out.is_empty() {
+    while !s.in_flight.is_empty() {
         s.end(Outcome::Delivered);
     }
 }
@@ -62,7 +62,7 @@
     // A destination with a call in flight stays active all the time.
     let message = s.message(ONCE, None, 500 * SECOND);
     s.handle(vec![Event::Accepted(message)]);
-    let out = s.out.pop().unwrap();
+    let out = s.in_flight.pop().unwrap();
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (1, 0));
     let end = s.ended(out, Outcome::Delivered);
@@ -226,13 +226,13 @@
     // The destination rejects calls; after that it accepts four a second at most.
     for _ in 0..4 {
         accept_all(&mut s, [DEST.0; 4].into_iter());
-        while let Some(out) = s.out.pop() {
+        while let Some(out) = s.in_flight.pop() {
             let end = s.ended(out, Outcome::Rejected(None));
             s.handle(vec![end]);
         }
         s.pass(SECOND);
     }
-    while !s.out.is_empty() || s.policy.pending_messages() > 0 {
+    while !s.in_flight.is_empty() || s.policy.pending_messages() > 0 {
         deliver_all(&mut s);
         s.pass(SECOND / 10);
     }
@@ -270,8 +270,8 @@
     let mut delayed = 0;
     while s.sent.len() < 1_000 && s.now < started + 19 * SECOND {
         accept_all(&mut s, std::iter::once(0));
-        delayed += u32::from(s.out.iter().all(|out| out.endpoint != entry_of(0, 0).endpoint));
-        assert!(s.out.len() <= 33, "{}", s.out.len());
+        delayed += u32::from(s.in_flight.iter().all(|out| out.endpoint != entry_of(0, 0).endpoint));
+        assert!(s.in_flight.len() <= 33, "{}", s.in_flight.len());
         s.pass(SECOND / 20);
         deliver_all(&mut s);
         // The configured rate of 100 a second, and the tokens saved before.
@@ -372,9 +372,9 @@
     let mut delivered = 0;
     while s.policy.pending_messages() > 0 && s.now < until + 9 * SECOND {
         s.pass(SECOND / 20);
-        assert!(s.out.len() <= 500);
-        delivered += s.out.len();
-        let ends = std::mem::take(&mut s.out);
+        assert!(s.in_flight.len() <= 500);
+        delivered += s.in_flight.len();
+        let ends = std::mem::take(&mut s.in_flight);
         let ends = ends.into_iter().map(|out| s.ended(out, Outcome::Delivered)).collect();
         s.handle(ends);
     }
@@ -390,7 +390,7 @@
         let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
         accept_all(&mut s, [DEST.0; 6].into_iter());
         for _ in 0..3 {
-            assert_eq!(s.out.len(), 1, "{outcome:?}");
+            assert_eq!(s.in_flight.len(), 1, "{outcome:?}");
             s.end(outcome);
             s.pass(SECOND);
         }
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -30,9 +30,9 @@
     for _ in 0..400 {
         match rng.u8(..12) {
             0..4 => drop(s.accept(rng.usize(..3))),
-            4..8 if !s.out.is_empty() => {
-                let at = rng.usize(..s.out.len());
-                let out = s.out.remove(at);
+            4..8 if !s.in_flight.is_empty() => {
+                let at = rng.usize(..s.in_flight.len());
+                let out = s.in_flight.remove(at);
                 let outcomes = [
                     Outcome::Delivered,
                     Outcome::Delivered,
@@ -102,7 +102,7 @@
     instances: Vec<Policy>,
     owner: BTreeMap<u16, usize>,
     now: Micros,
-    out: Vec<(Out, DestinationId)>,
+    in_flight: Vec<(Out, DestinationId)>,
     attempts: BTreeMap<MessageId, u16>,
     messages: BTreeMap<MessageId, (usize, DestinationId)>,
     /// Attempts of each message that may have taken effect.
@@ -127,7 +127,7 @@
             instances,
             owner,
             now: START,
-            out: vec![],
+            in_flight: vec![],
             attempts: BTreeMap::new(),
             messages: BTreeMap::new(),
             may_have_run: BTreeMap::new(),
@@ -166,7 +166,10 @@
                     let (class, destination) = self.messages[&message];
                     assert_eq!(self.owner[&destination.0], instance, "only the owner sends");
                     assert!(!self.finished.contains(&message), "no attempt after the final answer");
-                    assert!(self.out.iter().all(|o| o.0.message != message), "never two attempts in flight");
+                    assert!(
+                        self.in_flight.iter().all(|o| o.0.message != message),
+                        "never two attempts in flight"
+                    );
                     assert!(
                         self.now >= self.waits.get(&destination).copied().unwrap_or(0),
                         "waits are respected"
@@ -179,11 +182,11 @@
                     let until = self.now + timeout;
                     let out = Out { message, attempt: *attempt, endpoint, sent: self.now, until };
                     *attempt += 1;
-                    self.out.push((out, destination));
+                    self.in_flight.push((out, destination));
                     self.calls += 1;
-                    let there = self.out.iter().filter(|o| o.1 == destination).count();
+                    let there = self.in_flight.iter().filter(|o| o.1 == destination).count();
                     assert!(there <= SLOTS * 3 / 4, "destinations keep to their share of the slots");
-                    assert!(self.out.len() <= SLOTS, "all instances keep to the slots");
+                    assert!(self.in_flight.len() <= SLOTS, "all instances keep to the slots");
                 }
                 Action::Reject { message, .. } | Action::Fail(message) => {
                     assert!(self.finished.insert(message), "one final answer");
@@ -204,7 +207,7 @@
     }
 
     fn end(&mut self, at: usize, outcome: Outcome) {
-        let (out, destination) = self.out.remove(at);
+        let (out, destination) = self.in_flight.remove(at);
         if outcome.never_ran() {
             *self.may_have_run.entry(out.message).or_default() -= 1;
         }
@@ -227,7 +230,7 @@
         let until = self.now + span;
         while self.now < until {
             self.now = (self.now + SECOND / 50).min(until);
-            while let Some(at) = self.out.iter().position(|o| o.0.until <= self.now) {
+            while let Some(at) = self.in_flight.iter().position(|o| o.0.until <= self.now) {
                 self.end(at, Outcome::TimedOut);
             }
             self.handle_all(&[Event::TimerFired(0)]);
@@ -237,7 +240,7 @@
     fn step(&mut self, rng: &mut fastrand::Rng) {
         match rng.u8(..13) {
             0..5 => self.accept(rng.usize(..3), rng.u16(..DESTINATIONS)),
-            5..8 if !self.out.is_empty() => {
+            5..8 if !self.in_flight.is_empty() => {
                 let outcomes = [
                     Outcome::Delivered,
                     Outcome::Delivered,
@@ -246,7 +249,7 @@
                     Outcome::Error,
                     Outcome::Reset,
                 ];
-                self.end(rng.usize(..self.out.len()), outcomes[rng.usize(..outcomes.len())]);
+                self.end(rng.usize(..self.in_flight.len()), outcomes[rng.usize(..outcomes.len())]);
             }
             8 => {
                 let (destination, n) = (rng.u16(..DESTINATIONS), rng.u8(1..3));
@@ -265,7 +268,7 @@
                     return;
                 }
                 let migrated = self.instances[from].detach(DestinationId(destination)).unwrap();
-                let out = self.out.iter().filter(|o| o.1.0 == destination).count();
+                let out = self.in_flight.iter().filter(|o| o.1.0 == destination).count();
                 assert_eq!(migrated.attempts_in_flight().count(), out, "all attempts in flight migrate");
                 self.instances[to].attach(migrated);
                 self.owner.insert(destination, to);
@@ -343,7 +346,7 @@
     other.attach(s.policy.detach(DEST).unwrap());
     s.policy = other;
     s.accept(SAFE);
-    assert!(s.out.is_empty(), "the wait has not ended");
+    assert!(s.in_flight.is_empty(), "the wait has not ended");
     s.pass(6 * SECOND);
     assert!(s.sent.iter().all(|out| out.sent >= wait_until) && !s.sent.is_empty());
 }
@@ -353,7 +356,7 @@
 fn endpoints_are_renamed_to_ids_of_new_owner() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     let id = s.accept(ONCE);
-    let out = s.out.remove(0);
+    let out = s.in_flight.remove(0);
     let theirs = EndpointId([9; 6]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -40,7 +40,7 @@
         s.end(Outcome::Error);
         // The retry, or after two failures the next message, succeeds once slow start admits it.
         s.pass(4 * SECOND);
-        while !s.out.is_empty() {
+        while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
     }
@@ -58,7 +58,7 @@
     for _ in 0..8 {
         s.accept(SAFE);
     }
-    while s.out.iter().any(|o| o.sent == s.now) {
+    while s.in_flight.iter().any(|o| o.sent == s.now) {
         s.end(Outcome::Rejected(None));
     }
     assert!(s.sent.len() - before <= 8);
@@ -78,7 +78,7 @@
     for _ in 0..2 {
         s.accept(ONCE);
     }
-    assert_eq!(s.out.len(), 2);
+    assert_eq!(s.in_flight.len(), 2);
     s.pass(3 * SECOND / 2);
     let before = s.sent.len();
     s.accept(SAFE);
@@ -95,7 +95,7 @@
     for _ in 0..20 {
         s.accept(SAFE);
     }
-    assert_eq!(s.out.len(), 6, "three quarters of eight slots");
+    assert_eq!(s.in_flight.len(), 6, "three quarters of eight slots");
 }
 
 #[test]
@@ -107,7 +107,7 @@
     for _ in 0..20 {
         s.accept(SAFE);
     }
-    assert_eq!(s.out.len(), 4);
+    assert_eq!(s.in_flight.len(), 4);
 }
 
 #[test]
@@ -116,7 +116,7 @@
     s.serve(1);
     let batch = (0..40).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
     s.handle(batch);
-    assert_eq!(s.out.len(), 30, "six calls of five");
+    assert_eq!(s.in_flight.len(), 30, "six calls of five");
 }
 
 #[test]
@@ -145,7 +145,7 @@
 fn withdrawn_message_is_not_sent_again() {
     let mut s = one();
     s.accept(SAFE);
-    let left = s.out[0].message;
+    let left = s.in_flight[0].message;
     s.handle(vec![Event::Withdrawn(left)]);
     s.end(Outcome::Error);
     s.pass(30 * SECOND);
@@ -217,7 +217,7 @@
     let mut s = Sender::new(settings, &[entry(1, 0), entry(2, 0)]);
     for _ in 0..10 {
         s.accept(KEYED);
-        while let Some(first) = s.out.first().copied() {
+        while let Some(first) = s.in_flight.first().copied() {
             s.end(Outcome::Error);
             s.pass(SECOND / 2);
             assert!(
@@ -233,7 +233,7 @@
     let mut s = one();
     s.accept(SAFE);
     for _ in 0..10 {
-        if !s.out.is_empty() {
+        if !s.in_flight.is_empty() {
             s.end(Outcome::ConnectFailed);
         }
         s.pass(SECOND * 3 / 2);
@@ -289,12 +289,12 @@
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     let batch = (0..2).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
     s.handle(batch);
-    assert_eq!(s.out.len(), 2);
+    assert_eq!(s.in_flight.len(), 2);
     let ends = vec![
-        s.ended(s.out[0], Outcome::Rejected(Some(SECOND / 2))),
-        s.ended(s.out[1], Outcome::Rejected(Some(2 * SECOND))),
+        s.ended(s.in_flight[0], Outcome::Rejected(Some(SECOND / 2))),
+        s.ended(s.in_flight[1], Outcome::Rejected(Some(2 * SECOND))),
     ];
-    s.out.clear();
+    s.in_flight.clear();
     s.handle(ends);
     s.pass(2 * SECOND - 1);
     assert_eq!(s.sent.len(), 2);
@@ -304,10 +304,10 @@
 fn separate_routes_have_separate_waits() {
     let mut s = Sender::new(settings(), &[entry(1, 1), entry(2, 1)]);
     s.accept(SAFE);
-    let rejecting_endpoint = s.out[0].endpoint;
+    let rejecting_endpoint = s.in_flight[0].endpoint;
     s.end(Outcome::Rejected(Some(2 * SECOND)));
     assert_eq!(s.sent.len(), 2, "sent on the other route");
-    assert_ne!(s.out[0].endpoint, rejecting_endpoint);
+    assert_ne!(s.in_flight[0].endpoint, rejecting_endpoint);
 }
 
 #[test]
@@ -316,9 +316,9 @@
     let first = s.accept_keyed(ORDERED, Some(9));
     let second = s.accept_keyed(ORDERED, Some(9));
     s.accept_keyed(ORDERED, Some(10));
-    assert_eq!(s.out.len(), 2, "a message with another key is sent");
+    assert_eq!(s.in_flight.len(), 2, "a message with another key is sent");
     s.end(Outcome::Delivered);
-    assert!(s.out.iter().any(|o| o.message == second));
+    assert!(s.in_flight.iter().any(|o| o.message == second));
     assert!(s.sent.iter().filter(|o| o.message == first).count() == 1);
 }
 
@@ -349,7 +349,7 @@
     for _ in 0..seconds * 4 {
         s.accept(SAFE);
         s.pass(SECOND / 4);
-        while !s.out.is_empty() {
+        while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
     }
@@ -378,7 +378,7 @@
     s.serve(80);
     for _ in 0..40 {
         s.accept(SAFE);
-        while !s.out.is_empty() {
+        while !s.in_flight.is_empty() {
             s.end(Outcome::Rejected(None));
         }
         s.pass(SECOND / 4);
@@ -446,7 +446,7 @@
     for _ in 0..20 {
         s.accept(SAFE);
         s.pass(SECOND / 20);
-        let answered = s.out.remove(s.out.len() - 1);
+        let answered = s.in_flight.remove(s.in_flight.len() - 1);
         let event = s.ended(answered, Outcome::Delivered);
         s.handle(vec![event]);
         s.pass(SECOND / 5);
@@ -469,7 +469,7 @@
         s.pass(10 * SECOND);
         s.accept(SAFE);
         for _ in 0..8 {
-            if !s.out.is_empty() {
+            if !s.in_flight.is_empty() {
                 s.end(Outcome::ConnectFailed);
             }
             s.pass(SECOND);
@@ -564,7 +564,7 @@
     let end = s.now + 3 * SECOND;
     s.handle(vec![Event::ShuttingDown(end)]);
     s.accept(ONCE);
-    assert!(s.out[0].until <= end);
+    assert!(s.in_flight[0].until <= end);
     s.end(Outcome::Delivered);
     s.pass(29 * SECOND / 10);
     let before = s.sent.len();
@@ -596,7 +596,7 @@
     }
     s.handle(vec![Event::EndpointList(vec![entry(1, 2)])]);
     for _ in 0..5 {
-        let call: Vec<_> = s.out.drain(..s.out.len().min(5)).collect();
+        let call: Vec<_> = s.in_flight.drain(..s.in_flight.len().min(5)).collect();
         let ends = call.iter().enumerate().map(|(n, out)| {
             s.ended(*out, if n == 0 { Outcome::NotSent { no_slot: false } } else { Outcome::Error })
         });
@@ -620,8 +620,8 @@
     for _ in 0..200 {
         s.accept(SAFE);
         s.pass(SECOND / 20);
-        let over: Vec<_> = s.out.iter().filter(|o| o.sent + SECOND / 10 <= s.now).copied().collect();
-        s.out.retain(|o| !over.contains(o));
+        let over: Vec<_> = s.in_flight.iter().filter(|o| o.sent + SECOND / 10 <= s.now).copied().collect();
+        s.in_flight.retain(|o| !over.contains(o));
         for out in over {
             let mut event = s.ended(out, Outcome::Delivered);
             if let Event::AttemptCompleted { report, .. } = &mut event {
@@ -658,7 +658,7 @@
     for _ in 0..8 {
         let once = s.accept(ONCE);
         assert_eq!(
-            s.out.last().map(|out| out.message),
+            s.in_flight.last().map(|out| out.message),
             Some(once),
             "sent at once: no backoff or open breaker"
         );
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -63,7 +63,7 @@
                 ),
                 _ => {}
             }
-            let others = s.out.iter().filter(|o| o.message == out.message && o.attempt != out.attempt);
+            let others = s.in_flight.iter().filter(|o| o.message == out.message && o.attempt != out.attempt);
             assert_eq!(others.count(), 0, "never two attempts in flight at once");
             if class == ORDERED {
                 let earlier = self.order.iter().take_while(|m| **m != out.message);
@@ -72,7 +72,7 @@
                         self.finished.contains(m) || answered.contains(m),
                         "an earlier message of the key is finished"
                     );
-                    assert!(s.out.iter().all(|o| o.message != *m));
+                    assert!(s.in_flight.iter().all(|o| o.message != *m));
                 }
                 let pause = self.pauses.get(&key).filter(|r| r.1 != out.message).map_or(0, |r| r.0);
                 assert!(out.sent >= pause, "the key is paused");
@@ -137,8 +137,8 @@
                     checker.order.push(message.id);
                     s.handle(vec![Event::Accepted(message)]);
                 }
-                Step::End { which, outcome, wait } if !s.out.is_empty() => {
-                    let out = s.out.remove(which % s.out.len());
+                Step::End { which, outcome, wait } if !s.in_flight.is_empty() => {
+                    let out = s.in_flight.remove(which % s.in_flight.len());
                     let outcome = [
                         Outcome::Delivered,
                         Outcome::Error,
@@ -172,9 +172,9 @@
                     // In small steps, so that each time-out is recorded before the sends that follow it.
                     let until = s.now + span;
                     while s.now < until {
-                        let due: Vec<_> = s.out.iter().copied().filter(|o| o.until <= s.now + 5_000).collect();
+                        let due: Vec<_> = s.in_flight.iter().copied().filter(|o| o.until <= s.now + 5_000).collect();
                         for out in due {
-                            s.out.retain(|o| *o != out);
+                            s.in_flight.retain(|o| *o != out);
                             checker.ended(out, Outcome::TimedOut, s.now);
                             let event = s.ended(out, Outcome::TimedOut);
                             s.handle(vec![event]);
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -19,7 +19,7 @@
 
 /// Ends the oldest call with a load report that states the limit and the share of it that is left.
 fn end_with(s: &mut Sender, outcome: Outcome, left: f32, limit: f32) {
-    let out = s.out.remove(0);
+    let out = s.in_flight.remove(0);
     let mut event = s.ended(out, outcome);
     if let Event::AttemptCompleted { report, .. } = &mut event {
         *report = vec![left, limit];
@@ -73,7 +73,7 @@
         if s.now / (2 * SECOND) != window {
             (window, received) = (s.now / (2 * SECOND), 0);
         }
-        for _ in 0..s.out.len() {
+        for _ in 0..s.in_flight.len() {
             calls[phase] += 1;
             received += 1;
             let outcome = if received <= 2 * limit { Outcome::Delivered } else { Outcome::Rejected(None) };
@@ -94,16 +94,16 @@
     let listed = |n| EndpointEntry { weight: 1_000.0, ..entry(n, 0) };
     s.handle(vec![Event::EndpointList(vec![listed(1), listed(2)])]);
     s.accept(SAFE);
-    let rejecting = s.out[0].endpoint;
+    let rejecting = s.in_flight[0].endpoint;
     s.end(Outcome::ConnectionRejected);
     assert_eq!(s.sent.len(), 2, "the other endpoint is tried at once");
-    assert_ne!(s.out[0].endpoint, rejecting);
+    assert_ne!(s.in_flight[0].endpoint, rejecting);
     s.end(Outcome::Delivered);
     s.pass(SECOND);
     for _ in 0..4 {
         s.accept(SAFE);
     }
-    assert_eq!(s.out.len(), 4, "neither the send rate nor slow start delays them");
+    assert_eq!(s.in_flight.len(), 4, "neither the send rate nor slow start delays them");
 }
 
 #[test]
@@ -114,8 +114,8 @@
     for _ in 0..3 {
         let rejected_at = s.now;
         s.end(Outcome::ConnectionRejected);
-        assert!(s.out.is_empty());
-        while s.out.is_empty() {
+        assert!(s.in_flight.is_empty());
+        while s.in_flight.is_empty() {
             s.pass(SECOND / 200);
         }
         backoffs.push(s.now - rejected_at);
@@ -134,7 +134,7 @@
     s.accept(SAFE);
     let started_at = s.now;
     while s.now < started_at + 10 * SECOND {
-        while !s.out.is_empty() {
+        while !s.in_flight.is_empty() {
             s.end(Outcome::ConnectionRejected);
         }
         s.pass(SECOND / 20);
@@ -143,7 +143,7 @@
     while s.now < recovered_at + 3 * SECOND {
         s.accept(SAFE);
         s.pass(SECOND / 4);
-        while !s.out.is_empty() {
+        while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
     }
@@ -160,24 +160,24 @@
     for _ in 0..40 {
         s.accept(SAFE);
     }
-    assert_eq!(s.out.len(), 6, "the destination's share of the slots");
+    assert_eq!(s.in_flight.len(), 6, "the destination's share of the slots");
     for _ in 0..4 {
         s.end(Outcome::ConnectionRejected);
     }
-    assert_eq!(s.out.len(), 2, "as many as had connection slots");
+    assert_eq!(s.in_flight.len(), 2, "as many as had connection slots");
     let started_at = s.now;
     let (mut most, mut rejections) = (0, 0);
     while s.now < started_at + 4 * SECOND {
         // The endpoint has slots for two connections.
-        while s.out.len() > 2 {
-            let out = s.out.pop().unwrap();
+        while s.in_flight.len() > 2 {
+            let out = s.in_flight.pop().unwrap();
             let event = s.ended(out, Outcome::ConnectionRejected);
             s.handle(vec![event]);
             rejections += 1;
         }
-        most = most.max(s.out.len());
+        most = most.max(s.in_flight.len());
         s.accept(SAFE);
-        if !s.out.is_empty() {
+        if !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
         s.pass(SECOND / 20);
@@ -195,12 +195,12 @@
     let mut s = one();
     s.accept(ONCE);
     s.accept(ONCE);
-    let rejected = s.out.pop().unwrap();
+    let rejected = s.in_flight.pop().unwrap();
     let event = s.ended(rejected, Outcome::ConnectionRejected);
     s.handle(vec![event]);
-    assert_eq!(s.out.len(), 1);
+    assert_eq!(s.in_flight.len(), 1);
     s.pass(SECOND);
-    assert_eq!(s.out.len(), 2);
+    assert_eq!(s.in_flight.len(), 2);
 }
 
 /// Idle connections of many senders would fill an endpoint's connection table: each keeps only those it
@@ -238,7 +238,7 @@
             let mut s = Sender::new(settings, &[EndpointEntry { weight: 20.0, ..entry(1, 0) }]);
             for outcome in [Outcome::Delivered, Outcome::Rejected(None), Outcome::Delivered] {
                 s.accept(SAFE);
-                if !s.out.is_empty() {
+                if !s.in_flight.is_empty() {
                     end_with(&mut s, outcome, left, limit);
                 }
                 s.pass(SECOND);
