--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -51,7 +51,7 @@
     /// All attempts so far.
     pub sent: Vec<Out>,
     /// Rejected messages, each with the Retry-After of its rejection.
-    pub refused: Vec<(MessageId, Micros)>,
+    pub rejected: Vec<(MessageId, Micros)>,
     /// Messages whose delivery failed.
     pub failed: Vec<MessageId>,
     /// All other actions.
@@ -68,7 +68,7 @@
             now: START,
             in_flight: vec![],
             sent: vec![],
-            refused: vec![],
+            rejected: vec![],
             failed: vec![],
             other: vec![],
             attempts: BTreeMap::new(),
@@ -94,7 +94,7 @@
                     self.in_flight.push(out);
                     self.sent.push(out);
                 }
-                Action::Reject { message, retry_after } => self.refused.push((message, retry_after)),
+                Action::Reject { message, retry_after } => self.rejected.push((message, retry_after)),
                 Action::Fail(message) => self.failed.push(message),
                 Action::SetTimer { at, token } => self.timers.push((at, token)),
                 other => self.other.push(other),
--- a/crates/decision/tests/hand_over.rs
+++ b/crates/decision/tests/hand_over.rs
@@ -55,7 +55,7 @@
     for seed in first..first + 100 {
         let (plain, handed_over) = (run(seed, false), run(seed, true));
         assert_eq!(plain.sent, handed_over.sent, "seed {seed}");
-        assert_eq!(plain.refused, handed_over.refused, "seed {seed}");
+        assert_eq!(plain.rejected, handed_over.rejected, "seed {seed}");
         assert_eq!(plain.failed, handed_over.failed, "seed {seed}");
         sent += plain.sent.len();
     }
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -279,7 +279,7 @@
         assert!(activated as u64 <= 26 + (s.now - started) / 10_000, "{activated} after {}", s.now - started);
     }
     assert_eq!(delayed, 0, "calls to the busy destination were delayed");
-    assert!(s.now - started < 12 * SECOND && s.refused.is_empty(), "{}", s.now - started);
+    assert!(s.now - started < 12 * SECOND && s.rejected.is_empty(), "{}", s.now - started);
 }
 
 #[test]
@@ -344,8 +344,8 @@
         "a destination whose health cannot be retained stays active"
     );
     accept_all(&mut s, 10..13);
-    assert_eq!((s.sent.len(), s.refused.len()), (2, 1));
-    let (_, retry_after) = s.refused[0];
+    assert_eq!((s.sent.len(), s.rejected.len()), (2, 1));
+    let (_, retry_after) = s.rejected[0];
     assert!(retry_after > 0 && retry_after <= 3 * SECOND, "{retry_after}");
     // Nothing is sent to a destination whose wait has not ended.
     deliver_all(&mut s);
@@ -379,7 +379,7 @@
         s.handle(ends);
     }
     assert!(s.sent.iter().all(|sent| sent.sent >= until));
-    assert_eq!((s.policy.pending_messages(), s.refused.len(), s.sent.len()), (0, 0, 10_000), "{delivered}");
+    assert_eq!((s.policy.pending_messages(), s.rejected.len(), s.sent.len()), (0, 0, 10_000), "{delivered}");
 }
 
 /// A destination that does not answer, refuses connections or resets them gets one call at a time until one
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -82,7 +82,7 @@
     for seed in first..first + 100 {
         let (plain, moved) = (random_run(seed, false), random_run(seed, true));
         assert_eq!(plain.sent, moved.sent, "seed {seed}");
-        assert_eq!(plain.refused, moved.refused, "seed {seed}");
+        assert_eq!(plain.rejected, moved.rejected, "seed {seed}");
         assert_eq!(plain.failed, moved.failed, "seed {seed}");
         sent += plain.sent.len();
     }
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -124,11 +124,11 @@
     let mut s = Sender::new(settings(), &[]);
     let id = s.accept(SAFE);
     s.pass(19 * SECOND);
-    assert!(s.refused.is_empty(), "kept in case its destination is listed");
+    assert!(s.rejected.is_empty(), "kept in case its destination is listed");
     s.pass(SECOND);
-    assert_eq!(s.refused, [(id, 0)]);
+    assert_eq!(s.rejected, [(id, 0)]);
     s.pass(10 * SECOND);
-    assert_eq!((s.refused.len(), s.failed.len(), s.sent.len()), (1, 0, 0));
+    assert_eq!((s.rejected.len(), s.failed.len(), s.sent.len()), (1, 0, 0));
 }
 
 #[test]
@@ -149,7 +149,7 @@
     s.handle(vec![Event::Withdrawn(left)]);
     s.end(Outcome::Error);
     s.pass(30 * SECOND);
-    assert_eq!((s.sent.len(), s.refused.len(), s.failed.len()), (1, 0, 0));
+    assert_eq!((s.sent.len(), s.rejected.len(), s.failed.len()), (1, 0, 0));
 }
 
 #[test]
@@ -157,7 +157,7 @@
     let mut s = one();
     let message = s.message(SAFE, None, 0);
     s.handle(vec![Event::Accepted(message)]);
-    assert_eq!((s.refused.len(), s.sent.len()), (1, 0));
+    assert_eq!((s.rejected.len(), s.sent.len()), (1, 0));
 }
 
 #[test]
@@ -167,7 +167,7 @@
         let id = s.accept(ONCE);
         s.end(outcome);
         s.pass(25 * SECOND);
-        assert_eq!((s.sent.len(), &s.failed[..], s.refused.len()), (1, &[id][..], 0), "{outcome:?}");
+        assert_eq!((s.sent.len(), &s.failed[..], s.rejected.len()), (1, &[id][..], 0), "{outcome:?}");
     }
 }
 
@@ -194,7 +194,7 @@
     s.end(Outcome::Error);
     s.pass(25 * SECOND);
     assert!(s.sent.iter().all(|o| o.sent < START + 6 * SECOND));
-    assert_eq!((s.failed.len(), s.refused.len()), (1, 0));
+    assert_eq!((s.failed.len(), s.rejected.len()), (1, 0));
 }
 
 #[test]
@@ -238,7 +238,7 @@
         }
         s.pass(SECOND * 3 / 2);
     }
-    assert_eq!((s.sent.len(), s.refused.len()), (4, 1));
+    assert_eq!((s.sent.len(), s.rejected.len()), (4, 1));
 }
 
 #[test]
@@ -414,12 +414,12 @@
     for _ in 0..64 {
         s.accept(SAFE);
     }
-    assert!(!s.refused.is_empty());
+    assert!(!s.rejected.is_empty());
     let mut message = s.message(SAFE, None, 20 * SECOND);
     message.destination = DestinationId(8);
     let id = message.id;
     s.handle(vec![Event::Accepted(message)]);
-    assert!(s.refused.iter().all(|r| r.0 != id));
+    assert!(s.rejected.iter().all(|r| r.0 != id));
     assert!(s.sent.iter().any(|o| o.message == id));
 }
 
@@ -515,7 +515,7 @@
     recover_message(&mut s, ONCE, 1, &[]);
     assert_eq!(s.sent.len(), 2, "both are safe to send");
     let used_up = recover_message(&mut s, ONCE, 4, &[]);
-    assert_eq!(s.refused.iter().map(|r| r.0).collect::<Vec<_>>(), [used_up]);
+    assert_eq!(s.rejected.iter().map(|r| r.0).collect::<Vec<_>>(), [used_up]);
 }
 
 /// Messages accepted before a restart get an attempt, even if all newer ones have a higher weight.
@@ -540,7 +540,7 @@
     for _ in 0..64 {
         s.accept(SAFE);
     }
-    assert!(!s.refused.is_empty() && s.refused.iter().all(|refused| !before.contains(&refused.0)));
+    assert!(!s.rejected.is_empty() && s.rejected.iter().all(|refused| !before.contains(&refused.0)));
     s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
     s.serve(40);
     let called: BTreeSet<_> = s.sent[..40].iter().map(|out| out.message).collect();
@@ -553,7 +553,7 @@
     for _ in 0..64 {
         s.accept(SAFE);
     }
-    assert!(s.refused.iter().any(|refused| refused.0 == id));
+    assert!(s.rejected.iter().any(|refused| refused.0 == id));
 }
 
 /// A call cut off by the end of the process could not be repeated if its message is non-idempotent.
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -47,7 +47,7 @@
 impl RuleChecker {
     fn check(&mut self, s: &Sender) {
         // A message that gets its final answer lets the next one of its key be sent in the same iteration.
-        let answered: BTreeSet<_> = s.refused.iter().map(|r| r.0).chain(s.failed.iter().copied()).collect();
+        let answered: BTreeSet<_> = s.rejected.iter().map(|r| r.0).chain(s.failed.iter().copied()).collect();
         for out in &s.sent[self.seen..] {
             let (class, key, deadline) = self.accepted[&out.message];
             assert!(!self.finished.contains(&out.message), "no attempt after the final answer");
@@ -80,10 +80,10 @@
             earlier_attempts.push((out.attempt, out.sent));
         }
         self.seen = s.sent.len();
-        let answers: Vec<_> = s.refused.iter().map(|r| r.0).chain(s.failed.iter().copied()).collect();
+        let answers: Vec<_> = s.rejected.iter().map(|r| r.0).chain(s.failed.iter().copied()).collect();
         let distinct: BTreeSet<_> = answers.iter().copied().collect();
         assert_eq!(distinct.len(), answers.len(), "one final answer for each message");
-        for (id, _) in &s.refused {
+        for (id, _) in &s.rejected {
             let may_have_run = self.may_have_run.get(id).is_some_and(|r| !r.is_empty());
             assert!(
                 !may_have_run || self.accepted[id].0 >= SAFE,
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -122,7 +122,7 @@
     }
     assert!(backoffs[0] <= SECOND / 5 && backoffs[2] >= backoffs[0], "{backoffs:?}");
     s.end(Outcome::Delivered);
-    assert!(s.failed.is_empty() && s.refused.is_empty(), "the rejected attempts never ran");
+    assert!(s.failed.is_empty() && s.rejected.is_empty(), "the rejected attempts never ran");
 }
 
 /// A partner's proxy may reject every connection while the partner is down.
@@ -246,7 +246,7 @@
             s.pass(30 * SECOND);
             let delivered = s.sent.len() > 1;
             assert!(
-                delivered || s.refused.len() + s.failed.len() >= 2,
+                delivered || s.rejected.len() + s.failed.len() >= 2,
                 "{left} {limit}: every message is delivered or answered"
             );
         }
