--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -187,7 +187,7 @@
     }
 
     /// Ends that many calls with that outcome, each as soon as it is in flight.
-    pub fn suffer(&mut self, calls: usize, outcome: Outcome) {
+    pub fn end_calls(&mut self, calls: usize, outcome: Outcome) {
         for _ in 0..calls {
             self.accept(SAFE);
             for _ in 0..400 {
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -182,7 +182,7 @@
 fn unhealthy_destination_gets_one_call_then_slow_start() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
     s.serve(20);
-    s.suffer(5, Outcome::Error);
+    s.end_calls(5, Outcome::Error);
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
     let (first, then) = calls_after_activation(&mut s);
@@ -194,7 +194,7 @@
 #[test]
 fn still_unhealthy_destination_gets_no_second_call_at_once() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.suffer(5, Outcome::ConnectFailed);
+    s.end_calls(5, Outcome::ConnectFailed);
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
     let before = s.sent.len();
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -307,7 +307,7 @@
 #[test]
 fn state_migrates_and_nothing_stays() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    s.suffer(5, Outcome::Error);
+    s.end_calls(5, Outcome::Error);
     let id = s.accept(SAFE);
     assert_eq!(s.policy.open_breakers(), [DEST]);
     let mut other = Policy::new(settings(), 43, s.now);
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -16,7 +16,7 @@
 fn five_failures_open_the_breaker_and_a_success_closes_it() {
     let mut s = one();
     s.serve(20);
-    s.suffer(5, Outcome::Error);
+    s.end_calls(5, Outcome::Error);
     let before = s.sent.len();
     s.accept(SAFE);
     s.pass(SECOND);
@@ -359,7 +359,7 @@
 fn recovering_destination_is_ramped_up_slowly() {
     let mut s = one();
     s.serve(80);
-    s.suffer(12, Outcome::ConnectFailed);
+    s.end_calls(12, Outcome::ConnectFailed);
     let recovered_at = s.now;
     recover(&mut s, 4);
     // The usual rate was four a second: twice a fifth of that for three seconds, plus the growth of slow
@@ -394,9 +394,9 @@
 fn a_failure_during_slow_start_restarts_it() {
     let mut s = one();
     s.serve(80);
-    s.suffer(4, Outcome::ConnectFailed);
+    s.end_calls(4, Outcome::ConnectFailed);
     recover(&mut s, 10);
-    s.suffer(1, Outcome::ConnectFailed);
+    s.end_calls(1, Outcome::ConnectFailed);
     let recovered_at = s.now;
     recover(&mut s, 5);
     assert!(max_calls_in_a_window(&s, recovered_at) <= 12, "{}", max_calls_in_a_window(&s, recovered_at));
@@ -410,7 +410,7 @@
     other.destination = DestinationId(8);
     let mut s = Sender::new(settings(), &[entry(1, 0), other]);
     s.serve(20);
-    s.suffer(12, Outcome::ConnectFailed);
+    s.end_calls(12, Outcome::ConnectFailed);
     for _ in 0..64 {
         s.accept(SAFE);
     }
@@ -428,7 +428,7 @@
     let run = || {
         let mut s = Sender::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
         s.serve(30);
-        s.suffer(10, Outcome::Error);
+        s.end_calls(10, Outcome::Error);
         recover(&mut s, 10);
         s.sent
     };
@@ -615,7 +615,7 @@
     let mut s = Sender::new(Settings { senders: 2, weights: Weights::Nominal, ..settings() }, &[]);
     s.handle(vec![Event::EndpointList(vec![EndpointEntry { weight: 20.0, ..entry(1, 0) }])]);
     s.serve(20);
-    s.suffer(1, Outcome::Rejected(None));
+    s.end_calls(1, Outcome::Rejected(None));
     let before = s.sent.len();
     for _ in 0..200 {
         s.accept(SAFE);
