--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -175,7 +175,7 @@
     }
 
     /// Delivers messages one after the other, each in a tenth of a second, four a second.
-    pub fn serve(&mut self, messages: usize) {
+    pub fn deliver(&mut self, messages: usize) {
         for _ in 0..messages {
             self.accept(SAFE);
             self.pass(SECOND / 10);
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -55,7 +55,7 @@
 fn destination_becomes_idle_unless_call_is_in_flight() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0), entry_of(8, 8), entry_of(9, 9)]);
     assert_eq!(s.policy.active_and_idle(), (0, 0), "a destination that is only listed is not counted");
-    s.serve(3);
+    s.deliver(3);
     assert_eq!(s.policy.active_and_idle(), (1, 0));
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
@@ -74,7 +74,7 @@
 #[test]
 fn without_idle_policy_destinations_stay_active() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    s.serve(3);
+    s.deliver(3);
     s.pass(10_000 * SECOND);
     assert_eq!(s.policy.active_and_idle(), (1, 0));
 }
@@ -82,7 +82,7 @@
 #[test]
 fn wait_outlasts_idle_period() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.serve(3);
+    s.deliver(3);
     receive_retry_after(&mut s, 100 * SECOND);
     let until = s.now + 100 * SECOND;
     let_all_become_idle(&mut s);
@@ -100,7 +100,7 @@
 #[test]
 fn wait_may_end_in_tick_of_activation() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.serve(3);
+    s.deliver(3);
     receive_retry_after(&mut s, 100 * SECOND);
     let until = s.now + 100 * SECOND;
     let_all_become_idle(&mut s);
@@ -115,7 +115,7 @@
 #[test]
 fn wait_received_while_idle_is_respected() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.serve(3);
+    s.deliver(3);
     let_all_become_idle(&mut s);
     receive_retry_after(&mut s, 15 * SECOND);
     let before = s.sent.len();
@@ -133,7 +133,7 @@
     for kind in [0, 1] {
         for idle in [false, true] {
             let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, kind)]);
-            s.serve(3);
+            s.deliver(3);
             receive_retry_after(&mut s, 100 * SECOND);
             let until = s.now + 100 * SECOND;
             if idle {
@@ -171,7 +171,7 @@
 #[test]
 fn healthy_destination_gets_one_call_then_all() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.serve(20);
+    s.deliver(20);
     let_all_become_idle(&mut s);
     let (first, then) = calls_after_activation(&mut s);
     assert_eq!(first, 1, "an activated destination begins with one call");
@@ -181,7 +181,7 @@
 #[test]
 fn unhealthy_destination_gets_one_call_then_slow_start() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.serve(20);
+    s.deliver(20);
     s.end_calls(5, Outcome::Error);
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
@@ -212,7 +212,7 @@
 #[test]
 fn destination_idle_beyond_retention_is_unknown() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.serve(20);
+    s.deliver(20);
     s.pass(IDLE_POLICY.retain_for + 2 * IDLE_POLICY.idle_after);
     let (first, then) = calls_after_activation(&mut s);
     assert_eq!(first, 1);
@@ -222,7 +222,7 @@
 #[test]
 fn send_rate_is_retained_while_idle() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
-    s.serve(20);
+    s.deliver(20);
     // The destination rejects calls; after that it accepts four a second at most.
     for _ in 0..4 {
         accept_all(&mut s, [DEST.0; 4].into_iter());
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -15,7 +15,7 @@
 #[test]
 fn five_failures_open_the_breaker_and_a_success_closes_it() {
     let mut s = one();
-    s.serve(20);
+    s.deliver(20);
     s.end_calls(5, Outcome::Error);
     let before = s.sent.len();
     s.accept(SAFE);
@@ -34,7 +34,7 @@
 #[test]
 fn a_success_resets_the_failure_count() {
     let mut s = one();
-    s.serve(20);
+    s.deliver(20);
     for _ in 0..4 {
         s.accept(SAFE);
         s.end(Outcome::Error);
@@ -53,7 +53,7 @@
 #[test]
 fn rejections_slow_down_without_opening_the_breaker() {
     let mut s = one();
-    s.serve(20);
+    s.deliver(20);
     let before = s.sent.len();
     for _ in 0..8 {
         s.accept(SAFE);
@@ -72,7 +72,7 @@
 #[test]
 fn silent_calls_open_the_breaker_before_they_time_out() {
     let mut s = one();
-    s.serve(20);
+    s.deliver(20);
     // Non-idempotent calls stay in flight; idempotent ones would be cancelled after twice their usual
     // latency.
     for _ in 0..2 {
@@ -91,7 +91,7 @@
 #[test]
 fn one_destination_uses_at_most_its_share_of_slots() {
     let mut s = one();
-    s.serve(1);
+    s.deliver(1);
     for _ in 0..20 {
         s.accept(SAFE);
     }
@@ -101,7 +101,7 @@
 #[test]
 fn failing_destination_uses_at_most_half_of_the_slots() {
     let mut s = one();
-    s.serve(20);
+    s.deliver(20);
     s.accept(ONCE);
     s.end(Outcome::Error);
     for _ in 0..20 {
@@ -113,7 +113,7 @@
 #[test]
 fn batches_messages_of_one_iteration_into_calls() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
-    s.serve(1);
+    s.deliver(1);
     let batch = (0..40).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
     s.handle(batch);
     assert_eq!(s.in_flight.len(), 30, "six calls of five");
@@ -358,7 +358,7 @@
 #[test]
 fn recovering_destination_is_ramped_up_slowly() {
     let mut s = one();
-    s.serve(80);
+    s.deliver(80);
     s.end_calls(12, Outcome::ConnectFailed);
     let recovered_at = s.now;
     recover(&mut s, 4);
@@ -375,7 +375,7 @@
 #[test]
 fn destination_that_only_rejected_is_ramped_up_slowly() {
     let mut s = one();
-    s.serve(80);
+    s.deliver(80);
     for _ in 0..40 {
         s.accept(SAFE);
         while !s.in_flight.is_empty() {
@@ -393,7 +393,7 @@
 #[test]
 fn a_failure_during_slow_start_restarts_it() {
     let mut s = one();
-    s.serve(80);
+    s.deliver(80);
     s.end_calls(4, Outcome::ConnectFailed);
     recover(&mut s, 10);
     s.end_calls(1, Outcome::ConnectFailed);
@@ -409,7 +409,7 @@
     let mut other = entry(2, 0);
     other.destination = DestinationId(8);
     let mut s = Sender::new(settings(), &[entry(1, 0), other]);
-    s.serve(20);
+    s.deliver(20);
     s.end_calls(12, Outcome::ConnectFailed);
     for _ in 0..64 {
         s.accept(SAFE);
@@ -427,7 +427,7 @@
 fn the_same_events_give_the_same_actions() {
     let run = || {
         let mut s = Sender::new(settings(), &[entry(1, 0), entry(2, 0), entry(3, 0)]);
-        s.serve(30);
+        s.deliver(30);
         s.end_calls(10, Outcome::Error);
         recover(&mut s, 10);
         s.sent
@@ -439,7 +439,7 @@
 #[test]
 fn time_out_of_a_call_older_than_the_last_answer_is_no_failure() {
     let mut s = one();
-    s.serve(40);
+    s.deliver(40);
     for _ in 0..3 {
         s.accept(ONCE);
     }
@@ -542,7 +542,7 @@
     }
     assert!(!s.rejected.is_empty() && s.rejected.iter().all(|refused| !before.contains(&refused.0)));
     s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
-    s.serve(40);
+    s.deliver(40);
     let called: BTreeSet<_> = s.sent[..40].iter().map(|out| out.message).collect();
     assert_eq!(called, before);
     // A recovered message that had an attempt is treated like any other.
@@ -560,7 +560,7 @@
 #[test]
 fn no_unsafe_call_is_in_flight_when_the_process_ends() {
     let mut s = one();
-    s.serve(20);
+    s.deliver(20);
     let end = s.now + 3 * SECOND;
     s.handle(vec![Event::ShuttingDown(end)]);
     s.accept(ONCE);
@@ -614,7 +614,7 @@
 fn calls_after_a_rejection(left: f32, limit: f32) -> usize {
     let mut s = Sender::new(Settings { senders: 2, weights: Weights::Nominal, ..settings() }, &[]);
     s.handle(vec![Event::EndpointList(vec![EndpointEntry { weight: 20.0, ..entry(1, 0) }])]);
-    s.serve(20);
+    s.deliver(20);
     s.end_calls(1, Outcome::Rejected(None));
     let before = s.sent.len();
     for _ in 0..200 {
@@ -654,7 +654,7 @@
 #[test]
 fn invalid_responses_are_no_failures_but_may_have_run() {
     let mut s = one();
-    s.serve(20);
+    s.deliver(20);
     for _ in 0..8 {
         let once = s.accept(ONCE);
         assert_eq!(
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -130,7 +130,7 @@
 fn repeated_connection_rejections_may_be_an_outage() {
     let settings = Settings { max_attempts: 100, ..settings() };
     let mut s = Sender::new(settings, &[entry(1, 0)]);
-    s.serve(80);
+    s.deliver(80);
     s.accept(SAFE);
     let started_at = s.now;
     while s.now < started_at + 10 * SECOND {
@@ -156,7 +156,7 @@
 #[test]
 fn calls_in_flight_are_limited_to_available_connection_slots() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    s.serve(20);
+    s.deliver(20);
     for _ in 0..40 {
         s.accept(SAFE);
     }
