--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// Advances the clock: timers fire and attempts time out when they are due.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
             let timer = self.timers.iter().map(|r| r.0).min();
@@ -178,11 +178,11 @@
     pub fn deliver(&mut self, messages: usize) {
         for _ in 0..messages {
             self.accept(SAFE);
-            self.pass(SECOND / 10);
+            self.advance(SECOND / 10);
             while !self.in_flight.is_empty() {
                 self.end(Outcome::Delivered);
             }
-            self.pass(SECOND * 3 / 20);
+            self.advance(SECOND * 3 / 20);
         }
     }
 
@@ -194,7 +194,7 @@
                 if !self.in_flight.is_empty() {
                     break;
                 }
-                self.pass(SECOND / 20);
+                self.advance(SECOND / 20);
             }
             self.end(outcome);
         }
--- a/crates/decision/tests/hand_over.rs
+++ b/crates/decision/tests/hand_over.rs
@@ -39,10 +39,10 @@
             }
             9 if hands_over => s.hand_over(settings()),
             9 => s.handle(vec![]),
-            _ => s.pass(rng.u64(..SECOND / 2)),
+            _ => s.advance(rng.u64(..SECOND / 2)),
         }
     }
-    s.pass(30 * SECOND);
+    s.advance(30 * SECOND);
     s
 }
 
--- a/crates/decision/tests/health_restore.rs
+++ b/crates/decision/tests/health_restore.rs
@@ -35,9 +35,9 @@
     let snapshot = RouteSnapshot { wait_until: START + 3 * SECOND, ..RouteSnapshot::default() };
     let mut sender = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, snapshot)]);
     sender.accept(SAFE);
-    sender.pass(3 * SECOND - 1_000);
+    sender.advance(3 * SECOND - 1_000);
     assert!(sender.sent.is_empty());
-    sender.pass(10_000);
+    sender.advance(10_000);
     assert_eq!(sender.sent.len(), 1);
 }
 
@@ -57,9 +57,9 @@
             sender.handle(vec![Event::EndpointChanges(entries.to_vec())]);
         }
         sender.accept(SAFE);
-        sender.pass(3 * SECOND - 1_000);
+        sender.advance(3 * SECOND - 1_000);
         assert!(sender.sent.is_empty(), "listed later: {listed_later}");
-        sender.pass(10_000);
+        sender.advance(10_000);
         assert_eq!(sender.sent.len(), 1, "listed later: {listed_later}");
     }
 }
@@ -70,10 +70,10 @@
     for _ in 0..20 {
         sender.accept(SAFE);
     }
-    sender.pass(SECOND / 2);
+    sender.advance(SECOND / 2);
     assert_eq!(sender.sent.len(), 1, "only the trial call");
     sender.end(Outcome::Delivered);
-    sender.pass(SECOND);
+    sender.advance(SECOND);
     // 10 calls a second succeeded before; a fifth of that (`cold_share`), twice (`overload_multiple`), for
     // three seconds.
     assert!((2..=12).contains(&sender.sent.len()), "{}", sender.sent.len());
@@ -84,14 +84,14 @@
     let snapshot = RouteSnapshot { trial: Some((START + 2 * SECOND, 4 * SECOND)), ..unhealthy_snapshot() };
     let mut sender = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, snapshot)]);
     sender.accept(SAFE);
-    sender.pass(2 * SECOND - 10_000);
+    sender.advance(2 * SECOND - 10_000);
     assert!(sender.sent.is_empty());
-    sender.pass(20_000);
+    sender.advance(20_000);
     assert_eq!(sender.sent.len(), 1);
     // The trial fails: the next one comes after twice the time in the snapshot.
     sender.end(Outcome::ConnectFailed);
     sender.accept(SAFE);
-    sender.pass(4 * SECOND);
+    sender.advance(4 * SECOND);
     assert_eq!(sender.sent.len(), 1);
 }
 
@@ -103,7 +103,7 @@
         let mut sender = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, snapshot)]);
         for _ in 0..30 {
             sender.accept(SAFE);
-            sender.pass(20_000);
+            sender.advance(20_000);
             while !sender.in_flight.is_empty() {
                 sender.end(Outcome::Delivered);
             }
@@ -135,7 +135,7 @@
         for _ in 0..5 {
             sender.accept(SAFE);
         }
-        sender.pass(SECOND);
+        sender.advance(SECOND);
         assert_eq!(sender.sent.len(), 1);
     }
 }
@@ -157,7 +157,7 @@
         for _ in 0..3 {
             sender.accept(SAFE);
         }
-        sender.pass(4 * SECOND);
+        sender.advance(4 * SECOND);
         times.extend(sender.sent.iter().map(|sent| sent.sent));
     }
     times.sort_unstable();
@@ -177,7 +177,7 @@
         for _ in 0..60 {
             sender.accept(SAFE);
         }
-        sender.pass(SECOND);
+        sender.advance(SECOND);
         sender.policy.route_snapshots(DEST)[0].1.limit
     };
     assert_eq!(restored_limit(100.0), 100.0);
@@ -249,13 +249,13 @@
     let mut sender = sender_with_snapshots(settings.clone(), &entries, &snapshots);
     for gap in gaps {
         sender.accept(SAFE);
-        sender.pass(*gap);
+        sender.advance(*gap);
         while !sender.in_flight.is_empty() {
             sender.end(outcome);
         }
     }
     for _ in 0..300 {
-        sender.pass(SECOND / 20);
+        sender.advance(SECOND / 20);
         while !sender.in_flight.is_empty() {
             sender.end(outcome);
         }
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -44,7 +44,7 @@
 
 /// Advances the time until every destination without work is idle.
 fn let_all_become_idle(s: &mut Sender) {
-    s.pass(2 * IDLE_POLICY.idle_after + SECOND);
+    s.advance(2 * IDLE_POLICY.idle_after + SECOND);
 }
 
 fn receive_retry_after(s: &mut Sender, wait: Micros) {
@@ -75,7 +75,7 @@
 fn without_idle_policy_destinations_stay_active() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.deliver(3);
-    s.pass(10_000 * SECOND);
+    s.advance(10_000 * SECOND);
     assert_eq!(s.policy.active_and_idle(), (1, 0));
 }
 
@@ -88,11 +88,11 @@
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
     let before = s.sent.len();
-    s.pass(until - s.now - 10 * SECOND);
+    s.advance(until - s.now - 10 * SECOND);
     s.accept(SAFE);
-    s.pass(9 * SECOND);
+    s.advance(9 * SECOND);
     assert_eq!(s.sent.len(), before, "the wait has not ended");
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert_eq!(s.sent.len(), before + 1);
     assert!(s.sent[before].sent >= until);
 }
@@ -104,11 +104,11 @@
     receive_retry_after(&mut s, 100 * SECOND);
     let until = s.now + 100 * SECOND;
     let_all_become_idle(&mut s);
-    s.pass(until - s.now);
+    s.advance(until - s.now);
     let before = s.sent.len();
     s.accept(SAFE);
     // Waits are stored in tenths of a second, rounded up.
-    s.pass(SECOND / 10);
+    s.advance(SECOND / 10);
     assert_eq!(s.sent.len(), before + 1);
 }
 
@@ -120,9 +120,9 @@
     receive_retry_after(&mut s, 15 * SECOND);
     let before = s.sent.len();
     s.accept(SAFE);
-    s.pass(14 * SECOND);
+    s.advance(14 * SECOND);
     assert_eq!(s.sent.len(), before);
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert_eq!(s.sent.len(), before + 1);
 }
 
@@ -140,14 +140,14 @@
                 let_all_become_idle(&mut s);
             }
             s.handle(vec![Event::EndpointList(vec![entry_of(8, 8)])]);
-            s.pass(SECOND);
+            s.advance(SECOND);
             s.handle(vec![Event::EndpointList(vec![entry(2, kind), entry_of(8, 8)])]);
             let before = s.sent.len();
-            s.pass(until - s.now - 10 * SECOND);
+            s.advance(until - s.now - 10 * SECOND);
             s.accept(SAFE);
-            s.pass(9 * SECOND);
+            s.advance(9 * SECOND);
             assert_eq!(s.sent.len(), before, "kind {kind}, idle {idle}");
-            s.pass(2 * SECOND);
+            s.advance(2 * SECOND);
             assert_eq!(s.sent.len(), before + 1, "kind {kind}, idle {idle}");
         }
     }
@@ -158,11 +158,11 @@
 fn calls_after_activation(s: &mut Sender) -> (usize, usize) {
     let before = s.sent.len();
     accept_all(s, [DEST.0; 30].into_iter());
-    s.pass(SECOND);
+    s.advance(SECOND);
     let first = s.sent.len() - before;
     deliver_all(s);
     for _ in 0..30 {
-        s.pass(SECOND / 10);
+        s.advance(SECOND / 10);
         deliver_all(s);
     }
     (first, s.sent.len() - before - first)
@@ -200,12 +200,12 @@
     let before = s.sent.len();
     accept_all(&mut s, [DEST.0; 5].into_iter());
     s.end(Outcome::ConnectFailed);
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert_eq!(s.sent.len(), before + 1, "its single failure opened the breaker");
     // A call without an answer counts as much: no other call follows while it is in flight.
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), before + 2);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), before + 2);
 }
 
@@ -213,7 +213,7 @@
 fn destination_idle_beyond_retention_is_unknown() {
     let mut s = Sender::new(settings_with_idle_policy(), &[entry(1, 0)]);
     s.deliver(20);
-    s.pass(IDLE_POLICY.retain_for + 2 * IDLE_POLICY.idle_after);
+    s.advance(IDLE_POLICY.retain_for + 2 * IDLE_POLICY.idle_after);
     let (first, then) = calls_after_activation(&mut s);
     assert_eq!(first, 1);
     assert!((1..=6).contains(&then), "slow start, as for an unhealthy destination: {then}");
@@ -230,17 +230,17 @@
             let end = s.ended(out, Outcome::Rejected(None));
             s.handle(vec![end]);
         }
-        s.pass(SECOND);
+        s.advance(SECOND);
     }
     while !s.in_flight.is_empty() || s.policy.pending_messages() > 0 {
         deliver_all(&mut s);
-        s.pass(SECOND / 10);
+        s.advance(SECOND / 10);
     }
     let calls = |s: &mut Sender| {
         let before = s.sent.len();
         accept_all(s, [DEST.0; 30].into_iter());
         for _ in 0..20 {
-            s.pass(SECOND / 10);
+            s.advance(SECOND / 10);
             deliver_all(s);
         }
         s.sent.len() - before
@@ -272,7 +272,7 @@
         accept_all(&mut s, std::iter::once(0));
         delayed += u32::from(s.in_flight.iter().all(|out| out.endpoint != entry_of(0, 0).endpoint));
         assert!(s.in_flight.len() <= 33, "{}", s.in_flight.len());
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
         deliver_all(&mut s);
         // The configured rate of 100 a second, and the tokens saved before.
         let activated = s.sent.iter().filter(|sent| sent.endpoint != entry_of(0, 0).endpoint).count();
@@ -295,7 +295,7 @@
     let events = (100..110).map(|destination| accepted_event(&mut s, KEYED, destination)).collect();
     s.handle(events);
     assert_eq!(s.sent.len(), 1);
-    s.pass(5 * SECOND / 2);
+    s.advance(5 * SECOND / 2);
     let rest: Vec<_> = s.sent[1..].iter().map(|sent| sent.endpoint).collect();
     assert_eq!(rest.len(), 10);
     assert!(rest.iter().all(|e| (100..110).any(|n| entry_of(n, n).endpoint == *e)), "{rest:?}");
@@ -319,10 +319,10 @@
     accept_all(&mut s, 0..10);
     let before = s.sent.len();
     s.handle(vec![Event::EndpointList(vec![])]);
-    s.pass(SECOND);
+    s.advance(SECOND);
     s.handle(vec![Event::EndpointList(entries)]);
     accept_all(&mut s, (10..20).chain(2_000..2_005));
-    s.pass(SECOND);
+    s.advance(SECOND);
     let sent: Vec<_> = s.sent[before..].iter().map(|sent| sent.endpoint).collect();
     assert_eq!(sent, (2_000..2_005).map(|n| entry_of(n, n).endpoint).collect::<Vec<_>>());
     assert_eq!(s.policy.active_and_idle(), (25, 980));
@@ -350,7 +350,7 @@
     // Nothing is sent to a destination whose wait has not ended.
     deliver_all(&mut s);
     accept_all(&mut s, 0..8);
-    s.pass(15 * SECOND);
+    s.advance(15 * SECOND);
     assert_eq!(s.sent.len(), 2);
 }
 
@@ -371,7 +371,7 @@
     accept_all(&mut s, 0..10_000);
     let mut delivered = 0;
     while s.policy.pending_messages() > 0 && s.now < until + 9 * SECOND {
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
         assert!(s.in_flight.len() <= 500);
         delivered += s.in_flight.len();
         let ends = std::mem::take(&mut s.in_flight);
@@ -392,7 +392,7 @@
         for _ in 0..3 {
             assert_eq!(s.in_flight.len(), 1, "{outcome:?}");
             s.end(outcome);
-            s.pass(SECOND);
+            s.advance(SECOND);
         }
     }
 }
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -66,10 +66,10 @@
                 }
                 s.handle(vec![repeated]);
             }
-            _ => s.pass(rng.u64(..SECOND / 2)),
+            _ => s.advance(rng.u64(..SECOND / 2)),
         }
     }
-    s.pass(30 * SECOND);
+    s.advance(30 * SECOND);
     s
 }
 
@@ -226,7 +226,7 @@
         self.handle(self.owner[&destination.0], &[event]);
     }
 
-    fn pass(&mut self, span: Micros) {
+    fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.now < until {
             self.now = (self.now + SECOND / 50).min(until);
@@ -274,7 +274,7 @@
                 self.owner.insert(destination, to);
                 self.handle_all(&[]);
             }
-            _ => self.pass(rng.u64(..SECOND / 2)),
+            _ => self.advance(rng.u64(..SECOND / 2)),
         }
     }
 }
@@ -289,7 +289,7 @@
         for _ in 0..500 {
             group.step(&mut rng);
         }
-        group.pass(40 * SECOND);
+        group.advance(40 * SECOND);
         let unfinished: Vec<_> = group.messages.keys().filter(|id| !group.finished.contains(id)).collect();
         assert!(unfinished.is_empty(), "seed {seed}: without a final answer: {unfinished:?}");
         assert!(
@@ -347,7 +347,7 @@
     s.policy = other;
     s.accept(SAFE);
     assert!(s.in_flight.is_empty(), "the wait has not ended");
-    s.pass(6 * SECOND);
+    s.advance(6 * SECOND);
     assert!(s.sent.iter().all(|out| out.sent >= wait_until) && !s.sent.is_empty());
 }
 
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -19,15 +19,15 @@
     s.end_calls(5, Outcome::Error);
     let before = s.sent.len();
     s.accept(SAFE);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), before, "an open breaker admits nothing");
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert_eq!(s.sent.len(), before + 1, "one trial call after half a latency objective");
     s.accept(SAFE);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), before + 1, "one trial call at a time");
     s.end(Outcome::Delivered);
-    s.pass(4 * SECOND);
+    s.advance(4 * SECOND);
     assert!(s.sent.len() > before + 1, "closed by the successful trial");
 }
 
@@ -39,14 +39,14 @@
         s.accept(SAFE);
         s.end(Outcome::Error);
         // The retry, or after two failures the next message, succeeds once slow start admits it.
-        s.pass(4 * SECOND);
+        s.advance(4 * SECOND);
         while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
     }
     let before = s.sent.len();
     s.accept(SAFE);
-    s.pass(3 * SECOND);
+    s.advance(3 * SECOND);
     assert!(s.sent.len() > before, "the breaker never opened");
 }
 
@@ -63,9 +63,9 @@
     }
     assert!(s.sent.len() - before <= 8);
     let refused = s.sent.len();
-    s.pass(SECOND / 10);
+    s.advance(SECOND / 10);
     assert_eq!(s.sent.len(), refused, "backs off after a rejection");
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert!(s.sent.len() > refused, "and continues with a closed breaker");
 }
 
@@ -79,12 +79,12 @@
         s.accept(ONCE);
     }
     assert_eq!(s.in_flight.len(), 2);
-    s.pass(3 * SECOND / 2);
+    s.advance(3 * SECOND / 2);
     let before = s.sent.len();
     s.accept(SAFE);
     assert_eq!(s.sent.len(), before, "two silent calls open the breaker");
     s.end(Outcome::Delivered);
-    s.pass(4 * SECOND);
+    s.advance(4 * SECOND);
     assert!(s.sent.len() > before, "a late answer closes the breaker");
 }
 
@@ -123,11 +123,11 @@
 fn undeliverable_message_is_rejected_once_before_its_deadline() {
     let mut s = Sender::new(settings(), &[]);
     let id = s.accept(SAFE);
-    s.pass(19 * SECOND);
+    s.advance(19 * SECOND);
     assert!(s.rejected.is_empty(), "kept in case its destination is listed");
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.rejected, [(id, 0)]);
-    s.pass(10 * SECOND);
+    s.advance(10 * SECOND);
     assert_eq!((s.rejected.len(), s.failed.len(), s.sent.len()), (1, 0, 0));
 }
 
@@ -137,7 +137,7 @@
     let message = s.message(ONCE, None, 2 * SECOND);
     let id = message.id;
     s.handle(vec![Event::Accepted(message)]);
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert_eq!(s.failed, [id]);
 }
 
@@ -148,7 +148,7 @@
     let left = s.in_flight[0].message;
     s.handle(vec![Event::Withdrawn(left)]);
     s.end(Outcome::Error);
-    s.pass(30 * SECOND);
+    s.advance(30 * SECOND);
     assert_eq!((s.sent.len(), s.rejected.len(), s.failed.len()), (1, 0, 0));
 }
 
@@ -166,7 +166,7 @@
         let mut s = one();
         let id = s.accept(ONCE);
         s.end(outcome);
-        s.pass(25 * SECOND);
+        s.advance(25 * SECOND);
         assert_eq!((s.sent.len(), &s.failed[..], s.rejected.len()), (1, &[id][..], 0), "{outcome:?}");
     }
 }
@@ -177,7 +177,7 @@
         let mut s = one();
         s.accept(ONCE);
         s.end(outcome);
-        s.pass(5 * SECOND);
+        s.advance(5 * SECOND);
         assert_eq!(s.sent.len(), 2, "{outcome:?}");
     }
 }
@@ -187,12 +187,12 @@
     let mut s = one();
     s.accept(KEYED);
     s.end(Outcome::Error);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert!(s.sent.len() >= 2, "repeated within the window");
     // The window counts from the first attempt that may have run.
-    s.pass(SECOND);
+    s.advance(SECOND);
     s.end(Outcome::Error);
-    s.pass(25 * SECOND);
+    s.advance(25 * SECOND);
     assert!(s.sent.iter().all(|o| o.sent < START + 6 * SECOND));
     assert_eq!((s.failed.len(), s.rejected.len()), (1, 0));
 }
@@ -201,11 +201,11 @@
 fn attempts_that_never_ran_do_not_start_the_keyed_window() {
     let mut s = one();
     s.accept(KEYED);
-    s.pass(3 * SECOND);
+    s.advance(3 * SECOND);
     s.end(Outcome::ConnectFailed);
-    s.pass(SECOND);
+    s.advance(SECOND);
     s.end(Outcome::Error);
-    s.pass(4 * SECOND);
+    s.advance(4 * SECOND);
     assert!(s.sent.len() >= 3, "the second attempt started the window");
 }
 
@@ -219,12 +219,12 @@
         s.accept(KEYED);
         while let Some(first) = s.in_flight.first().copied() {
             s.end(Outcome::Error);
-            s.pass(SECOND / 2);
+            s.advance(SECOND / 2);
             assert!(
                 s.sent.iter().filter(|o| o.message == first.message).all(|o| o.endpoint == first.endpoint)
             );
         }
-        s.pass(10 * SECOND);
+        s.advance(10 * SECOND);
     }
 }
 
@@ -236,7 +236,7 @@
         if !s.in_flight.is_empty() {
             s.end(Outcome::ConnectFailed);
         }
-        s.pass(SECOND * 3 / 2);
+        s.advance(SECOND * 3 / 2);
     }
     assert_eq!((s.sent.len(), s.rejected.len()), (4, 1));
 }
@@ -248,7 +248,7 @@
     drained.listing = Listing::Draining;
     s.handle(vec![Event::EndpointChanges(vec![drained])]);
     s.accept(SAFE);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert!(s.sent.is_empty());
     s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
     assert_eq!(s.sent.len(), 1, "sent once it is ready again");
@@ -264,7 +264,7 @@
     let mut s = Sender::new(settings, &[entry(1, 0)]);
     assert_eq!(s.other, [Action::WatchEndpoints]);
     s.handle(vec![Event::DiscoveryFailed]);
-    s.pass(10 * SECOND);
+    s.advance(10 * SECOND);
     assert_eq!(s.other, [Action::WatchEndpoints, Action::WatchEndpoints]);
 }
 
@@ -276,9 +276,9 @@
     for _ in 0..5 {
         s.accept(ONCE);
     }
-    s.pass(2 * SECOND - 1);
+    s.advance(2 * SECOND - 1);
     assert_eq!(s.sent.len(), 1);
-    s.pass(2 * SECOND);
+    s.advance(2 * SECOND);
     assert!(s.sent.len() > 1);
 }
 
@@ -296,7 +296,7 @@
     ];
     s.in_flight.clear();
     s.handle(ends);
-    s.pass(2 * SECOND - 1);
+    s.advance(2 * SECOND - 1);
     assert_eq!(s.sent.len(), 2);
 }
 
@@ -328,12 +328,12 @@
     let first = s.accept_keyed(ORDERED, Some(9));
     let second = s.accept_keyed(ORDERED, Some(9));
     s.handle(vec![Event::Withdrawn(first)]);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.len(), 1, "an attempt of the withdrawn message is still in flight");
     s.end(Outcome::Reset);
-    s.pass(SECOND - 1);
+    s.advance(SECOND - 1);
     assert_eq!(s.sent.len(), 1);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.sent.last().map(|o| o.message), Some(second));
 }
 
@@ -348,7 +348,7 @@
 fn recover(s: &mut Sender, seconds: u64) {
     for _ in 0..seconds * 4 {
         s.accept(SAFE);
-        s.pass(SECOND / 4);
+        s.advance(SECOND / 4);
         while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
@@ -381,7 +381,7 @@
         while !s.in_flight.is_empty() {
             s.end(Outcome::Rejected(None));
         }
-        s.pass(SECOND / 4);
+        s.advance(SECOND / 4);
     }
     let recovered_at = s.now;
     recover(&mut s, 4);
@@ -445,11 +445,11 @@
     }
     for _ in 0..20 {
         s.accept(SAFE);
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
         let answered = s.in_flight.remove(s.in_flight.len() - 1);
         let event = s.ended(answered, Outcome::Delivered);
         s.handle(vec![event]);
-        s.pass(SECOND / 5);
+        s.advance(SECOND / 5);
     }
     assert!(s.failed.len() == 3, "the three calls have timed out");
     let before = s.sent.len();
@@ -466,13 +466,13 @@
         let mut settings = settings();
         settings.senders = senders;
         let mut s = Sender::new(settings, &[entry(1, 0)]);
-        s.pass(10 * SECOND);
+        s.advance(10 * SECOND);
         s.accept(SAFE);
         for _ in 0..8 {
             if !s.in_flight.is_empty() {
                 s.end(Outcome::ConnectFailed);
             }
-            s.pass(SECOND);
+            s.advance(SECOND);
         }
         s.sent.len()
     };
@@ -488,7 +488,7 @@
     s.end(Outcome::Delivered);
     assert!(s.other.contains(&close), "no reuse is expected after a first call");
     s.other.clear();
-    s.pass(SECOND);
+    s.advance(SECOND);
     s.accept(SAFE);
     s.end(Outcome::Delivered);
     assert!(!s.other.contains(&close), "reused within the idle timeout");
@@ -566,7 +566,7 @@
     s.accept(ONCE);
     assert!(s.in_flight[0].until <= end);
     s.end(Outcome::Delivered);
-    s.pass(29 * SECOND / 10);
+    s.advance(29 * SECOND / 10);
     let before = s.sent.len();
     s.accept(ONCE);
     assert_eq!(s.sent.len(), before, "its answer could arrive after the end");
@@ -581,9 +581,9 @@
     let mut s = one();
     s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
     s.accept(SAFE);
-    s.pass(SECOND - 10_000);
+    s.advance(SECOND - 10_000);
     assert!(s.sent.is_empty());
-    s.pass(20_000);
+    s.advance(20_000);
     assert_eq!(s.sent.len(), 1);
 }
 
@@ -605,7 +605,7 @@
     }
     let before = s.sent.len();
     s.accept(SAFE);
-    s.pass(SECOND / 2);
+    s.advance(SECOND / 2);
     assert_eq!(s.sent.len(), before, "five failed calls opened the breaker");
 }
 
@@ -619,7 +619,7 @@
     let before = s.sent.len();
     for _ in 0..200 {
         s.accept(SAFE);
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
         let over: Vec<_> = s.in_flight.iter().filter(|o| o.sent + SECOND / 10 <= s.now).copied().collect();
         s.in_flight.retain(|o| !over.contains(o));
         for out in over {
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -180,7 +180,7 @@
                             s.handle(vec![event]);
                             checker.check(&s);
                         }
-                        s.pass((until - s.now).min(5_000));
+                        s.advance((until - s.now).min(5_000));
                         checker.check(&s);
                     }
                 }
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -31,11 +31,11 @@
 /// seconds.
 fn wait_after_rejection(reject: impl FnOnce(&mut Sender)) -> Micros {
     let mut s = one_of_many_senders(&[entry(1, 0)]);
-    s.pass(5 * SECOND);
+    s.advance(5 * SECOND);
     s.accept(SAFE);
     reject(&mut s);
     let rejected_at = s.now;
-    s.pass(20 * SECOND);
+    s.advance(20 * SECOND);
     s.sent[1].sent - rejected_at
 }
 
@@ -80,7 +80,7 @@
             let left = (2 * limit - received).max(0) as f32 / (2 * limit) as f32;
             end_with(&mut s, outcome, left, limit as f32);
         }
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
     }
     assert!(calls[1] <= 30, "{calls:?}: the lowered limit allows 16 in that time");
     assert!(calls[2] >= 60, "{calls:?}: the restored limit allows 80");
@@ -99,7 +99,7 @@
     assert_eq!(s.sent.len(), 2, "the other endpoint is tried at once");
     assert_ne!(s.in_flight[0].endpoint, rejecting);
     s.end(Outcome::Delivered);
-    s.pass(SECOND);
+    s.advance(SECOND);
     for _ in 0..4 {
         s.accept(SAFE);
     }
@@ -116,7 +116,7 @@
         s.end(Outcome::ConnectionRejected);
         assert!(s.in_flight.is_empty());
         while s.in_flight.is_empty() {
-            s.pass(SECOND / 200);
+            s.advance(SECOND / 200);
         }
         backoffs.push(s.now - rejected_at);
     }
@@ -137,12 +137,12 @@
         while !s.in_flight.is_empty() {
             s.end(Outcome::ConnectionRejected);
         }
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
     }
     let (recovered_at, before) = (s.now, s.sent.len());
     while s.now < recovered_at + 3 * SECOND {
         s.accept(SAFE);
-        s.pass(SECOND / 4);
+        s.advance(SECOND / 4);
         while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
@@ -180,7 +180,7 @@
         if !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
-        s.pass(SECOND / 20);
+        s.advance(SECOND / 20);
     }
     assert_eq!(most, 2);
     assert!(
@@ -199,7 +199,7 @@
     let event = s.ended(rejected, Outcome::ConnectionRejected);
     s.handle(vec![event]);
     assert_eq!(s.in_flight.len(), 1);
-    s.pass(SECOND);
+    s.advance(SECOND);
     assert_eq!(s.in_flight.len(), 2);
 }
 
@@ -212,7 +212,7 @@
         for _ in 0..3 {
             s.accept(SAFE);
             s.end(Outcome::Delivered);
-            s.pass(gap);
+            s.advance(gap);
         }
         s.other.iter().filter(|action| **action == Action::CloseIdleConnections(endpoint(1))).count()
     };
@@ -241,9 +241,9 @@
                 if !s.in_flight.is_empty() {
                     end_with(&mut s, outcome, left, limit);
                 }
-                s.pass(SECOND);
+                s.advance(SECOND);
             }
-            s.pass(30 * SECOND);
+            s.advance(30 * SECOND);
             let delivered = s.sent.len() > 1;
             assert!(
                 delivered || s.rejected.len() + s.failed.len() >= 2,
