--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -13,7 +13,7 @@
 pub const DEST: DestinationId = DestinationId(7);
 pub const KEYED: usize = 0;
 pub const ONCE: usize = 1;
-pub const SAFE: usize = 2;
+pub const IDEMPOTENT: usize = 2;
 pub const ORDERED: usize = 3;
 
 pub fn endpoint(n: u8) -> EndpointId {
@@ -177,7 +177,7 @@
     /// Delivers messages one after the other, each in a tenth of a second, four a second.
     pub fn deliver(&mut self, messages: usize) {
         for _ in 0..messages {
-            self.accept(SAFE);
+            self.accept(IDEMPOTENT);
             self.advance(SECOND / 10);
             while !self.in_flight.is_empty() {
                 self.end(Outcome::Delivered);
@@ -189,7 +189,7 @@
     /// Ends that many calls with that outcome, each as soon as it is in flight.
     pub fn end_calls(&mut self, calls: usize, outcome: Outcome) {
         for _ in 0..calls {
-            self.accept(SAFE);
+            self.accept(IDEMPOTENT);
             for _ in 0..400 {
                 if !self.in_flight.is_empty() {
                     break;
--- a/crates/decision/tests/health_restore.rs
+++ b/crates/decision/tests/health_restore.rs
@@ -34,7 +34,7 @@
 fn restored_wait_applies_until_its_end() {
     let snapshot = RouteSnapshot { wait_until: START + 3 * SECOND, ..RouteSnapshot::default() };
     let mut sender = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, snapshot)]);
-    sender.accept(SAFE);
+    sender.accept(IDEMPOTENT);
     sender.advance(3 * SECOND - 1_000);
     assert!(sender.sent.is_empty());
     sender.advance(10_000);
@@ -56,7 +56,7 @@
         if listed_later {
             sender.handle(vec![Event::EndpointChanges(entries.to_vec())]);
         }
-        sender.accept(SAFE);
+        sender.accept(IDEMPOTENT);
         sender.advance(3 * SECOND - 1_000);
         assert!(sender.sent.is_empty(), "listed later: {listed_later}");
         sender.advance(10_000);
@@ -68,7 +68,7 @@
 fn unhealthy_destination_gets_trial_then_slow_start() {
     let mut sender = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, unhealthy_snapshot())]);
     for _ in 0..20 {
-        sender.accept(SAFE);
+        sender.accept(IDEMPOTENT);
     }
     sender.advance(SECOND / 2);
     assert_eq!(sender.sent.len(), 1, "only the trial call");
@@ -83,14 +83,14 @@
 fn restored_trial_waits_until_due() {
     let snapshot = RouteSnapshot { trial: Some((START + 2 * SECOND, 4 * SECOND)), ..unhealthy_snapshot() };
     let mut sender = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, snapshot)]);
-    sender.accept(SAFE);
+    sender.accept(IDEMPOTENT);
     sender.advance(2 * SECOND - 10_000);
     assert!(sender.sent.is_empty());
     sender.advance(20_000);
     assert_eq!(sender.sent.len(), 1);
     // The trial fails: the next one comes after twice the time in the snapshot.
     sender.end(Outcome::ConnectFailed);
-    sender.accept(SAFE);
+    sender.accept(IDEMPOTENT);
     sender.advance(4 * SECOND);
     assert_eq!(sender.sent.len(), 1);
 }
@@ -102,7 +102,7 @@
     let sent_by = |snapshot| {
         let mut sender = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, snapshot)]);
         for _ in 0..30 {
-            sender.accept(SAFE);
+            sender.accept(IDEMPOTENT);
             sender.advance(20_000);
             while !sender.in_flight.is_empty() {
                 sender.end(Outcome::Delivered);
@@ -133,7 +133,7 @@
         let mut sender = Sender::new(Settings { idle, ..settings() }, &[entry(1, 0)]);
         sender.handle(vec![Event::SnapshotLost]);
         for _ in 0..5 {
-            sender.accept(SAFE);
+            sender.accept(IDEMPOTENT);
         }
         sender.advance(SECOND);
         assert_eq!(sender.sent.len(), 1);
@@ -155,7 +155,7 @@
             Event::SnapshotRestored { route: (DEST, None), snapshot },
         ]);
         for _ in 0..3 {
-            sender.accept(SAFE);
+            sender.accept(IDEMPOTENT);
         }
         sender.advance(4 * SECOND);
         times.extend(sender.sent.iter().map(|sent| sent.sent));
@@ -175,7 +175,7 @@
         let mut sender = Sender::new(settings, &[EndpointEntry { weight: listed, ..entry(1, 0) }]);
         sender.handle(vec![Event::SnapshotRestored { route: (DEST, None), snapshot }]);
         for _ in 0..60 {
-            sender.accept(SAFE);
+            sender.accept(IDEMPOTENT);
         }
         sender.advance(SECOND);
         sender.policy.route_snapshots(DEST)[0].1.limit
@@ -198,7 +198,7 @@
     assert_eq!(sender.policy.route_snapshots(DEST), vec![((DEST, None), snapshot)]);
     assert_eq!(sender.policy.observed_destinations(), vec![DEST]);
     let mut activated = sender_with_snapshots(settings(), &[entry(1, 0)], &[(None, snapshot)]);
-    activated.accept(SAFE);
+    activated.accept(IDEMPOTENT);
     let restored = activated.policy.route_snapshots(DEST)[0].1;
     assert_eq!(
         (restored.wait_until, restored.limit, restored.condition),
@@ -248,7 +248,7 @@
     let snapshots: Vec<_> = snapshot.into_iter().map(|snapshot| (route, snapshot)).collect();
     let mut sender = sender_with_snapshots(settings.clone(), &entries, &snapshots);
     for gap in gaps {
-        sender.accept(SAFE);
+        sender.accept(IDEMPOTENT);
         sender.advance(*gap);
         while !sender.in_flight.is_empty() {
             sender.end(outcome);
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -32,7 +32,7 @@
 }
 
 fn accept_all(s: &mut Sender, destinations: impl Iterator<Item = u16>) {
-    let events = destinations.map(|destination| accepted_event(s, SAFE, destination)).collect();
+    let events = destinations.map(|destination| accepted_event(s, IDEMPOTENT, destination)).collect();
     s.handle(events);
 }
 
@@ -89,7 +89,7 @@
     assert_eq!(s.policy.active_and_idle(), (0, 1));
     let before = s.sent.len();
     s.advance(until - s.now - 10 * SECOND);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(9 * SECOND);
     assert_eq!(s.sent.len(), before, "the wait has not ended");
     s.advance(2 * SECOND);
@@ -106,7 +106,7 @@
     let_all_become_idle(&mut s);
     s.advance(until - s.now);
     let before = s.sent.len();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     // Waits are stored in tenths of a second, rounded up.
     s.advance(SECOND / 10);
     assert_eq!(s.sent.len(), before + 1);
@@ -119,7 +119,7 @@
     let_all_become_idle(&mut s);
     receive_retry_after(&mut s, 15 * SECOND);
     let before = s.sent.len();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(14 * SECOND);
     assert_eq!(s.sent.len(), before);
     s.advance(2 * SECOND);
@@ -144,7 +144,7 @@
             s.handle(vec![Event::EndpointList(vec![entry(2, kind), entry_of(8, 8)])]);
             let before = s.sent.len();
             s.advance(until - s.now - 10 * SECOND);
-            s.accept(SAFE);
+            s.accept(IDEMPOTENT);
             s.advance(9 * SECOND);
             assert_eq!(s.sent.len(), before, "kind {kind}, idle {idle}");
             s.advance(2 * SECOND);
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -308,7 +308,7 @@
 fn state_migrates_and_nothing_stays() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.end_calls(5, Outcome::Error);
-    let id = s.accept(SAFE);
+    let id = s.accept(IDEMPOTENT);
     assert_eq!(s.policy.open_breakers(), [DEST]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(s.now, &[Event::EndpointList(vec![entry(1, 0)])], &mut vec![]);
@@ -323,7 +323,7 @@
 #[test]
 fn drain_known_to_new_owner_applies_to_migrated_messages() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.end(Outcome::Rejected(None));
     let mut other = Policy::new(settings(), 43, s.now);
     let draining = EndpointEntry { listing: Listing::Draining, ..entry(1, 0) };
@@ -345,7 +345,7 @@
     other.handle(s.now, &[Event::EndpointList(vec![entry(1, 0)])], &mut vec![]);
     other.attach(s.policy.detach(DEST).unwrap());
     s.policy = other;
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     assert!(s.in_flight.is_empty(), "the wait has not ended");
     s.advance(6 * SECOND);
     assert!(s.sent.iter().all(|out| out.sent >= wait_until) && !s.sent.is_empty());
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -18,12 +18,12 @@
     s.deliver(20);
     s.end_calls(5, Outcome::Error);
     let before = s.sent.len();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(SECOND);
     assert_eq!(s.sent.len(), before, "an open breaker admits nothing");
     s.advance(2 * SECOND);
     assert_eq!(s.sent.len(), before + 1, "one trial call after half a latency objective");
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(SECOND);
     assert_eq!(s.sent.len(), before + 1, "one trial call at a time");
     s.end(Outcome::Delivered);
@@ -36,7 +36,7 @@
     let mut s = one();
     s.deliver(20);
     for _ in 0..4 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         s.end(Outcome::Error);
         // The retry, or after two failures the next message, succeeds once slow start admits it.
         s.advance(4 * SECOND);
@@ -45,7 +45,7 @@
         }
     }
     let before = s.sent.len();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(3 * SECOND);
     assert!(s.sent.len() > before, "the breaker never opened");
 }
@@ -56,7 +56,7 @@
     s.deliver(20);
     let before = s.sent.len();
     for _ in 0..8 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     while s.in_flight.iter().any(|o| o.sent == s.now) {
         s.end(Outcome::Rejected(None));
@@ -81,7 +81,7 @@
     assert_eq!(s.in_flight.len(), 2);
     s.advance(3 * SECOND / 2);
     let before = s.sent.len();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     assert_eq!(s.sent.len(), before, "two silent calls open the breaker");
     s.end(Outcome::Delivered);
     s.advance(4 * SECOND);
@@ -93,7 +93,7 @@
     let mut s = one();
     s.deliver(1);
     for _ in 0..20 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert_eq!(s.in_flight.len(), 6, "three quarters of eight slots");
 }
@@ -105,7 +105,7 @@
     s.accept(ONCE);
     s.end(Outcome::Error);
     for _ in 0..20 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert_eq!(s.in_flight.len(), 4);
 }
@@ -114,7 +114,7 @@
 fn batches_messages_of_one_iteration_into_calls() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
     s.deliver(1);
-    let batch = (0..40).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
+    let batch = (0..40).map(|_| Event::Accepted(s.message(IDEMPOTENT, None, 20 * SECOND))).collect();
     s.handle(batch);
     assert_eq!(s.in_flight.len(), 30, "six calls of five");
 }
@@ -122,7 +122,7 @@
 #[test]
 fn undeliverable_message_is_rejected_once_before_its_deadline() {
     let mut s = Sender::new(settings(), &[]);
-    let id = s.accept(SAFE);
+    let id = s.accept(IDEMPOTENT);
     s.advance(19 * SECOND);
     assert!(s.rejected.is_empty(), "kept in case its destination is listed");
     s.advance(SECOND);
@@ -144,7 +144,7 @@
 #[test]
 fn withdrawn_message_is_not_sent_again() {
     let mut s = one();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     let left = s.in_flight[0].message;
     s.handle(vec![Event::Withdrawn(left)]);
     s.end(Outcome::Error);
@@ -155,7 +155,7 @@
 #[test]
 fn message_without_remaining_time_is_rejected_at_once() {
     let mut s = one();
-    let message = s.message(SAFE, None, 0);
+    let message = s.message(IDEMPOTENT, None, 0);
     s.handle(vec![Event::Accepted(message)]);
     assert_eq!((s.rejected.len(), s.sent.len()), (1, 0));
 }
@@ -231,7 +231,7 @@
 #[test]
 fn message_is_rejected_after_the_maximum_number_of_attempts() {
     let mut s = one();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     for _ in 0..10 {
         if !s.in_flight.is_empty() {
             s.end(Outcome::ConnectFailed);
@@ -247,13 +247,13 @@
     let mut drained = entry(1, 0);
     drained.listing = Listing::Draining;
     s.handle(vec![Event::EndpointChanges(vec![drained])]);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(SECOND);
     assert!(s.sent.is_empty());
     s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
     assert_eq!(s.sent.len(), 1, "sent once it is ready again");
     s.handle(vec![Event::EndpointList(vec![])]);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     assert_eq!(s.sent.len(), 1, "an endpoint missing from a full list is removed");
 }
 
@@ -271,7 +271,7 @@
 #[test]
 fn retry_after_applies_to_all_messages_and_endpoints_of_a_destination() {
     let mut s = Sender::new(settings(), &[entry(1, 0), entry(2, 0)]);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.end(Outcome::Rejected(Some(2 * SECOND)));
     for _ in 0..5 {
         s.accept(ONCE);
@@ -287,7 +287,7 @@
 #[test]
 fn applies_the_longest_retry_after_of_a_batch() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
-    let batch = (0..2).map(|_| Event::Accepted(s.message(SAFE, None, 20 * SECOND))).collect();
+    let batch = (0..2).map(|_| Event::Accepted(s.message(IDEMPOTENT, None, 20 * SECOND))).collect();
     s.handle(batch);
     assert_eq!(s.in_flight.len(), 2);
     let ends = vec![
@@ -303,7 +303,7 @@
 #[test]
 fn separate_routes_have_separate_waits() {
     let mut s = Sender::new(settings(), &[entry(1, 1), entry(2, 1)]);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     let rejecting_endpoint = s.in_flight[0].endpoint;
     s.end(Outcome::Rejected(Some(2 * SECOND)));
     assert_eq!(s.sent.len(), 2, "sent on the other route");
@@ -347,7 +347,7 @@
 /// Delivers everything for that many seconds, with a new message every quarter of a second.
 fn recover(s: &mut Sender, seconds: u64) {
     for _ in 0..seconds * 4 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         s.advance(SECOND / 4);
         while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
@@ -377,7 +377,7 @@
     let mut s = one();
     s.deliver(80);
     for _ in 0..40 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         while !s.in_flight.is_empty() {
             s.end(Outcome::Rejected(None));
         }
@@ -412,10 +412,10 @@
     s.deliver(20);
     s.end_calls(12, Outcome::ConnectFailed);
     for _ in 0..64 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert!(!s.rejected.is_empty());
-    let mut message = s.message(SAFE, None, 20 * SECOND);
+    let mut message = s.message(IDEMPOTENT, None, 20 * SECOND);
     message.destination = DestinationId(8);
     let id = message.id;
     s.handle(vec![Event::Accepted(message)]);
@@ -444,7 +444,7 @@
         s.accept(ONCE);
     }
     for _ in 0..20 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         s.advance(SECOND / 20);
         let answered = s.in_flight.remove(s.in_flight.len() - 1);
         let event = s.ended(answered, Outcome::Delivered);
@@ -454,7 +454,7 @@
     assert!(s.failed.len() == 3, "the three calls have timed out");
     let before = s.sent.len();
     for _ in 0..4 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert_eq!(s.sent.len(), before + 4, "not in slow start");
 }
@@ -467,7 +467,7 @@
         settings.senders = senders;
         let mut s = Sender::new(settings, &[entry(1, 0)]);
         s.advance(10 * SECOND);
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         for _ in 0..8 {
             if !s.in_flight.is_empty() {
                 s.end(Outcome::ConnectFailed);
@@ -484,12 +484,12 @@
 fn connection_without_reuse_in_sight_is_closed_after_use() {
     let mut s = one();
     let close = Action::CloseIdleConnections(endpoint(1));
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.end(Outcome::Delivered);
     assert!(s.other.contains(&close), "no reuse is expected after a first call");
     s.other.clear();
     s.advance(SECOND);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.end(Outcome::Delivered);
     assert!(!s.other.contains(&close), "reused within the idle timeout");
 }
@@ -527,7 +527,7 @@
     let before: BTreeSet<_> = (0..40)
         .map(|_| {
             // Already past its latency objective.
-            let message = s.message(SAFE, None, 10 * SECOND);
+            let message = s.message(IDEMPOTENT, None, 10 * SECOND);
             s.handle(vec![Event::Recovered {
                 message: message.clone(),
                 attempts: 0,
@@ -538,7 +538,7 @@
         })
         .collect();
     for _ in 0..64 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert!(!s.rejected.is_empty() && s.rejected.iter().all(|refused| !before.contains(&refused.0)));
     s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
@@ -547,11 +547,11 @@
     assert_eq!(called, before);
     // A recovered message that had an attempt is treated like any other.
     s.handle(vec![Event::EndpointChanges(vec![draining])]);
-    let message = s.message(SAFE, None, 10 * SECOND);
+    let message = s.message(IDEMPOTENT, None, 10 * SECOND);
     let id = message.id;
     s.handle(vec![Event::Recovered { message, attempts: 1, may_have_run: vec![], idempotency: None }]);
     for _ in 0..64 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert!(s.rejected.iter().any(|refused| refused.0 == id));
 }
@@ -580,7 +580,7 @@
 fn retry_after_in_any_answer_is_heeded() {
     let mut s = one();
     s.handle(vec![Event::RetryAfter { endpoint: endpoint(1), wait: SECOND }]);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(SECOND - 10_000);
     assert!(s.sent.is_empty());
     s.advance(20_000);
@@ -592,7 +592,7 @@
 fn unsent_message_does_not_count_as_the_outcome_of_its_call() {
     let mut s = Sender::new(settings(), &[]);
     for _ in 0..10 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     s.handle(vec![Event::EndpointList(vec![entry(1, 2)])]);
     for _ in 0..5 {
@@ -604,7 +604,7 @@
         s.handle(ends);
     }
     let before = s.sent.len();
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     s.advance(SECOND / 2);
     assert_eq!(s.sent.len(), before, "five failed calls opened the breaker");
 }
@@ -618,7 +618,7 @@
     s.end_calls(1, Outcome::Rejected(None));
     let before = s.sent.len();
     for _ in 0..200 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         s.advance(SECOND / 20);
         let over: Vec<_> = s.in_flight.iter().filter(|o| o.sent + SECOND / 10 <= s.now).copied().collect();
         s.in_flight.retain(|o| !over.contains(o));
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -86,7 +86,7 @@
         for (id, _) in &s.rejected {
             let may_have_run = self.may_have_run.get(id).is_some_and(|r| !r.is_empty());
             assert!(
-                !may_have_run || self.accepted[id].0 >= SAFE,
+                !may_have_run || self.accepted[id].0 >= IDEMPOTENT,
                 "a rejected message is safe to submit again"
             );
         }
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -32,7 +32,7 @@
 fn wait_after_rejection(reject: impl FnOnce(&mut Sender)) -> Micros {
     let mut s = one_of_many_senders(&[entry(1, 0)]);
     s.advance(5 * SECOND);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     reject(&mut s);
     let rejected_at = s.now;
     s.advance(20 * SECOND);
@@ -67,7 +67,7 @@
     let (mut window, mut received) = (0, 0);
     for tick in 0..12 * 20 {
         // Messages arrive at the full limit, which is more than the lowered one.
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         let phase = tick / 80;
         let limit = if phase == 1 { 4 } else { 20 };
         if s.now / (2 * SECOND) != window {
@@ -93,7 +93,7 @@
     let mut s = one_of_many_senders(&[entry(1, 0), entry(2, 0)]);
     let listed = |n| EndpointEntry { weight: 1_000.0, ..entry(n, 0) };
     s.handle(vec![Event::EndpointList(vec![listed(1), listed(2)])]);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     let rejecting = s.in_flight[0].endpoint;
     s.end(Outcome::ConnectionRejected);
     assert_eq!(s.sent.len(), 2, "the other endpoint is tried at once");
@@ -101,7 +101,7 @@
     s.end(Outcome::Delivered);
     s.advance(SECOND);
     for _ in 0..4 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert_eq!(s.in_flight.len(), 4, "neither the send rate nor slow start delays them");
 }
@@ -131,7 +131,7 @@
     let settings = Settings { max_attempts: 100, ..settings() };
     let mut s = Sender::new(settings, &[entry(1, 0)]);
     s.deliver(80);
-    s.accept(SAFE);
+    s.accept(IDEMPOTENT);
     let started_at = s.now;
     while s.now < started_at + 10 * SECOND {
         while !s.in_flight.is_empty() {
@@ -141,7 +141,7 @@
     }
     let (recovered_at, before) = (s.now, s.sent.len());
     while s.now < recovered_at + 3 * SECOND {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         s.advance(SECOND / 4);
         while !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
@@ -158,7 +158,7 @@
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.deliver(20);
     for _ in 0..40 {
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
     }
     assert_eq!(s.in_flight.len(), 6, "the destination's share of the slots");
     for _ in 0..4 {
@@ -176,7 +176,7 @@
             rejections += 1;
         }
         most = most.max(s.in_flight.len());
-        s.accept(SAFE);
+        s.accept(IDEMPOTENT);
         if !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
@@ -210,7 +210,7 @@
     let closes = |senders: usize, gap: Micros| {
         let mut s = Sender::new(Settings { senders, ..settings() }, &[entry(1, 0)]);
         for _ in 0..3 {
-            s.accept(SAFE);
+            s.accept(IDEMPOTENT);
             s.end(Outcome::Delivered);
             s.advance(gap);
         }
@@ -237,7 +237,7 @@
             let settings = Settings { senders: 48, weights, ..settings() };
             let mut s = Sender::new(settings, &[EndpointEntry { weight: 20.0, ..entry(1, 0) }]);
             for outcome in [Outcome::Delivered, Outcome::Rejected(None), Outcome::Delivered] {
-                s.accept(SAFE);
+                s.accept(IDEMPOTENT);
                 if !s.in_flight.is_empty() {
                     end_with(&mut s, outcome, left, limit);
                 }
