--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -12,7 +12,7 @@
 pub const START: Micros = 1_000 * SECOND;
 pub const DEST: DestinationId = DestinationId(7);
 pub const KEYED: usize = 0;
-pub const ONCE: usize = 1;
+pub const NON_IDEMPOTENT: usize = 1;
 pub const IDEMPOTENT: usize = 2;
 pub const ORDERED: usize = 3;
 
--- a/crates/decision/tests/hand_over.rs
+++ b/crates/decision/tests/hand_over.rs
@@ -66,7 +66,7 @@
 fn announced_shutdown_does_not_apply_to_the_successor() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     s.handle(vec![Event::ShuttingDown(s.now + SECOND / 100)]);
-    s.accept(ONCE);
+    s.accept(NON_IDEMPOTENT);
     assert!(s.in_flight.is_empty(), "its call could still be in flight at the end");
     s.hand_over(settings());
     assert_eq!(s.in_flight.len(), 1);
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -60,7 +60,7 @@
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
     // A destination with a call in flight stays active all the time.
-    let message = s.message(ONCE, None, 500 * SECOND);
+    let message = s.message(NON_IDEMPOTENT, None, 500 * SECOND);
     s.handle(vec![Event::Accepted(message)]);
     let out = s.in_flight.pop().unwrap();
     let_all_become_idle(&mut s);
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -176,7 +176,7 @@
                     );
                     assert!(!self.draining.contains(&endpoint), "no attempt at a draining endpoint");
                     let may_have_run = self.may_have_run.entry(message).or_default();
-                    assert!(class != ONCE || *may_have_run == 0, "no effect twice");
+                    assert!(class != NON_IDEMPOTENT || *may_have_run == 0, "no effect twice");
                     *may_have_run += 1;
                     let attempt = self.attempts.entry(message).or_default();
                     let until = self.now + timeout;
@@ -355,7 +355,7 @@
 #[test]
 fn endpoints_are_renamed_to_ids_of_new_owner() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
-    let id = s.accept(ONCE);
+    let id = s.accept(NON_IDEMPOTENT);
     let out = s.in_flight.remove(0);
     let theirs = EndpointId([9; 6]);
     let mut other = Policy::new(settings(), 43, s.now);
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -76,7 +76,7 @@
     // Non-idempotent calls stay in flight; idempotent ones would be cancelled after twice their usual
     // latency.
     for _ in 0..2 {
-        s.accept(ONCE);
+        s.accept(NON_IDEMPOTENT);
     }
     assert_eq!(s.in_flight.len(), 2);
     s.advance(3 * SECOND / 2);
@@ -102,7 +102,7 @@
 fn failing_destination_uses_at_most_half_of_the_slots() {
     let mut s = one();
     s.deliver(20);
-    s.accept(ONCE);
+    s.accept(NON_IDEMPOTENT);
     s.end(Outcome::Error);
     for _ in 0..20 {
         s.accept(IDEMPOTENT);
@@ -134,7 +134,7 @@
 #[test]
 fn message_whose_call_times_out_is_failed_before_its_deadline() {
     let mut s = one();
-    let message = s.message(ONCE, None, 2 * SECOND);
+    let message = s.message(NON_IDEMPOTENT, None, 2 * SECOND);
     let id = message.id;
     s.handle(vec![Event::Accepted(message)]);
     s.advance(2 * SECOND);
@@ -164,7 +164,7 @@
 fn non_idempotent_message_fails_after_an_attempt_that_may_have_run() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let mut s = one();
-        let id = s.accept(ONCE);
+        let id = s.accept(NON_IDEMPOTENT);
         s.end(outcome);
         s.advance(25 * SECOND);
         assert_eq!((s.sent.len(), &s.failed[..], s.rejected.len()), (1, &[id][..], 0), "{outcome:?}");
@@ -175,7 +175,7 @@
 fn non_idempotent_message_is_retried_if_it_never_ran() {
     for outcome in [Outcome::Rejected(None), Outcome::ConnectFailed, Outcome::NotSent { no_slot: true }] {
         let mut s = one();
-        s.accept(ONCE);
+        s.accept(NON_IDEMPOTENT);
         s.end(outcome);
         s.advance(5 * SECOND);
         assert_eq!(s.sent.len(), 2, "{outcome:?}");
@@ -274,7 +274,7 @@
     s.accept(IDEMPOTENT);
     s.end(Outcome::Rejected(Some(2 * SECOND)));
     for _ in 0..5 {
-        s.accept(ONCE);
+        s.accept(NON_IDEMPOTENT);
     }
     s.advance(2 * SECOND - 1);
     assert_eq!(s.sent.len(), 1);
@@ -441,7 +441,7 @@
     let mut s = one();
     s.deliver(40);
     for _ in 0..3 {
-        s.accept(ONCE);
+        s.accept(NON_IDEMPOTENT);
     }
     for _ in 0..20 {
         s.accept(IDEMPOTENT);
@@ -506,15 +506,15 @@
 #[test]
 fn recovered_message_is_repeated_only_if_safe() {
     let mut s = one();
-    let non_idempotent = recover_message(&mut s, ONCE, 1, &[SECOND]);
+    let non_idempotent = recover_message(&mut s, NON_IDEMPOTENT, 1, &[SECOND]);
     assert_eq!(s.failed, [non_idempotent]);
     let late = recover_message(&mut s, KEYED, 1, &[5 * SECOND]);
     assert_eq!(s.failed, [non_idempotent, late], "the rest of its window is too short for a repeat");
     assert!(s.sent.is_empty());
     recover_message(&mut s, KEYED, 1, &[2 * SECOND]);
-    recover_message(&mut s, ONCE, 1, &[]);
+    recover_message(&mut s, NON_IDEMPOTENT, 1, &[]);
     assert_eq!(s.sent.len(), 2, "both are safe to send");
-    let used_up = recover_message(&mut s, ONCE, 4, &[]);
+    let used_up = recover_message(&mut s, NON_IDEMPOTENT, 4, &[]);
     assert_eq!(s.rejected.iter().map(|r| r.0).collect::<Vec<_>>(), [used_up]);
 }
 
@@ -563,12 +563,12 @@
     s.deliver(20);
     let end = s.now + 3 * SECOND;
     s.handle(vec![Event::ShuttingDown(end)]);
-    s.accept(ONCE);
+    s.accept(NON_IDEMPOTENT);
     assert!(s.in_flight[0].until <= end);
     s.end(Outcome::Delivered);
     s.advance(29 * SECOND / 10);
     let before = s.sent.len();
-    s.accept(ONCE);
+    s.accept(NON_IDEMPOTENT);
     assert_eq!(s.sent.len(), before, "its answer could arrive after the end");
     s.accept(KEYED);
     assert_eq!(s.sent.len(), before + 1, "the next process may still repeat it");
@@ -656,7 +656,7 @@
     let mut s = one();
     s.deliver(20);
     for _ in 0..8 {
-        let once = s.accept(ONCE);
+        let once = s.accept(NON_IDEMPOTENT);
         assert_eq!(
             s.in_flight.last().map(|out| out.message),
             Some(once),
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -56,7 +56,9 @@
             assert!(out.sent >= self.wait, "Retry-After is heeded");
             let earlier_attempts = self.may_have_run.entry(out.message).or_default();
             match class {
-                ONCE => assert!(earlier_attempts.is_empty(), "a non-idempotent message is not repeated"),
+                NON_IDEMPOTENT => {
+                    assert!(earlier_attempts.is_empty(), "a non-idempotent message is not repeated")
+                }
                 KEYED => assert!(
                     earlier_attempts.iter().all(|r| out.sent <= r.1 + 6 * SECOND),
                     "a keyed message is repeated within its window"
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -109,7 +109,7 @@
 #[test]
 fn backoff_grows_with_each_rejected_connection() {
     let mut s = one_of_many_senders(&[entry(1, 0)]);
-    s.accept(ONCE);
+    s.accept(NON_IDEMPOTENT);
     let mut backoffs = Vec::new();
     for _ in 0..3 {
         let rejected_at = s.now;
@@ -193,8 +193,8 @@
 #[test]
 fn retries_a_rejected_connection_without_other_events() {
     let mut s = one();
-    s.accept(ONCE);
-    s.accept(ONCE);
+    s.accept(NON_IDEMPOTENT);
+    s.accept(NON_IDEMPOTENT);
     let rejected = s.in_flight.pop().unwrap();
     let event = s.ended(rejected, Outcome::ConnectionRejected);
     s.handle(vec![event]);
