--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -33,7 +33,7 @@
 
 /// An attempt that the policy started.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Out {
+pub struct Attempt {
     pub message: MessageId,
     pub attempt: u16,
     pub endpoint: EndpointId,
@@ -47,9 +47,9 @@
     pub policy: Policy,
     pub now: Micros,
     /// Attempts in flight, the oldest first.
-    pub in_flight: Vec<Out>,
+    pub in_flight: Vec<Attempt>,
     /// All attempts so far.
-    pub sent: Vec<Out>,
+    pub sent: Vec<Attempt>,
     /// Rejected messages, each with the Retry-After of its rejection.
     pub rejected: Vec<(MessageId, Micros)>,
     /// Messages whose delivery failed.
@@ -90,7 +90,7 @@
                     let attempt = *attempts;
                     *attempts += 1;
                     let until = self.now + timeout;
-                    let out = Out { message, attempt, endpoint, sent: self.now, until };
+                    let out = Attempt { message, attempt, endpoint, sent: self.now, until };
                     self.in_flight.push(out);
                     self.sent.push(out);
                 }
@@ -131,7 +131,7 @@
     }
 
     /// Returns the event that an attempt ended with that outcome.
-    pub fn ended(&self, out: Out, outcome: Outcome) -> Event {
+    pub fn ended(&self, out: Attempt, outcome: Outcome) -> Event {
         Event::AttemptCompleted {
             message: out.message,
             attempt: out.attempt,
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -102,7 +102,7 @@
     instances: Vec<Policy>,
     owner: BTreeMap<u16, usize>,
     now: Micros,
-    in_flight: Vec<(Out, DestinationId)>,
+    in_flight: Vec<(Attempt, DestinationId)>,
     attempts: BTreeMap<MessageId, u16>,
     messages: BTreeMap<MessageId, (usize, DestinationId)>,
     /// Attempts of each message that may have taken effect.
@@ -180,7 +180,7 @@
                     *may_have_run += 1;
                     let attempt = self.attempts.entry(message).or_default();
                     let until = self.now + timeout;
-                    let out = Out { message, attempt: *attempt, endpoint, sent: self.now, until };
+                    let out = Attempt { message, attempt: *attempt, endpoint, sent: self.now, until };
                     *attempt += 1;
                     self.in_flight.push((out, destination));
                     self.calls += 1;
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    fn ended(&mut self, out: Out, outcome: Outcome, now: Micros) {
+    fn ended(&mut self, out: Attempt, outcome: Outcome, now: Micros) {
         if outcome.never_ran() {
             self.may_have_run.entry(out.message).or_default().retain(|r| r.0 != out.attempt);
         }
