--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -1,18 +1,18 @@
 //! The real program over loopback sockets: each promise, and each failure found, in small.
 
-mod bad;
-mod closes;
+mod admin;
+mod client_connections;
+mod connection_rejected;
 mod cores;
-mod crowded;
-mod duty;
-mod endings;
-mod kept;
-mod known;
-mod lost;
-mod rough;
-mod shared;
-mod upgrade;
-mod waits;
+mod deadlines_and_shutdown;
+mod gossip;
+mod hand_over;
+mod health_snapshot;
+mod journal;
+mod lost_connections;
+mod malformed_requests;
+mod robustness;
+mod slow_connects;
 
 use std::collections::BTreeSet;
 
