--- a/crates/sender/tests/program.rs
+++ b/crates/sender/tests/program.rs
@@ -1,4 +1,4 @@
-//! The command line: what starts, and what is told instead.
+//! The command line: subcommands, options, and errors in the operators' file.
 
 use std::process::{Command, Output};
 
@@ -6,51 +6,51 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_myrtleyard");
 
-fn say(arguments: &[&str]) -> Output {
+fn run(arguments: &[&str]) -> Output {
     Command::new(PROGRAM).args(arguments).env_remove("NODE_CONFIG").output().unwrap()
 }
 
-fn text(bytes: &[u8]) -> String {
+fn utf8(bytes: &[u8]) -> String {
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
 #[test]
-fn check_tells_line_and_reason() {
+fn check_reports_line_and_reason() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("operators.toml");
     let path = file.to_str().unwrap();
     std::fs::write(&file, "[journal]\nsync = \"group\"\n").unwrap();
-    assert!(say(&["check", path]).status.success());
+    assert!(run(&["check", path]).status.success());
     std::fs::write(&file, "[journal]\nsink = \"group\"\n").unwrap();
     for arguments in [vec!["check", path], vec!["--operators", path]] {
-        let said = say(&arguments);
-        assert!(!said.status.success());
-        let line = text(&said.stderr);
+        let output = run(&arguments);
+        assert!(!output.status.success());
+        let line = utf8(&output.stderr);
         assert!(line.starts_with(&format!("myrtleyard: {path}:2: unknown field `sink`")), "{line}");
         assert_eq!(line.lines().count(), 1, "{line}");
     }
-    assert!(!say(&["check", "/no/such/file"]).status.success());
+    assert!(!run(&["check", "/no/such/file"]).status.success());
 }
 
-/// The file that is shipped says what holds without it.
+/// The shipped operators' file states the defaults.
 #[test]
-fn the_shipped_file_is_the_default() {
+fn shipped_operators_file_equals_the_defaults() {
     let shipped = operator_config::Operators::parse(include_str!("../../../deploy/myrtleyard.toml")).unwrap();
     assert_eq!(shipped, operator_config::Operators::default());
 }
 
 #[test]
-fn help_and_version_are_told() {
-    let help = say(&["--help"]);
-    assert!(help.status.success() && text(&help.stdout).contains("--operators <FILE>"));
-    let version = say(&["--version"]);
-    assert!(version.status.success() && text(&version.stdout).starts_with("myrtleyard 0."));
-    assert!(!say(&["--what"]).status.success());
+fn prints_help_and_version() {
+    let help = run(&["--help"]);
+    assert!(help.status.success() && utf8(&help.stdout).contains("--operators <FILE>"));
+    let version = run(&["--version"]);
+    assert!(version.status.success() && utf8(&version.stdout).starts_with("myrtleyard 0."));
+    assert!(!run(&["--what"]).status.success());
 }
 
-/// With everything synced the sender does as without, and its status line comes.
+/// With `sync = "group"` the sender accepts messages as without it, and it logs its status line.
 #[test]
-fn an_operators_file_takes_effect() {
+fn operators_file_takes_effect() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("operators.toml");
     std::fs::write(&file, "[journal]\nsync = \"group\"\n[status]\nevery = \"100ms\"\n").unwrap();
