--- a/crates/sender/tests/node/client_connections.rs
+++ b/crates/sender/tests/node/client_connections.rs
@@ -1,4 +1,5 @@
-//! Pipelined requests, and bytes that come as a connection is closed (`docs/endings.md`): what is not answered is not forwarded.
+//! Pipelined requests, and requests that arrive while a client connection is closed (`docs/endings.md`): a message that was not
+//! answered must not be forwarded.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -16,17 +17,18 @@
     ids.iter().flat_map(|id| submission(id, "order", 7, 20_000)).collect()
 }
 
-fn named(prefix: &str, count: usize) -> Vec<String> {
+fn numbered_ids(prefix: &str, count: usize) -> Vec<String> {
     (0..count).map(|n| format!("{prefix}{n}")).collect()
 }
 
-/// All answers on a connection until it ends; an answer in part fails.
-fn answers(client: &mut Client) -> Vec<Http> {
+/// Returns all answers on a connection until it ends; fails on a partial answer.
+fn read_answers(client: &mut Client) -> Vec<Http> {
     std::iter::from_fn(|| client.answer()).collect()
 }
 
-/// Of pipelined messages the first so many have their answer, and they alone are forwarded; tells how many that is. The process ends.
-fn answered_alone_are_forwarded(
+/// Asserts that the answers are those of the first pipelined messages, that these messages alone are forwarded, and that the
+/// process exits. Returns how many were answered.
+fn assert_only_answered_are_forwarded(
     node: &mut Node,
     endpoint: &ScriptedServer,
     ids: &[String],
@@ -35,9 +37,12 @@
     assert!(answers.len() <= ids.len());
     assert!(answers.iter().all(|answer| answer.status() == 202), "{answers:?}");
     if let Some((last, before)) = answers.split_last() {
-        // With all of them answered before the process was asked to end, its connection was idle.
-        let says_so = last.headers.get("connection").is_some_and(|value| value == "close");
-        assert!(says_so || answers.len() == ids.len(), "it says that it is the last: {answers:?}");
+        // If all were answered before SIGTERM, the connection was idle then and no answer announced its close.
+        let announces_close = last.headers.get("connection").is_some_and(|value| value == "close");
+        assert!(
+            announces_close || answers.len() == ids.len(),
+            "the last answer announces the close: {answers:?}"
+        );
         assert!(before.iter().all(|answer| !answer.headers.contains_key("connection")));
     }
     let mut called = BTreeSet::new();
@@ -48,31 +53,31 @@
     }
     assert_eq!(called, ids[..answers.len()].iter().cloned().collect());
     assert_eq!(node.exit_code(), Some(0));
-    assert!(!endpoint.has_unread_request(), "what was not answered is not forwarded");
+    assert!(!endpoint.has_unread_request(), "an unanswered message is not forwarded");
     answers.len()
 }
 
-/// Guards the order of answers against requests that come at once on one connection, of every kind and more than a buffer holds,
-/// whole or cut anywhere.
+/// Answers must come in the order of the requests when requests of every kind arrive at once on one connection, more than a
+/// buffer holds, written whole or split at any point.
 #[test]
-fn pipelined_requests_are_answered_in_their_order() {
+fn pipelined_requests_are_answered_in_order() {
     const COUNT: usize = 48;
     for (prefix, piece) in [("whole", usize::MAX), ("cut", 97)] {
         let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
-        let mut text = vec![];
-        for id in named(prefix, COUNT) {
-            text.extend(submission_with(&id, "order", 7, 20_000, &[b'x'; 700]));
-            text.extend(READY);
-            text.extend(submission(&format!("nowhere-{id}"), "order", 8, 20_000));
+        let mut requests = vec![];
+        for id in numbered_ids(prefix, COUNT) {
+            requests.extend(submission_with(&id, "order", 7, 20_000, &[b'x'; 700]));
+            requests.extend(READY);
+            requests.extend(submission(&format!("nowhere-{id}"), "order", 8, 20_000));
         }
         let mut client = Client::new(&node);
-        text.chunks(piece.min(text.len())).for_each(|piece| client.write(piece));
+        requests.chunks(piece.min(requests.len())).for_each(|piece| client.write(piece));
         for n in 0..COUNT {
             let statuses = [(); 3].map(|()| client.answer().expect("an answer").status());
             assert_eq!(statuses, [202, 200, 503], "{prefix}{n}");
         }
-        assert_eq!(client.ask(READY).status(), 200, "the connection is kept");
+        assert_eq!(client.ask(READY).status(), 200, "the connection stays open");
         platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
         let mut called = BTreeSet::new();
         while called.len() < COUNT {
@@ -80,15 +85,15 @@
             assert!(called.insert(call.http.headers["req-id"].clone()), "once each");
             call.reply(status(200));
         }
-        assert_eq!(called, named(prefix, COUNT).into_iter().collect());
+        assert_eq!(called, numbered_ids(prefix, COUNT).into_iter().collect());
         assert!(!endpoint.has_unread_request());
     }
 }
 
-/// Guards against forwarding a pipelined request that has no answer as the process ends: stopped, it finds the requests and SIGTERM at
-/// once, on a connection that was answered and on one that was not.
+/// A pipelined request that gets no answer because the process shuts down must not be forwarded. The process is stopped, so that
+/// it finds the requests and SIGTERM at once, on a connection that has had an answer before and on one that has not.
 #[test]
-fn pipelined_requests_that_cross_a_shutdown_are_answered_or_not_accepted() {
+fn pipelined_requests_at_shutdown_are_answered_or_not_accepted() {
     let mut answered = 0;
     for round in 0..ROUNDS {
         let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
@@ -98,84 +103,86 @@
         if round % 2 == 0 {
             assert_eq!(client.ask(READY).status(), 200);
         }
-        let ids = named("m", 30);
+        let ids = numbered_ids("m", 30);
         node.stop();
         client.write(&pipelined(&ids));
         node.signal("-TERM");
         node.signal("-CONT");
-        let answers = answers(&mut client);
-        answered += answered_alone_are_forwarded(&mut node, &endpoint, &ids, &answers);
+        let answers = read_answers(&mut client);
+        answered += assert_only_answered_are_forwarded(&mut node, &endpoint, &ids, &answers);
     }
-    assert!(answered > 0, "none of them crossed");
+    assert!(answered > 0, "no round had requests accepted at the shutdown");
 }
 
-/// Guards the answers of requests that were read before the process was asked to end against the unread ones behind them: a close over
-/// those resets the connection.
+/// Requests that were read before SIGTERM must get their answers although unread requests lie behind them: closing a socket with
+/// unread data resets the connection, which would lose the answers.
 #[test]
-fn a_request_in_flight_is_answered_at_a_shutdown_though_more_lies_behind_it() {
+fn request_in_flight_at_shutdown_is_answered_despite_unread_requests() {
     for round in 0..ROUNDS {
         let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let known = [listing("e1", 7, "plain", endpoint.address)];
-        // Ticks far apart: the first is open as the process is asked to end.
+        // Long iterations: the first request is still open when SIGTERM arrives.
         let mut node = Node::start(&program(), &platform, &known, |config| {
             config["settings"]["period_us"] = json!(300_000);
         });
         let mut client = Client::new(&node);
         assert_eq!(client.ask(READY).status(), 200);
-        let ids = named("m", if round % 2 == 0 { 3 } else { 400 });
+        let ids = numbered_ids("m", if round % 2 == 0 { 3 } else { 400 });
         client.write(&pipelined(&ids));
-        // They have been read once what came later is answered.
+        // The requests have been read once a later one is answered.
         assert_eq!(node.ask(READY).status(), 200);
         node.signal("-TERM");
-        let answers = answers(&mut client);
-        assert!(!answers.is_empty(), "the first was read");
-        answered_alone_are_forwarded(&mut node, &endpoint, &ids, &answers);
+        let answers = read_answers(&mut client);
+        assert!(!answers.is_empty(), "the first request was read");
+        assert_only_answered_are_forwarded(&mut node, &endpoint, &ids, &answers);
     }
 }
 
-/// Guards against accepting more than the one request that a new connection is owed after SIGTERM.
+/// After SIGTERM only the one request is accepted that a new connection is entitled to.
 #[test]
-fn of_requests_pipelined_after_a_shutdown_the_first_alone_is_accepted() {
+fn only_first_of_requests_pipelined_after_sigterm_is_accepted() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    let mut kept = Client::new(&node);
-    assert_eq!(kept.ask(READY).status(), 200);
+    let mut idle = Client::new(&node);
+    assert_eq!(idle.ask(READY).status(), 200);
     let mut client = Client::new(&node);
-    assert_eq!(node.ask(READY).status(), 200, "what came before is accepted");
+    assert_eq!(node.ask(READY).status(), 200, "the earlier connections have been accepted");
     node.signal("-TERM");
-    assert!(kept.ended(), "the process has heard it");
-    // It is closed: nothing is read from it any more.
-    kept.write(&submission("behind", "order", 7, 20_000));
-    let ids = named("m", 5);
+    assert!(idle.ended(), "the process has received SIGTERM");
+    // The idle connection is closed: nothing more is read from it.
+    idle.write(&submission("behind", "order", 7, 20_000));
+    let ids = numbered_ids("m", 5);
     client.write(&pipelined(&ids));
-    let answers = answers(&mut client);
+    let answers = read_answers(&mut client);
     assert_eq!(answers.len(), 1);
-    answered_alone_are_forwarded(&mut node, &endpoint, &ids, &answers);
+    assert_only_answered_are_forwarded(&mut node, &endpoint, &ids, &answers);
 }
 
-/// Guards against forwarding a request of which a part was read together with the one before it, when its connection is closed as the
-/// process ends. (Where nothing was read together with it, it is answered: `endings`. What the library has read ahead it tells nobody.)
+/// A request of which a part was read together with the request before it must not be forwarded when its connection is closed at
+/// shutdown without an answer. (A request of which a part was read on its own is answered: see `deadlines_and_shutdown`. The HTTP
+/// library does not report what it has read ahead.)
 #[test]
-fn a_pipelined_request_that_was_read_in_part_is_answered_or_not_accepted_as_the_process_ends() {
+fn partly_read_pipelined_request_at_shutdown_is_answered_or_not_accepted() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    let (mut kept, mut half) = (Client::new(&node), Client::new(&node));
-    assert_eq!(kept.ask(READY).status(), 200);
-    let ids = named("m", 1);
+    let (mut idle, mut partial) = (Client::new(&node), Client::new(&node));
+    assert_eq!(idle.ask(READY).status(), 200);
+    let ids = numbered_ids("m", 1);
     let request = pipelined(&ids);
     let (first, rest) = request.split_at(40);
-    assert_eq!(half.ask(&[READY, first].concat()).status(), 200);
+    assert_eq!(partial.ask(&[READY, first].concat()).status(), 200);
     node.signal("-TERM");
-    assert!(kept.ended(), "the process has heard it");
-    half.write(rest);
-    let answers = answers(&mut half);
+    assert!(idle.ended(), "the process has received SIGTERM");
+    partial.write(rest);
+    let answers = read_answers(&mut partial);
     eprintln!("{} of 1 answered", answers.len());
-    answered_alone_are_forwarded(&mut node, &endpoint, &ids, &answers);
+    assert_only_answered_are_forwarded(&mut node, &endpoint, &ids, &answers);
 }
 
-/// Guards a request against the end of its connection's time: stopped, the process finds both at once. It is answered, or not accepted.
+/// A request that arrives as the idle timeout of its connection expires must be answered, or else not accepted. The process is
+/// stopped, so that it finds both at once.
 #[test]
-fn a_request_that_crosses_the_end_of_an_idle_connection_is_answered_or_not_accepted() {
+fn request_at_idle_timeout_is_answered_or_not_accepted() {
     const CLIENTS: usize = 12;
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
@@ -183,16 +190,16 @@
     for client in clients.iter_mut().step_by(2) {
         assert_eq!(client.ask(READY).status(), 200);
     }
-    assert_eq!(node.ask(READY).status(), 200, "what came before is accepted");
+    assert_eq!(node.ask(READY).status(), 200, "the earlier connections have been accepted");
     node.stop();
-    // Time has to pass, and nothing else: an idle connection's 2.2 s.
+    // Exceeds the 2.2 s after which an idle connection is closed; no event could be waited for instead.
     std::thread::sleep(Duration::from_millis(2_400));
-    for (client, id) in clients.iter_mut().zip(named("m", CLIENTS)) {
+    for (client, id) in clients.iter_mut().zip(numbered_ids("m", CLIENTS)) {
         client.write(&submission(&id, "order", 7, 20_000));
     }
     node.signal("-CONT");
     let mut accepted = BTreeSet::new();
-    for (client, id) in clients.iter_mut().zip(named("m", CLIENTS)) {
+    for (client, id) in clients.iter_mut().zip(numbered_ids("m", CLIENTS)) {
         if let Some(answer) = client.answer() {
             assert_eq!(answer.status(), 202);
             accepted.insert(id);
@@ -210,17 +217,17 @@
     assert_eq!(called, accepted);
 }
 
-/// A client that ends its sending before its answer counts as gone, as one that closes: on the wire the two are the same. Its message is
-/// withdrawn, and its connection ends.
+/// A client that shuts down its writing side before its answer counts as gone, like one that closes the connection: on the wire
+/// the two are the same. Its message is withdrawn, and its connection is closed.
 #[test]
-fn a_client_that_ends_its_sending_or_goes_before_its_answer_withdraws_its_message() {
+fn client_that_half_closes_or_closes_before_its_answer_withdraws_its_message() {
     const CLIENTS: usize = 4;
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
-    // Ticks far apart: the end of the sending is there before the answer.
+    // Long iterations: the end of the stream arrives before the answer.
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["settings"]["period_us"] = json!(300_000);
     });
-    // One round in which no tick comes between is enough: without the guard there is none.
+    // One round without an iteration in between is enough: without the withdrawal no round passes.
     for round in 0..8 {
         let start = |id: &String| {
             let mut stream = TcpStream::connect(node.address).unwrap();
@@ -228,16 +235,17 @@
             stream.write_all(&submission(id, "order", 7, 20_000)).unwrap();
             stream
         };
-        let mut ending: Vec<_> = named(&format!("ends{round}-"), CLIENTS).iter().map(start).collect();
-        let going: Vec<_> = named(&format!("goes{round}-"), CLIENTS).iter().map(start).collect();
-        ending.iter().for_each(|stream| stream.shutdown(Shutdown::Write).unwrap());
-        drop(going);
-        let ended =
-            ending.iter_mut().filter_map(|stream| stream.read(&mut [0]).ok()).filter(|size| *size == 0);
-        let all_ended = ended.count() == CLIENTS;
+        let mut half_closed: Vec<_> =
+            numbered_ids(&format!("ends{round}-"), CLIENTS).iter().map(start).collect();
+        let closed: Vec<_> = numbered_ids(&format!("goes{round}-"), CLIENTS).iter().map(start).collect();
+        half_closed.iter().for_each(|stream| stream.shutdown(Shutdown::Write).unwrap());
+        drop(closed);
+        let closed_by_sender =
+            half_closed.iter_mut().filter_map(|stream| stream.read(&mut [0]).ok()).filter(|size| *size == 0);
+        let all_closed_by_sender = closed_by_sender.count() == CLIENTS;
         let last = format!("last{round}");
         assert_eq!(node.submit(&last, "order", 7, 20_000).status(), 202);
-        let mut before = 0;
+        let mut calls_before_last = 0;
         loop {
             let call = endpoint.next();
             let is_last = call.http.headers["req-id"] == last;
@@ -245,11 +253,11 @@
             if is_last {
                 break;
             }
-            before += 1;
+            calls_before_last += 1;
         }
-        if all_ended && before == 0 && !endpoint.has_unread_request() {
+        if all_closed_by_sender && calls_before_last == 0 && !endpoint.has_unread_request() {
             return;
         }
     }
-    panic!("in no round was all of it withdrawn");
+    panic!("there was no round in which all messages were withdrawn");
 }
--- a/crates/sender/tests/node/cores.rs
+++ b/crates/sender/tests/node/cores.rs
@@ -1,9 +1,9 @@
-//! Several cores of one sender: nothing is lost, doubled or sent too soon by any of them.
+//! A sender with several cores: no core loses a message, sends it twice or sends it too early.
 
 use super::program;
 use test_doubles::*;
 
-/// Starts a sender with so many cores.
+/// Starts a sender with that number of cores.
 fn start(platform: &Platform, endpoints: &[serde_json::Value], cores: u32) -> (Node, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("operators.toml");
@@ -13,20 +13,20 @@
     (Node::start(&program, platform, endpoints, ops), folder)
 }
 
-/// Whichever core a client's connection is on, and whichever owns the destination.
+/// A message is delivered whichever core its client's connection is on and whichever core owns its destination.
 #[test]
-fn messages_pass_through_any_core_to_any_other() {
-    let (platform, served) = (Platform::new(), ScriptedServer::new());
-    let known: Vec<_> =
-        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
-    let (node, _folder) = start(&platform, &known, 3);
+fn delivers_messages_from_any_core_to_any_other() {
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
+    let endpoints: Vec<_> =
+        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", endpoint.address)).collect();
+    let (node, _folder) = start(&platform, &endpoints, 3);
     let mut clients: Vec<_> =
         (0..6).map(|_| Client::connect(node.address, std::time::Duration::from_secs(5)).unwrap()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         for dest in 1..9 {
             let id = format!("m{n}-{dest}");
             client.write(&submission_with(&id, "order", dest, 20_000, b"x"));
-            let call = served.next();
+            let call = endpoint.next();
             assert_eq!(call.http.headers["req-id"], id);
             call.reply(status(200));
             assert_eq!(client.answer().unwrap().status(), 202);
@@ -34,77 +34,77 @@
     }
 }
 
-/// Guards a restart with another number of cores: each finds what is its own then.
+/// After a restart with another number of cores each core recovers the messages of the destinations that it owns then.
 #[test]
-fn what_was_taken_on_is_found_by_another_number_of_cores() {
-    let (platform, served) = (Platform::new(), ScriptedServer::new());
-    let known: Vec<_> =
-        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
-    let (node, folder) = start(&platform, &known, 4);
+fn restart_with_other_core_count_recovers_all_messages() {
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
+    let endpoints: Vec<_> =
+        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", endpoint.address)).collect();
+    let (node, folder) = start(&platform, &endpoints, 4);
     let mut calls = Vec::new();
     for dest in 1..9 {
         assert_eq!(node.submit(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
-        calls.push(served.next());
+        calls.push(endpoint.next());
     }
     let (mut node, operators) = (node, folder.path().join("operators.toml"));
     for cores in [2, 1, 5] {
         std::fs::write(&operators, format!("[cores]\ncount = {cores}\n")).unwrap();
         node = node.kill_and_restart();
-        let mut again: Vec<_> = (1..9).map(|_| served.next()).collect();
-        let mut ids: Vec<_> = again.iter().map(|call| call.http.headers["req-id"].clone()).collect();
+        let mut resent: Vec<_> = (1..9).map(|_| endpoint.next()).collect();
+        let mut ids: Vec<_> = resent.iter().map(|call| call.http.headers["req-id"].clone()).collect();
         ids.sort();
         assert_eq!(ids, (1..9).map(|dest| format!("m{dest}")).collect::<Vec<_>>());
-        calls.append(&mut again);
+        calls.append(&mut resent);
     }
     calls.into_iter().rev().take(8).for_each(|call| call.reply(status(200)));
     wait_until(|| node.metric("svc_open_requests") == 0);
 }
 
-/// Tells a destination to go to a core, and waits until it has.
-fn move_to(node: &Node, destination: u16, core: u8) {
-    let before = node.metric("svc_destinations_moved");
-    let told = node.ops("POST", &format!("/cores/move?destination={destination}&core={core}"));
-    if told.status() == 202 {
-        wait_until(|| node.metric("svc_destinations_moved") > before);
+/// Moves a destination to a core, and waits until the move is complete.
+fn move_destination(node: &Node, destination: u16, core: u8) {
+    let moved_before = node.metric("svc_destinations_moved");
+    let answer = node.ops("POST", &format!("/cores/move?destination={destination}&core={core}"));
+    if answer.status() == 202 {
+        wait_until(|| node.metric("svc_destinations_moved") > moved_before);
     } else {
-        assert_eq!(told.status(), 200, "it is there already");
+        assert_eq!(answer.status(), 200, "the destination is on that core already");
     }
 }
 
-/// Guards an order whose destination goes to another core while its call is out: its end is heard there, and a wait that
-/// comes with it holds there.
+/// When a destination moves to another core while a call of a non-idempotent message is in flight, the new owner must process
+/// the call's outcome and obey a Retry-After that comes with it (here 0.4 s).
 #[test]
-fn a_call_that_is_out_while_its_destination_moves_is_heard_by_the_new_owner() {
-    let (platform, served) = (Platform::new(), ScriptedServer::new());
-    let (node, _folder) = start(&platform, &[listing("e7", 7, "plain", served.address)], 3);
+fn outcome_of_call_in_flight_reaches_new_owner_of_moved_destination() {
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
+    let (node, _folder) = start(&platform, &[listing("e7", 7, "plain", endpoint.address)], 3);
     for core in [0, 1, 2, 0] {
         assert_eq!(node.submit(&format!("a{core}"), "order", 7, 20_000).status(), 202);
-        let call = served.next();
-        move_to(&node, 7, core);
+        let call = endpoint.next();
+        move_destination(&node, 7, core);
         wait_until(|| node.metric("svc_open_requests") == 1);
-        let told = std::time::Instant::now();
+        let replied_at = std::time::Instant::now();
         call.reply(Reply::Answer(429, vec![("retry-after", "0.400".into())], String::new()));
-        let again = served.next();
+        let resent = endpoint.next();
         assert!(
-            told.elapsed() >= std::time::Duration::from_millis(395),
-            "the wait holds: {:?}",
-            told.elapsed()
+            replied_at.elapsed() >= std::time::Duration::from_millis(395),
+            "the new owner obeys Retry-After: {:?}",
+            replied_at.elapsed()
         );
-        assert_eq!(again.http.headers["req-id"], format!("a{core}"));
-        again.reply(status(200));
+        assert_eq!(resent.http.headers["req-id"], format!("a{core}"));
+        resent.reply(status(200));
         wait_until(|| node.metric("svc_open_requests") == 0);
     }
     assert_eq!(node.ops("POST", "/cores/move?destination=7&core=3").status(), 404);
     assert_eq!(node.ops("POST", "/cores/move?destination=7").status(), 400);
 }
 
-/// Guards a drain and what is held out by hand against a core that has not heard of them.
+/// No core may call a draining endpoint or one that on-call staff ejected, whichever core received the request to eject it.
 #[test]
-fn what_is_drained_or_held_out_gets_nothing_from_any_core() {
-    let (platform, served) = (Platform::new(), ScriptedServer::new());
-    let known: Vec<_> =
-        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
-    let (node, _folder) = start(&platform, &known, 4);
+fn no_core_calls_an_ejected_endpoint() {
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
+    let endpoints: Vec<_> =
+        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", endpoint.address)).collect();
+    let (node, _folder) = start(&platform, &endpoints, 4);
     for dest in 1..9 {
         assert_eq!(node.ops("POST", &format!("/maintenance/enter?target=e{dest}")).status(), 200);
     }
@@ -112,21 +112,21 @@
     for dest in 1..9 {
         assert_eq!(node.submit(&format!("m{dest}"), "note", dest, 20_000).status(), 202);
     }
-    assert!(!served.has_unread_request(), "held out everywhere from the yes on");
-    move_to(&node, 1, 3);
-    move_to(&node, 1, 0);
-    assert!(!served.has_unread_request());
+    assert!(!endpoint.has_unread_request(), "ejected on all cores once the request is answered");
+    move_destination(&node, 1, 3);
+    move_destination(&node, 1, 0);
+    assert!(!endpoint.has_unread_request());
     for dest in 1..9 {
         assert_eq!(node.ops("POST", &format!("/maintenance/exit?target=e{dest}")).status(), 200);
-        served.next().reply(status(200));
+        endpoint.next().reply(status(200));
     }
     wait_until(|| node.metric("svc_open_requests") == 0);
     assert_eq!(node.metric("svc_registry_entries"), 8);
 }
 
-/// Guards order over all destinations, which a core does not see.
+/// A class that keeps order over all destinations needs one core, since a core does not see the destinations of the others.
 #[test]
-fn a_class_that_keeps_order_takes_one_core() {
+fn class_that_keeps_order_requires_one_core() {
     let platform = Platform::new();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("operators.toml");
@@ -141,21 +141,21 @@
     );
 }
 
-/// Guards the hand-over of one sender with several cores to a process with another number of them: what is out on any
-/// core's connection goes on, and clients of any core get their answers.
+/// A sender with several cores hands over to a process with another number of cores: calls in flight on any core's connection
+/// continue, and clients of any core get their answers.
 #[test]
-fn a_process_with_other_cores_takes_over_what_all_had() {
-    let held = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = held.local_addr().unwrap();
-    let (platform, served) = (Platform::new(), ScriptedServer::new());
-    let known: Vec<_> =
-        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", served.address)).collect();
+fn successor_with_other_core_count_takes_over_all_calls() {
+    let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = socket.local_addr().unwrap();
+    let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
+    let endpoints: Vec<_> =
+        (1..9).map(|dest| listing(&format!("e{dest}"), dest, "plain", endpoint.address)).collect();
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("operators.toml");
-    let program = program().arg("--operators").arg(&file).inheriting(&held);
-    let cores = |count: u32| std::fs::write(&file, format!("[cores]\ncount = {count}\n")).unwrap();
-    cores(3);
-    let mut node = Node::start(&program, &platform, &known, |config| {
+    let program = program().arg("--operators").arg(&file).inheriting(&socket);
+    let set_cores = |count: u32| std::fs::write(&file, format!("[cores]\ncount = {count}\n")).unwrap();
+    set_cores(3);
+    let mut node = Node::start(&program, &platform, &endpoints, |config| {
         config["listen"] = serde_json::json!(address.to_string());
         config["ops"] = serde_json::json!("127.0.0.1:0");
     });
@@ -163,17 +163,22 @@
         let calls: Vec<_> = (1..9)
             .map(|dest| {
                 assert_eq!(node.submit(&format!("m{count}-{dest}"), "order", dest, 20_000).status(), 202);
-                served.next()
+                endpoint.next()
             })
             .collect();
-        cores(count);
-        let next = node.start_successor();
-        assert_eq!(next.metric("svc_open_requests"), 8, "all of it is known there: {:?}", next.log());
-        // They end on the old one's connections, after it handed over.
+        set_cores(count);
+        let successor = node.start_successor();
+        assert_eq!(
+            successor.metric("svc_open_requests"),
+            8,
+            "the successor has all open messages: {:?}",
+            successor.log()
+        );
+        // The calls end on the predecessor's connections, after it has handed over.
         calls.into_iter().for_each(|call| call.reply(status(200)));
-        wait_until(|| next.metric("svc_open_requests") == 0);
+        wait_until(|| successor.metric("svc_open_requests") == 0);
         wait_until(|| node.has_ended());
-        node = next;
+        node = successor;
     }
-    assert!(!served.has_unread_request(), "no order is sent again");
+    assert!(!endpoint.has_unread_request(), "no message is sent again");
 }
--- a/crates/sender/tests/node/health_snapshot.rs
+++ b/crates/sender/tests/node/health_snapshot.rs
@@ -1,4 +1,4 @@
-//! What a sender learnt is known to its next process.
+//! The health snapshot: what a sender has observed of its destinations and endpoints is known to its next process.
 
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -9,45 +9,49 @@
 
 use super::program;
 
-/// Starts a sender that keeps what it learns, with that in the table besides.
+/// Starts a sender that writes a health snapshot, with these further settings in that table.
 fn start(
     platform: &Platform,
-    listed: &[Value],
-    table: &str,
+    endpoints: &[Value],
+    extra_settings: &str,
     change: impl FnOnce(&mut Value),
 ) -> (Node, TempDir) {
     let folder = tempfile::tempdir().unwrap();
-    let operators = folder.path().join("operators.toml");
-    std::fs::write(&operators, format!("[known]\non = true\n{table}")).unwrap();
-    (Node::start(&program().arg("--operators").arg(operators), platform, listed, change), folder)
+    let operators_file = folder.path().join("operators.toml");
+    std::fs::write(&operators_file, format!("[known]\non = true\n{extra_settings}")).unwrap();
+    (Node::start(&program().arg("--operators").arg(operators_file), platform, endpoints, change), folder)
 }
 
-fn show(node: &Node) -> String {
+fn show_snapshot(node: &Node) -> String {
     let output = Command::new(program().path).args(["known", "show"]).arg(node.state()).output().unwrap();
     assert!(output.status.success(), "{output:?}");
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// Guards a partner that told a wait against a process that was killed meanwhile.
+/// A destination's Retry-After (here 2.5 s) must bind the next process when the sender is killed while it runs.
 #[test]
-fn a_wait_that_was_told_outlasts_a_kill() {
+fn retry_after_outlasts_a_kill() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let (node, _folder) =
         start(&platform, &[listing("e1", 7, "plain", endpoint.address)], "clock = \"boot\"\n", |_| {});
     assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
-    let told = Instant::now();
+    let replied_at = Instant::now();
     endpoint.next().reply(Reply::Answer(429, vec![("retry-after", "2.5".into())], "".into()));
-    wait_until(|| show(&node).contains("destination 7, ") && show(&node).contains("a wait runs for 2."));
+    wait_until(|| {
+        show_snapshot(&node).contains("destination 7, ")
+            && show_snapshot(&node).contains("a wait runs for 2.")
+    });
     let node = node.kill_and_restart();
     assert_eq!(node.submit("b", "order", 7, 20_000).status(), 202);
-    let first = endpoint.next();
-    assert!(told.elapsed() >= Duration::from_millis(2_450), "{:?}", told.elapsed());
-    first.reply(status(200));
+    let call = endpoint.next();
+    assert!(replied_at.elapsed() >= Duration::from_millis(2_450), "{:?}", replied_at.elapsed());
+    call.reply(status(200));
 }
 
-/// Guards a partner that is down against all that a process would make to find out.
+/// A destination that was down must not get all the calls with which a new process would find that out, but one trial call at
+/// a time.
 #[test]
-fn a_partner_that_was_down_gets_one_call_from_the_next_process() {
+fn destination_that_was_down_gets_one_trial_call_after_restart() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let (node, _folder) =
         start(&platform, &[listing("e1", 7, "plain", endpoint.address)], "clock = \"boot\"\n", |_| {});
@@ -57,41 +61,49 @@
     for _ in 0..5 {
         endpoint.next().reply(status(500));
     }
-    wait_until(|| show(&node).contains("it was ill"));
-    // What the killed process had out is none of the next one's.
+    wait_until(|| show_snapshot(&node).contains("it was ill"));
+    // Calls of the killed process must not count as the next one's.
     let node = node.kill_and_restart_after(|| while endpoint.has_unread_request() {});
     for n in 0..5 {
         assert_eq!(node.submit(&format!("b{n}"), "note", 7, 20_000).status(), 202);
     }
     let trial = endpoint.next();
     std::thread::sleep(Duration::from_millis(300));
-    assert!(!endpoint.has_unread_request(), "one call at a time");
+    assert!(!endpoint.has_unread_request(), "one trial call at a time");
     trial.reply(status(200));
     endpoint.next().reply(status(200));
 }
 
-/// Guards an endpoint that drains: the configuration's list is older than what the process before was told.
+/// An endpoint must stay draining although the list in the configuration is older than the one that the previous process had
+/// received.
 #[test]
-fn a_drain_that_was_told_is_known_while_discovery_is_silent() {
-    let (platform, leaves, stays) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
-    let mut listed = [listing("e1", 7, "plain", leaves.address), listing("e2", 7, "plain", stays.address)];
-    let (node, _folder) = start(&platform, &listed, "", |_| {});
-    listed[0]["status"] = json!("leaving");
-    let index = platform.publish(&listed);
-    wait_until(|| show(&node).contains("e1: Draining"));
+fn draining_state_is_restored_before_discovery_answers() {
+    let (platform, draining_endpoint, active_endpoint) =
+        (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
+    let mut entries = [
+        listing("e1", 7, "plain", draining_endpoint.address),
+        listing("e2", 7, "plain", active_endpoint.address),
+    ];
+    let (node, _folder) = start(&platform, &entries, "", |_| {});
+    entries[0]["status"] = json!("leaving");
+    let version = platform.publish(&entries);
+    wait_until(|| show_snapshot(&node).contains("e1: Draining"));
     while platform.watched.try_recv().is_ok() {}
     let node = node.kill_and_restart();
     for n in 0..6 {
         assert_eq!(node.submit(&format!("a{n}"), "order", 7, 20_000).status(), 202);
-        stays.next().reply(status(200));
+        active_endpoint.next().reply(status(200));
     }
-    assert!(!leaves.has_unread_request());
+    assert!(!draining_endpoint.has_unread_request());
     let path = platform.watched.recv_timeout(TIMEOUT).unwrap();
-    assert!(path.contains(&format!("from={index}&")), "{path}: it goes on from the newest that is known");
+    assert!(
+        path.contains(&format!("from={version}&")),
+        "{path}: the watch resumes from the latest known list version"
+    );
 }
 
 #[test]
-fn without_the_table_nothing_is_kept() {
+fn no_snapshot_without_the_setting() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     for id in ["a", "b"] {
@@ -99,35 +111,37 @@
         endpoint.next().reply(status(200));
     }
     assert_eq!(node.length_of("known-"), 0);
-    assert!(show(&node).contains("nothing is known"));
+    assert!(show_snapshot(&node).contains("nothing is known"));
 }
 
-/// Guards what is owed to messages: what is known makes room for it, and comes again when there is some.
+/// The journal has priority on the disk: the snapshot is removed to make room for messages, and is written again when there is
+/// space.
 #[test]
-fn its_room_is_given_back_to_the_journal() {
+fn snapshot_releases_its_space_for_the_journal() {
     let (platform, endpoint) = (Platform::new(), Partner::new(Behavior::Healthy(Duration::ZERO)));
-    let listed: Vec<_> = (7..307).map(|d| listing(&format!("e{d}"), d, "plain", endpoint.address)).collect();
+    let endpoints: Vec<_> =
+        (7..307).map(|d| listing(&format!("e{d}"), d, "plain", endpoint.address)).collect();
     let limit = 64_000;
-    let (node, _folder) = start(&platform, &listed, "size = \"48KiB\"\n", |config| {
+    let (node, _folder) = start(&platform, &endpoints, "size = \"48KiB\"\n", |config| {
         config["limits"]["disk_mb"] = json!(0.064);
         config["settings"]["limits"]["max_open"] = json!(10_000);
     });
     wait_until(|| node.length_of("known-") > 0);
-    let mut taken = 0;
-    let mut gone = false;
+    let mut accepted = 0;
+    let mut snapshot_removed = false;
     for n in 0..300 {
         let answer = node.ask(&submission_with(&format!("m{n}"), "note", 7, 20_000, &[b'x'; 8_000]));
-        taken += usize::from(answer.status() == 202);
+        accepted += usize::from(answer.status() == 202);
         let used: u64 = std::fs::read_dir(node.state())
             .unwrap()
             .filter_map(|file| Some(file.ok()?.metadata().ok()?.len().next_multiple_of(512)))
             .sum();
         assert!(used <= limit, "{used} bytes of {limit}");
-        gone |= node.length_of("known-") == 0;
-        if gone {
+        snapshot_removed |= node.length_of("known-") == 0;
+        if snapshot_removed {
             break;
         }
     }
-    assert!(taken > 3, "{taken} taken on");
-    assert!(gone, "the journal has needed it");
+    assert!(accepted > 3, "{accepted} accepted");
+    assert!(snapshot_removed, "the journal has needed the snapshot's space");
 }
--- a/crates/sender/tests/node/lost_connections.rs
+++ b/crates/sender/tests/node/lost_connections.rs
@@ -1,4 +1,5 @@
-//! Connections that are lost while they stand idle, or one by one under a request, while their endpoint is well.
+//! Connections that are lost while idle, or one at a time during a request, while their endpoint is healthy; and calls that end
+//! without having used the endpoint.
 
 use std::sync::mpsc::channel;
 use std::time::Duration;
@@ -7,87 +8,90 @@
 use serde_json::json;
 use test_doubles::*;
 
-fn hand_in(node: &Node, id: &str, class: &str) {
+fn submit(node: &Node, id: &str, class: &str) {
     assert_eq!(node.submit(id, class, 7, 20_000).status(), 202);
 }
 
-/// Has a message delivered; tells on which connection.
-fn delivered(node: &Node, endpoint: &ScriptedServer, id: &str, class: &str, reply: Reply) -> usize {
-    hand_in(node, id, class);
+/// Submits a message, replies to its call, and returns the number of the connection that carried it.
+fn deliver(node: &Node, endpoint: &ScriptedServer, id: &str, class: &str, reply: Reply) -> usize {
+    submit(node, id, class);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], id);
     let (connection, before) = (call.connection, node.journal_length());
     call.reply(reply);
-    // The answer has been read once the journal has heard of it.
+    // The sender has read the answer once the journal has grown.
     wait_until(|| node.journal_length() > before);
     connection
 }
 
-/// Guards what must not run twice against a kept connection that breaks as soon as something is written to it:
-/// with its last byte gone it would count as one that may have run, and fail.
+/// A kept connection that breaks as soon as something is written to it must not fail a non-idempotent message: if the last byte
+/// of the request had been sent, the call would count as one that may have run.
 #[test]
-fn a_kept_connection_that_breaks_at_the_next_request_fails_no_message() {
+fn kept_connection_that_breaks_on_write_fails_no_message() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    delivered(&node, &endpoint, "a", "order", status(200));
-    let (tell, broken) = channel();
-    let kept = delivered(&node, &endpoint, "b", "order", Reply::ResetOnNextBytes(tell));
-    hand_in(&node, "c", "order");
+    deliver(&node, &endpoint, "a", "order", status(200));
+    let (reset_sender, reset) = channel();
+    let broken_connection = deliver(&node, &endpoint, "b", "order", Reply::ResetOnNextBytes(reset_sender));
+    submit(&node, "c", "order");
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "c");
-    assert_eq!(call.http.body, b"body\0of c", "the whole of it comes");
-    assert_ne!(call.connection, kept);
-    assert!(broken.try_recv().is_ok(), "it was tried on the kept one");
+    assert_eq!(call.http.body, b"body\0of c", "the complete body arrives");
+    assert_ne!(call.connection, broken_connection);
+    assert!(reset.try_recv().is_ok(), "the kept connection was tried first");
     call.reply(status(200));
     assert!(platform.notifications.try_recv().is_err());
 }
 
-/// Guards what must not run twice against kept connections while such are lost: others may still use them.
+/// After a kept connection was lost, non-idempotent messages must not use kept connections; other messages may still use them.
 #[test]
-fn after_a_kept_connection_was_lost_an_unsafe_message_gets_a_new_one() {
+fn non_idempotent_message_uses_new_connection_after_a_lost_one() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    delivered(&node, &endpoint, "a", "note", status(200));
-    let kept = delivered(&node, &endpoint, "b", "note", status(200));
-    hand_in(&node, "c", "note");
+    deliver(&node, &endpoint, "a", "note", status(200));
+    let kept = deliver(&node, &endpoint, "b", "note", status(200));
+    submit(&node, "c", "note");
     let call = endpoint.next();
     assert_eq!(call.connection, kept);
     call.reply(Reply::Close);
-    let again = endpoint.next();
-    assert_eq!(again.http.headers["req-id"], "c", "it is keyed and goes once more");
-    let kept = again.connection;
+    let resent = endpoint.next();
+    assert_eq!(resent.http.headers["req-id"], "c", "it has an idempotency key and is sent again");
+    let kept = resent.connection;
     let before = node.journal_length();
-    again.reply(status(200));
+    resent.reply(status(200));
     wait_until(|| node.journal_length() > before);
-    let fresh = delivered(&node, &endpoint, "d", "order", status(200));
-    assert_ne!(fresh, kept);
-    let next = delivered(&node, &endpoint, "e", "note", status(200));
-    assert_eq!(next, fresh, "the other one made room for it");
+    let new_connection = deliver(&node, &endpoint, "d", "order", status(200));
+    assert_ne!(new_connection, kept);
+    let next_connection = deliver(&node, &endpoint, "e", "note", status(200));
+    assert_eq!(
+        next_connection, new_connection,
+        "the older connection was closed to make room for the new one"
+    );
 }
 
-/// Guards against taking two lost connections for an outage: what comes after it would trickle.
+/// Two lost connections must not be taken for an outage, after which messages would be sent at a reduced rate.
 #[test]
-fn two_lost_connections_are_no_outage() {
+fn two_lost_connections_are_not_an_outage() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
-    let mut listed = listing("e1", 7, "plain", endpoint.address);
-    listed["weight"] = json!(1.0);
-    let node = Node::start(&program(), &platform, &[listed], |_| {});
-    delivered(&node, &endpoint, "a", "note", status(200));
+    let mut entry = listing("e1", 7, "plain", endpoint.address);
+    entry["weight"] = json!(1.0);
+    let node = Node::start(&program(), &platform, &[entry], |_| {});
+    deliver(&node, &endpoint, "a", "note", status(200));
     for id in ["b", "c"] {
-        hand_in(&node, id, "order");
+        submit(&node, id, "order");
     }
     for call in [endpoint.next(), endpoint.next()] {
         call.reply(Reply::Close);
     }
-    let mut ends = Vec::new();
-    while ends.len() < 2 {
-        ends.extend(platform.answer_notification(204));
+    let mut outcomes = Vec::new();
+    while outcomes.len() < 2 {
+        outcomes.extend(platform.answer_notification(204));
     }
-    assert!(ends.iter().all(|end| end["status"] == "undeliverable"), "they may have run");
-    delivered(&node, &endpoint, "d", "note", status(200));
-    // A burst right behind it would pass as what piled up in the outage.
+    assert!(outcomes.iter().all(|outcome| outcome["status"] == "undeliverable"), "the calls may have run");
+    deliver(&node, &endpoint, "d", "note", status(200));
+    // A burst sent right afterwards would pass as the backlog of an outage.
     std::thread::sleep(Duration::from_secs(3));
-    // Held for the ramp after an outage, they would be out of time.
+    // Delayed by the slow start after an outage, these would expire.
     let ids = ["e", "f", "g", "h", "i"];
     for id in ids {
         assert_eq!(node.submit(id, "note", 7, 1500).status(), 202);
@@ -96,25 +100,25 @@
     assert_eq!(calls.map(|call| call.http.headers["req-id"].clone()), ids);
 }
 
-/// Guards against turning an endpoint away for one lost connection: the others would have to do its work.
+/// One lost connection must not take an endpoint out of use: the others would have to do its work.
 #[test]
-fn one_lost_connection_turns_no_endpoint_away() {
-    let (platform, one, other) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
-    let known = [listing("e1", 7, "plain", one.address), listing("e2", 7, "plain", other.address)];
-    let node = Node::start(&program(), &platform, &known, |_| {});
-    let (mut lost, mut again) = (false, false);
-    // Each goes to either with like chances.
+fn endpoint_stays_in_use_after_one_lost_connection() {
+    let (platform, failing, other) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
+    let endpoints = [listing("e1", 7, "plain", failing.address), listing("e2", 7, "plain", other.address)];
+    let node = Node::start(&program(), &platform, &endpoints, |_| {});
+    let (mut was_lost, mut called_again) = (false, false);
+    // Each message goes to either endpoint with equal probability.
     for n in 0..64 {
-        hand_in(&node, &format!("m{n}"), "note");
+        submit(&node, &format!("m{n}"), "note");
         let before = node.journal_length();
         let mut answered = false;
         while !answered {
-            let to_one = one.poll();
-            answered = to_one.is_some() && lost;
-            again |= answered;
-            if let Some(call) = to_one {
-                call.reply(if lost { status(200) } else { Reply::Close });
-                lost = true;
+            let to_failing = failing.poll();
+            answered = to_failing.is_some() && was_lost;
+            called_again |= answered;
+            if let Some(call) = to_failing {
+                call.reply(if was_lost { status(200) } else { Reply::Close });
+                was_lost = true;
             }
             if let Some(call) = other.poll() {
                 call.reply(status(200));
@@ -123,39 +127,45 @@
             std::thread::yield_now();
         }
         wait_until(|| node.journal_length() > before);
-        if again {
+        if called_again {
             return;
         }
     }
-    panic!("nothing goes there any more, lost: {lost}");
+    panic!("the endpoint got no further call; connection lost: {was_lost}");
 }
 
-/// Hands in so many notes, of which the first is turned away once: what comes next goes at the least pace,
-/// a call in 2 s, and one call at a time until one is accepted.
-fn turned_away(node: &Node, endpoint: &ScriptedServer, ids: &[&str], within_ms: u32) -> PendingRequest {
+/// Submits these idempotent messages, of which the first is rejected once, and returns its second call. After that the endpoint
+/// is called at the minimum send rate, one call per 2 s, and one call at a time until one is accepted.
+fn submit_with_one_rejection(
+    node: &Node,
+    endpoint: &ScriptedServer,
+    ids: &[&str],
+    within_ms: u32,
+) -> PendingRequest {
     assert_eq!(node.submit(ids[0], "note", 7, within_ms).status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], ids[0]);
     let before = node.journal_length();
     call.reply(status(503));
-    // The refusal has been read once the journal has heard of it.
+    // The sender has read the rejection once the journal has grown.
     wait_until(|| node.journal_length() > before);
     for id in &ids[1..] {
         assert_eq!(node.submit(id, "note", 7, within_ms).status(), 202);
     }
-    let again = endpoint.next();
-    assert_eq!(again.http.headers["req-id"], ids[0]);
-    again
+    let resent = endpoint.next();
+    assert_eq!(resent.http.headers["req-id"], ids[0]);
+    resent
 }
 
-/// Guards the pace where messages are over before they go: a call that was not sent there used up nothing.
+/// A call answered with 410 was not forwarded to the endpoint, because its message was over by then: it must not count against
+/// the send rate.
 #[test]
-fn a_call_for_a_message_that_is_over_costs_no_pace() {
+fn call_answered_with_410_does_not_count_against_the_send_rate() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    // At a call in 2 s, most of these would be out of time.
+    // At one call per 2 s most of these would expire.
     let ids = ["a", "b", "c", "d", "e"];
-    turned_away(&node, &endpoint, &ids, 5000).reply(status(410));
+    submit_with_one_rejection(&node, &endpoint, &ids, 5000).reply(status(410));
     for id in &ids[1..] {
         let call = endpoint.next();
         assert_eq!(call.http.headers["req-id"], *id);
@@ -164,44 +174,48 @@
     assert!(platform.notifications.try_recv().is_err());
 }
 
-/// Guards messages that are still waited for against those that nobody waits for any more, where a destination
-/// is behind: how old these get is learnt from a call that comes too late.
+/// When a destination has a backlog, messages that somebody still waits for must go before those that nobody waits for any more.
+/// The age at which messages are abandoned is learnt from a call that comes too late (410).
 #[test]
-fn messages_as_old_as_one_that_was_given_up_go_last() {
+fn messages_of_the_age_of_an_abandoned_one_go_last() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
-    let over = turned_away(&node, &endpoint, &["a", "old"], 24_000);
+    let abandoned = submit_with_one_rejection(&node, &endpoint, &["a", "old"], 24_000);
     assert_eq!(node.submit("new", "note", 7, 24_000).status(), 202);
-    // The older one gets past the age at which the first was sent; aims are at 4 s, and neither has passed its own.
+    // The older one exceeds the age at which the first was sent. Latency objectives are 4 s; neither has exceeded its own.
     std::thread::sleep(Duration::from_millis(500));
-    over.reply(status(410));
+    abandoned.reply(status(410));
     let next = endpoint.next();
     assert_eq!(next.http.headers["req-id"], "new");
     next.reply(status(200));
     assert_eq!(endpoint.next().http.headers["req-id"], "old");
 }
 
-/// Guards the slots and a message's time against single calls that hang at an endpoint that is well.
+/// A single call that hangs at a healthy endpoint must not occupy its slot, nor use up the time of its message, until the
+/// latency objective (4 s) has passed.
 #[test]
-fn a_call_that_hangs_where_others_are_answered_is_called_off_long_before_the_aim() {
+fn hanging_idempotent_call_is_cancelled_before_the_latency_objective() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     for id in ["a", "b"] {
-        delivered(&node, &endpoint, id, "note", status(200));
+        deliver(&node, &endpoint, id, "note", status(200));
     }
-    hand_in(&node, "c", "note");
-    let hangs = endpoint.next();
-    let since = std::time::Instant::now();
-    let again = endpoint.next();
-    assert_eq!(again.http.headers["req-id"], "c");
-    assert!(hangs.closed.recv_timeout(TIMEOUT).is_ok(), "never two at once");
-    assert!(since.elapsed() < Duration::from_secs(3), "the aim is four seconds");
-    again.reply(status(200));
-    // What must not be repeated is waited for.
-    hand_in(&node, "d", "order");
-    let waited_for = endpoint.next();
+    submit(&node, "c", "note");
+    let hanging = endpoint.next();
+    let called_at = std::time::Instant::now();
+    let resent = endpoint.next();
+    assert_eq!(resent.http.headers["req-id"], "c");
+    assert!(
+        hanging.closed.recv_timeout(TIMEOUT).is_ok(),
+        "the first call is cancelled before the second one is made"
+    );
+    assert!(called_at.elapsed() < Duration::from_secs(3), "long before the latency objective of 4 s");
+    resent.reply(status(200));
+    // A call of a non-idempotent message is not cancelled.
+    submit(&node, "d", "order");
+    let not_repeatable = endpoint.next();
     std::thread::sleep(Duration::from_secs(2));
-    assert!(waited_for.closed.try_recv().is_err());
-    waited_for.reply(status(200));
+    assert!(not_repeatable.closed.try_recv().is_err());
+    not_repeatable.reply(status(200));
     assert!(!endpoint.has_unread_request() && platform.notifications.try_recv().is_err());
 }
--- a/crates/sender/tests/node/main.rs
+++ b/crates/sender/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! The real program over loopback sockets: each promise, and each failure found, in small.
+//! Integration tests that run the real program over loopback sockets, against test doubles of the platform and of endpoints.
 
 mod admin;
 mod client_connections;
@@ -25,14 +25,14 @@
     Program::new(env!("CARGO_BIN_EXE_myrtleyard"))
 }
 
-/// The messages of a batch, by id.
-fn ids(asked: &PendingRequest) -> Vec<String> {
-    let parts = asked.http.json();
+/// Returns the ids of the messages of a batch call.
+fn batch_ids(batch: &PendingRequest) -> Vec<String> {
+    let parts = batch.http.json();
     parts.as_array().unwrap().iter().map(|p| p["id"].as_str().unwrap().to_owned()).collect()
 }
 
 #[test]
-fn a_message_goes_on_unchanged_and_connections_are_reused() {
+fn forwards_messages_unchanged_over_reused_connections() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let ready = node.ask(b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
@@ -50,51 +50,56 @@
         connections.push(call.connection);
         let before = node.journal_length();
         call.reply(status(200));
-        // The answer has been read once the journal has heard of it.
+        // The sender has read the answer once the journal has grown.
         wait_until(|| node.journal_length() > before);
     }
-    // The module has the first closed: it can't tell yet that this endpoint is called often.
+    // The decision module closes the first connection: it does not know yet that this endpoint is called often.
     assert_eq!(connections[1], connections[2]);
 }
 
-/// Guards against a restart that forgets, repeats an effect, or waits for somebody to hand in again.
+/// A restart after SIGKILL must not lose a message, must not run a non-idempotent one twice, and must deliver what is pending
+/// without waiting for a client to submit it again.
 #[test]
-fn what_was_taken_on_outlasts_a_kill() {
-    let (platform, seven, eight) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
-    let known = [
-        listing("e1", 7, "plain", seven.address),
-        listing("e2", 8, "plain", eight.address),
+fn pending_messages_survive_a_kill() {
+    let (platform, endpoint_7, endpoint_8) = (Platform::new(), ScriptedServer::new(), ScriptedServer::new());
+    let endpoints = [
+        listing("e1", 7, "plain", endpoint_7.address),
+        listing("e2", 8, "plain", endpoint_8.address),
         draining("e0", 9),
     ];
-    let node = Node::start(&program(), &platform, &known, |_| {});
+    let node = Node::start(&program(), &platform, &endpoints, |_| {});
     assert_eq!(node.submit("unsafe", "order", 7, 20_000).status(), 202);
-    let unsafe_call = seven.next();
+    let non_idempotent_call = endpoint_7.next();
     assert_eq!(node.submit("keyed", "note", 8, 20_000).status(), 202);
-    let keyed_call = eight.next();
-    assert_eq!(node.submit("held", "order", 9, 20_000).status(), 202, "no endpoint of it takes anything yet");
+    let idempotent_call = endpoint_8.next();
+    assert_eq!(
+        node.submit("held", "order", 9, 20_000).status(),
+        202,
+        "accepted while its only endpoint is draining"
+    );
     let node = node.kill_and_restart();
     assert_eq!(platform.answer_notification(204), [json!({"id": "unsafe", "status": "undeliverable"})]);
-    let again = eight.next();
-    assert_eq!(again.http.headers["req-id"], "keyed");
-    assert_eq!(again.http.headers["idempotency-key"], "key-keyed");
-    assert_eq!(again.http.body, keyed_call.http.body);
-    again.reply(status(200));
-    let nine = ScriptedServer::new();
-    platform.publish(&[listing("e3", 9, "plain", nine.address)]);
-    let held = nine.next();
-    assert_eq!(held.http.headers["req-id"], "held");
-    assert_eq!(held.http.body, b"body\0of held");
-    held.reply(status(200));
-    drop(unsafe_call);
+    let resent = endpoint_8.next();
+    assert_eq!(resent.http.headers["req-id"], "keyed");
+    assert_eq!(resent.http.headers["idempotency-key"], "key-keyed");
+    assert_eq!(resent.http.body, idempotent_call.http.body);
+    resent.reply(status(200));
+    let endpoint_9 = ScriptedServer::new();
+    platform.publish(&[listing("e3", 9, "plain", endpoint_9.address)]);
+    let recovered = endpoint_9.next();
+    assert_eq!(recovered.http.headers["req-id"], "held");
+    assert_eq!(recovered.http.body, b"body\0of held");
+    recovered.reply(status(200));
+    drop(non_idempotent_call);
     drop(node);
-    assert!(!seven.has_unread_request(), "the unsafe message is not sent again");
+    assert!(!endpoint_7.has_unread_request(), "the non-idempotent message is not sent again");
 }
 
-/// Guards against a resend outside the time for which the destination remembers the key.
+/// A message with an idempotency key must not be resent after the time for which the destination remembers the key.
 #[test]
-fn a_keyed_message_whose_window_is_over_is_not_resent_after_a_kill() {
+fn idempotent_message_is_not_resent_after_its_dedup_window() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
-    // The window is shorter than the margin that the module keeps for the way there.
+    // The window is shorter than the margin that the decision module reserves for the way to the destination.
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |config| {
         config["settings"]["classes"][0]["dedup_window_us"] = json!(1);
     });
@@ -106,9 +111,9 @@
     assert!(!endpoint.has_unread_request());
 }
 
-/// Guards against a notice that is lost with the platform's answer, or with the process.
+/// A notification must not be lost when the platform answers with an error (500, 503) or when the process is killed.
 #[test]
-fn a_notice_is_sent_until_the_platform_has_it() {
+fn repeats_notification_until_the_platform_acknowledges_it() {
     let platform = Platform::new();
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     assert_eq!(node.submit("a", "order", 7, 1000).status(), 202);
@@ -120,9 +125,10 @@
     drop(node);
 }
 
-/// Guards against telling a call that may have run from one that can't have.
+/// A connection that is closed without an answer, an unreadable answer, a 500 and an unknown status (299) do not prove that the
+/// call did not run: a non-idempotent message must not be sent again.
 #[test]
-fn an_answer_that_never_came_may_have_run() {
+fn call_without_conclusive_answer_may_have_run() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let replies = [Reply::Close, Reply::Bytes(b"\x00\xff what?\r\n\r\n"), status(500), status(299)];
@@ -136,9 +142,9 @@
     }
 }
 
-/// An unsafe message is sent again after each answer that proves that it never ran.
+/// A non-idempotent message is sent again after each answer that proves that it never ran: 503, 504, and 429 with Retry-After.
 #[test]
-fn a_call_that_was_turned_away_is_made_again() {
+fn rejected_call_is_retried() {
     for reply in
         [status(503), status(504), Reply::Answer(429, vec![("retry-after", "0.05".into())], "".into())]
     {
@@ -146,10 +152,10 @@
         let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
         assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
         endpoint.next().reply(reply);
-        let again = endpoint.next();
-        assert_eq!(again.http.headers["req-id"], "a");
-        again.reply(status(200));
-        // 410: over, and nothing more is owed.
+        let resent = endpoint.next();
+        assert_eq!(resent.http.headers["req-id"], "a");
+        resent.reply(status(200));
+        // 410 ends the message: it is not sent again and no notification follows.
         assert_eq!(node.submit("b", "order", 7, 20_000).status(), 202);
         endpoint.next().reply(status(410));
         assert_eq!(node.submit("c", "order", 7, 20_000).status(), 202);
@@ -157,20 +163,20 @@
     }
 }
 
-/// Guards against a second copy while the first may still be read: the connection is closed at the time-out.
+/// The connection is closed at the timeout of a call, so that no second copy is sent while the first may still be read.
 #[test]
-fn a_time_out_closes_the_connection() {
+fn call_timeout_closes_the_connection() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.submit("a", "order", 7, 1500).status(), 202);
     let call = endpoint.next();
-    call.closed.recv_timeout(TIMEOUT).expect("the connection ends");
+    call.closed.recv_timeout(TIMEOUT).expect("the sender closes the connection");
     assert_eq!(platform.answer_notification(204), [json!({"id": "a", "status": "undeliverable"})]);
 }
 
-/// What waits for one endpoint goes as one call, whose messages may end apart.
+/// Messages that wait for the same endpoint are sent in one call, and each message has an outcome of its own.
 #[test]
-fn a_turns_messages_to_one_endpoint_travel_together() {
+fn batches_messages_to_the_same_endpoint() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |_| {});
     for id in ["a", "b", "c", "d", "e"] {
@@ -180,31 +186,31 @@
     platform.publish(&[listing("e1", 7, "bulk", endpoint.address)]);
     let batch = endpoint.next();
     assert_eq!(batch.http.first, "POST /v1/messages:batch HTTP/1.1");
-    assert_eq!(ids(&batch), ["a", "b", "c", "d", "e"]);
+    assert_eq!(batch_ids(&batch), ["a", "b", "c", "d", "e"]);
     let parts = batch.http.json();
     assert_eq!(parts[0]["key"], "key-a");
     assert_eq!(parts[2].get("key"), None);
     assert_eq!(STANDARD.decode(parts[2]["body"].as_str().unwrap()).unwrap(), b"body\0of c");
-    let ends = [("a", "ok"), ("b", "later"), ("c", "error"), ("d", "gone")];
-    let ends: Vec<_> = ends.iter().map(|(id, state)| json!({"id": id, "state": state})).collect();
-    batch.reply(Reply::Answer(200, vec![], json!(ends).to_string()));
+    let outcomes = [("a", "ok"), ("b", "later"), ("c", "error"), ("d", "gone")];
+    let outcomes: Vec<_> = outcomes.iter().map(|(id, state)| json!({"id": id, "state": state})).collect();
+    batch.reply(Reply::Answer(200, vec![], json!(outcomes).to_string()));
     assert_eq!(platform.answer_notification(204), [json!({"id": "c", "status": "undeliverable"})]);
-    // Turned away, and not told of: both go again, together or one by one.
-    let mut again = BTreeSet::new();
-    while again.len() < 2 {
+    // One was rejected and one is missing from the answer: both are sent again, together or separately.
+    let mut resent = BTreeSet::new();
+    while resent.len() < 2 {
         let call = endpoint.next();
-        let single = call.http.headers.get("req-id").cloned();
-        let ids = single.map_or_else(|| ids(&call), |id| vec![id]);
-        let ends: Vec<_> = ids.iter().map(|id| json!({"id": id, "state": "ok"})).collect();
-        call.reply(Reply::Answer(200, vec![], json!(ends).to_string()));
-        again.extend(ids);
+        let single_id = call.http.headers.get("req-id").cloned();
+        let ids = single_id.map_or_else(|| batch_ids(&call), |id| vec![id]);
+        let outcomes: Vec<_> = ids.iter().map(|id| json!({"id": id, "state": "ok"})).collect();
+        call.reply(Reply::Answer(200, vec![], json!(outcomes).to_string()));
+        resent.extend(ids);
     }
-    assert_eq!(again, BTreeSet::from(["b".to_owned(), "e".to_owned()]));
+    assert_eq!(resent, BTreeSet::from(["b".to_owned(), "e".to_owned()]));
 }
 
-/// A process that is asked to end answers, delivers what it can, leaves nothing behind and goes.
+/// On SIGTERM the process answers its clients, delivers its pending messages and exits with none left.
 #[test]
-fn a_terminated_process_finishes_what_it_has() {
+fn sigterm_completes_pending_messages_before_exit() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let mut node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let mut idle = Client::new(&node);
@@ -226,7 +232,7 @@
 }
 
 #[test]
-fn strange_requests_are_told_off_and_do_no_harm() {
+fn rejects_invalid_requests_and_keeps_serving() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let good = String::from_utf8(submission("a", "order", 7, 1000)).unwrap();
@@ -248,14 +254,14 @@
         assert_eq!(node.ask(good.replace(from, to).as_bytes()).status(), 400, "{to}");
     }
     let long = good.replace("Content-Length: 9", &format!("Content-Length: {}", (64 << 10) + 1));
-    assert_eq!(node.ask(long.as_bytes()).status(), 413, "by its length, before its body");
+    assert_eq!(node.ask(long.as_bytes()).status(), 413, "rejected by its length, before its body is sent");
     assert_eq!(node.ask(b"\x01\x02\x03\r\n\r\n").status(), 400);
     assert_eq!(node.submit("fine", "order", 7, 20_000).status(), 202);
     assert_eq!(endpoint.next().http.headers["req-id"], "fine");
 }
 
 #[test]
-fn a_bad_configuration_ends_in_one_line() {
+fn invalid_configuration_fails_with_one_line() {
     let folder = tempfile::tempdir().unwrap();
     for text in [None, Some("{"), Some("{\"name\": 3}"), Some("[]")] {
         if let Some(text) = text {
@@ -263,48 +269,48 @@
         }
         let output = program().command(folder.path()).output().unwrap();
         assert!(!output.status.success());
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.starts_with("myrtleyard: "), "{said}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
+        assert!(stderr.starts_with("myrtleyard: "), "{stderr}");
     }
 }
 
-/// Guards the room on the disk: what can't be kept is refused, and room comes back as messages end.
+/// Messages that do not fit within the disk limit are rejected with 503, and accepted again once others have ended.
 #[test]
-fn messages_beyond_the_room_on_the_disk_are_refused() {
+fn rejects_messages_beyond_the_disk_limit() {
     let platform = Platform::new();
     let node = Node::start(&program(), &platform, &[draining("e0", 7)], |config| {
         config["limits"]["disk_mb"] = json!(0.02)
     });
-    let mut taken = 0;
+    let mut accepted = 0;
     let refused = loop {
-        let answer = node.submit(&format!("m{taken}"), "order", 7, 20_000);
+        let answer = node.submit(&format!("m{accepted}"), "order", 7, 20_000);
         if answer.status() != 202 {
             break answer;
         }
-        taken += 1;
-        assert!(taken < 1000);
+        accepted += 1;
+        assert!(accepted < 1000);
     };
-    assert!(taken > 0);
+    assert!(accepted > 0);
     assert_eq!(refused.status(), 503);
     assert_eq!(refused.headers["retry-after"], "1.000");
     assert!(node.journal_length() <= 20_000);
     let endpoint = ScriptedServer::new();
     platform.publish(&[listing("e1", 7, "plain", endpoint.address)]);
     endpoint.next().reply(status(200));
-    // The answer is on its way to the journal: there is room once it has got there.
+    // The space is released once the outcome has been written to the journal.
     wait_until(|| node.submit("again", "order", 7, 20_000).status() == 202);
 }
 
-/// Guards the promise of a 202: what the journal can't hold is neither taken on nor sent, and does not spoil
-/// what it can.
+/// A 202 promises that the message is stored: one that the journal can't write is rejected and not sent, and does not affect
+/// those that it can write.
 #[test]
-fn a_journal_that_cannot_be_written_takes_nothing_on() {
+fn rejects_messages_that_the_journal_cannot_store() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node =
         Node::start_with_file_limit(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)]);
-    let small = String::from_utf8(submission("big", "order", 7, 20_000)).unwrap();
-    let (head, _) = small.split_once("Content-Length").unwrap();
+    let request = String::from_utf8(submission("big", "order", 7, 20_000)).unwrap();
+    let (head, _) = request.split_once("Content-Length").unwrap();
     let big = format!("{head}Content-Length: 4000\r\n\r\n{}", "x".repeat(4000));
     let refused = node.ask(big.as_bytes());
     assert_eq!(refused.status(), 503);
@@ -318,19 +324,20 @@
     assert!(!endpoint.has_unread_request());
 }
 
-/// A list of some megabytes, whole and again without most of it: read, and taken in while messages go on.
+/// An endpoint list of 20,000 entries (some megabytes), and then one without most of them, are processed while messages are
+/// delivered.
 #[test]
-fn a_list_of_twenty_thousand_is_taken_in() {
+fn processes_endpoint_list_of_20_000_entries() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[], |_| {});
     let entry = |dest: u16| listing(&format!("e{dest}"), dest, "plain", endpoint.address);
     let all: Vec<_> = (0..20_000).map(entry).collect();
     platform.publish(&all);
-    // Refused until a list names it, which is at its very end.
+    // Rejected until the destination is listed; its entry is the last one of the list.
     wait_until(|| node.submit("last", "note", 19_999, 20_000).status() == 202);
     endpoint.next().reply(status(200));
     platform.publish(&all[..10]);
-    // What is taken away is told last: what came new in the list after that one shows that it is done with.
+    // Removed entries are processed last: a new entry of the following list shows that the removals are complete.
     for (n, dest) in [20_001, 20_002].into_iter().enumerate() {
         platform.publish(&[&all[..10], &[listing("new", dest, "plain", endpoint.address)]].concat());
         wait_until(|| node.submit(&format!("new{n}"), "note", dest, 20_000).status() == 202);
--- a/crates/sender/tests/node/malformed_requests.rs
+++ b/crates/sender/tests/node/malformed_requests.rs
@@ -1,4 +1,4 @@
-//! What can't be meant as a message: told so, with nothing taken on, and no other request harmed.
+//! Malformed and invalid requests: each is answered with an error, nothing is accepted, and no other request is affected.
 
 use test_doubles::*;
 
@@ -6,70 +6,78 @@
 
 const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
 
-/// A request with that much changed.
-fn changed(from: &str, to: &str) -> Vec<u8> {
+/// Returns a valid submission in which the first occurrence of `from` is replaced by `to`.
+fn submission_with_replaced(from: &str, to: &str) -> Vec<u8> {
     let text = String::from_utf8(submission("bad", "order", 7, 20_000)).unwrap();
     assert!(text.contains(from), "{from}");
     text.replacen(from, to, 1).into_bytes()
 }
 
-/// Guards what is taken on against what nobody can have meant. Each comes behind a good request on its connection, which is
-/// answered; the next connection is as good as ever.
+/// A malformed request must not be accepted as a message. Each follows a valid request on the same connection, which is still
+/// answered, and the next connection works as before.
 #[test]
-fn what_is_no_message_is_told_so_and_leaves_nothing_behind() {
+fn rejects_malformed_requests_without_side_effects() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     let cases: Vec<(&str, Vec<u8>, u16)> = vec![
-        ("no HTTP", b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 hello\r\n\r\n".to_vec(), 400),
+        ("not HTTP", b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03 hello\r\n\r\n".to_vec(), 400),
         ("no version", b"POST /order\r\n\r\n".to_vec(), 400),
-        ("another method", changed("POST ", "PUT "), 404),
-        ("an unknown class", changed("POST /order", "POST /other"), 400),
-        ("two classes", changed("Req-Kind: order", "Req-Kind: note"), 400),
-        ("no id", changed("Req-Id: bad\r\n", ""), 400),
-        ("an empty id", changed("Req-Id: bad", "Req-Id:  "), 400),
-        ("no destination", changed("dest=7", "from=7"), 400),
-        ("a destination that is no number", changed("dest=7", "dest=+7"), 400),
-        ("a destination over all numbers", changed("dest=7", "dest=70000"), 400),
-        ("no deadline", changed("Req-Deadline-Ms: 20000\r\n", ""), 400),
-        ("a deadline that is no number", changed("20000", "2e4"), 400),
-        ("a deadline beyond its class's", changed("20000", "24002"), 400),
-        ("a deadline that is past", changed("20000", "0"), 503),
-        ("a length that is no number", changed("Content-Length: 11", "Content-Length: 1x"), 400),
-        ("two lengths", changed("Content-Length: 11", "Content-Length: 11\r\nContent-Length: 12"), 400),
-        ("a body that is longer than may be", changed("Content-Length: 11", "Content-Length: 65537"), 413),
-        ("a body that is shorter than told", changed("Content-Length: 11", "Content-Length: 12"), 400),
-        ("chunks", changed("Content-Length: 11", "Transfer-Encoding: chunked"), 400),
+        ("unsupported method", submission_with_replaced("POST ", "PUT "), 404),
+        ("unknown class", submission_with_replaced("POST /order", "POST /other"), 400),
+        ("conflicting classes", submission_with_replaced("Req-Kind: order", "Req-Kind: note"), 400),
+        ("missing id", submission_with_replaced("Req-Id: bad\r\n", ""), 400),
+        ("empty id", submission_with_replaced("Req-Id: bad", "Req-Id:  "), 400),
+        ("missing destination", submission_with_replaced("dest=7", "from=7"), 400),
+        ("malformed destination", submission_with_replaced("dest=7", "dest=+7"), 400),
+        ("destination out of range", submission_with_replaced("dest=7", "dest=70000"), 400),
+        ("missing deadline", submission_with_replaced("Req-Deadline-Ms: 20000\r\n", ""), 400),
+        ("malformed deadline", submission_with_replaced("20000", "2e4"), 400),
+        ("deadline beyond the limit of its class", submission_with_replaced("20000", "24002"), 400),
+        ("expired deadline", submission_with_replaced("20000", "0"), 503),
+        ("malformed length", submission_with_replaced("Content-Length: 11", "Content-Length: 1x"), 400),
+        (
+            "conflicting lengths",
+            submission_with_replaced("Content-Length: 11", "Content-Length: 11\r\nContent-Length: 12"),
+            400,
+        ),
+        ("body too large", submission_with_replaced("Content-Length: 11", "Content-Length: 65537"), 413),
+        (
+            "body shorter than declared",
+            submission_with_replaced("Content-Length: 11", "Content-Length: 12"),
+            400,
+        ),
+        ("chunked body", submission_with_replaced("Content-Length: 11", "Transfer-Encoding: chunked"), 400),
     ];
     let before = node.journal_length();
-    for (what, text, status) in cases {
+    for (case, request, status) in cases {
         let mut client = Client::new(&node);
-        assert_eq!(client.ask(READY).status(), 200, "{what}: a good one before it");
-        client.write(&text);
-        let answer = client.answer().unwrap_or_else(|| panic!("{what}: no answer"));
-        assert_eq!(answer.status(), status, "{what}");
+        assert_eq!(client.ask(READY).status(), 200, "{case}: the valid request before it");
+        client.write(&request);
+        let answer = client.answer().unwrap_or_else(|| panic!("{case}: no answer"));
+        assert_eq!(answer.status(), status, "{case}");
     }
-    // A head that is cut, and a body that is: nobody is there to be told.
+    // A truncated head and a truncated body: the client is gone, so there is nobody to answer.
     for cut in [20, submission("bad", "order", 7, 20_000).len() - 1] {
         let mut client = Client::new(&node);
         assert_eq!(client.ask(READY).status(), 200);
         client.write(&submission("bad", "order", 7, 20_000)[..cut]);
     }
-    assert_eq!(node.journal_length(), before, "nothing was taken on");
-    // What is longer than told is another request, and none: the first one holds.
-    let mut longer = submission("longer", "note", 7, 20_000);
-    longer.extend(b"and more\r\n\r\n");
+    assert_eq!(node.journal_length(), before, "nothing was accepted");
+    // The bytes beyond the declared length are read as a further request, which is malformed: the first one stays accepted.
+    let mut request_with_excess = submission("longer", "note", 7, 20_000);
+    request_with_excess.extend(b"and more\r\n\r\n");
     let mut client = Client::new(&node);
-    client.write(&longer);
+    client.write(&request_with_excess);
     assert_eq!(client.answer().unwrap().status(), 202);
     let call = endpoint.next();
     assert_eq!(call.http.headers["req-id"], "longer");
     call.reply(status(200));
-    assert!(!endpoint.has_unread_request(), "nothing else went on");
+    assert!(!endpoint.has_unread_request(), "nothing else was forwarded");
 }
 
-/// An id that is held already is the same message: one call, and both are told that it is taken on.
+/// A second submission with the id of a pending message is the same message: both get 202, and there is one call.
 #[test]
-fn an_id_that_comes_twice_is_one_message() {
+fn duplicate_id_is_one_message() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
     let node = Node::start(&program(), &platform, &[listing("e1", 7, "plain", endpoint.address)], |_| {});
     assert_eq!(node.submit("a", "order", 7, 20_000).status(), 202);
