--- a/crates/loadtest/src/cores.rs
+++ b/crates/loadtest/src/cores.rs
@@ -1,5 +1,5 @@
-//! One sender on one, two, four and eight cores, beside a bare proxy on as many: messages a second, answer times under an
-//! open loop, and what partners counted of their terms.
+//! Measures one sender on one, two, four and eight cores, compared with a bare proxy on the same number: messages per second,
+//! response times under an open-loop load, and breaches of `Retry-After` waits and rate limits that partners counted.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -12,43 +12,51 @@
     Behavior, Client, Node, Partner, PartnerLimits, Platform, Violation, listing, submission_with, wait_until,
 };
 
-use crate::scenario::{Options, Scenario, program};
+use crate::scenario::{Options, Scenario, sender_program};
 use crate::throughput::{cpu, proxy};
 
-/// The scenario.
+/// Scenario `cores`: scaling of one sender with its cores.
 pub const SCENARIO: Scenario = Scenario {
     name: "cores",
-    about: "one sender on 1, 2, 4 and 8 cores: speed, answer times, and waits, limits and slots as partners counted",
+    about: "one sender on 1, 2, 4 and 8 cores: throughput, response times, and breaches of waits, limits and slots",
     run,
 };
 
+/// Number of partners.
 const PARTNERS: u16 = 32;
+/// Number of clients.
 const CLIENTS: u64 = 384;
-/// Of the short form: so few, and so little at partners with terms, that a slow machine keeps up.
-const FEW_CLIENTS: u64 = 32;
+/// Number of clients in the short form, low enough for a slow machine.
+const SHORT_CLIENTS: u64 = 32;
+/// Messages per second to partners with terms in the short form, low enough for a slow machine.
 const SHORT_RATE: f64 = 200.0;
+/// `WAIT` in the short form.
 const SHORT_WAIT: (u64, Duration) = (5, Duration::from_millis(800));
-/// Breaches that are shown.
-const SHOWN: usize = 20;
+/// Number of breaches that are printed.
+const MAX_PRINTED_BREACHES: usize = 20;
+/// Calls that the sender may have in flight.
 const SLOTS: usize = 1_024;
-const BODY: usize = 330;
-/// Share of what a row can do at which its answer times are measured.
-const SHARE: f64 = 0.6;
-/// Partners with terms: every other one tells a wait each so many calls, every fourth has a limit of so many in two seconds,
-/// which is less than what comes for it.
+/// Size of a message body, in bytes.
+const BODY_BYTES: usize = 330;
+/// Load at which response times are measured, as a fraction of the highest throughput of the same row.
+const LATENCY_LOAD: f64 = 0.6;
+/// Every other partner with terms answers each n-th call with a `Retry-After` of this duration.
 const WAIT: (u64, Duration) = (40, Duration::from_millis(800));
+/// Every fourth partner with terms has this limit of calls in two seconds, which is less than the load for it.
 const LIMIT: u32 = 40;
-/// Messages a second while terms are counted, and senders that are said to share the partners.
+/// Messages per second to partners with terms.
 const TERMS_RATE: f64 = 3_000.0;
+/// Number of senders that share the partners with terms, according to the configuration.
 const SENDERS: u32 = 4;
-/// Aims: so many times one core's messages a second.
-const AIMS: [(usize, f64); 2] = [(2, 1.8), (4, 3.2)];
+/// Targets: number of cores, and the throughput on them as a multiple of that of one core.
+const SPEEDUP_TARGETS: [(usize, f64); 2] = [(2, 1.8), (4, 3.2)];
 
-/// Which partner a message goes to.
+/// Distribution of messages over partners.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Traffic {
+    /// Each partner gets the same share.
     Uniform,
-    /// The first gets a quarter, each further one less.
+    /// The first partner gets a quarter of the messages, each further one less.
     HeavyTail,
 }
 
@@ -62,7 +70,7 @@
         weights.iter().map(|weight| weight / sum).collect()
     }
 
-    /// The destinations of so many messages.
+    /// Draws a table of 4096 destinations.
     fn table(self, rng: &mut fastrand::Rng) -> Vec<u16> {
         let weights = self.weights();
         let draw = |mut at: f64| {
@@ -76,52 +84,52 @@
     }
 }
 
-/// What a span of load came to.
-struct Came {
-    taken: u64,
+/// Result of one load run.
+struct LoadResult {
+    accepted: u64,
     delivered: u64,
-    refused: u64,
+    rejected: u64,
     seconds: f64,
     cpu: Duration,
-    answers: Histogram<u64>,
+    response_times: Histogram<u64>,
 }
 
-impl Came {
+impl LoadResult {
     fn rate(&self) -> f64 {
         self.delivered as f64 / self.seconds
     }
 
-    fn each(&self) -> f64 {
+    fn cpu_per_message_us(&self) -> f64 {
         self.cpu.as_secs_f64() * 1e6 / self.delivered.max(1) as f64
     }
 
-    fn at(&self, share: f64) -> f64 {
-        self.answers.value_at_quantile(share) as f64 / 1e3
+    fn quantile_ms(&self, share: f64) -> f64 {
+        self.response_times.value_at_quantile(share) as f64 / 1e3
     }
 }
 
-/// Clients for so long; each hands in one message after the other, or at moments of its own at so many a second together.
-/// Answer times count from the moment that was meant, so that a client which has to wait does not hide it.
+/// Runs clients for a time. Each submits messages one after the other, or, with a rate for all clients together, at random times.
+/// Response times count from the scheduled time, so that a delayed client does not hide the delay (coordinated omission).
 fn load(
     (address, pid, prefix): (SocketAddr, u32, &str),
     partners: &[Partner],
     table: &[u16],
     (clients, rate): (u64, Option<f64>),
     time: Duration,
-) -> Came {
+) -> LoadResult {
     let delivered = || partners.iter().map(Partner::answered).sum::<u64>();
-    let (taken, refused) = (AtomicU64::new(0), AtomicU64::new(0));
-    let answers = Mutex::new(Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds"));
-    let warm = time / 4;
+    let (accepted, rejected) = (AtomicU64::new(0), AtomicU64::new(0));
+    let response_times = Mutex::new(Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds"));
+    let warm_up = time / 4;
     let start = Instant::now();
-    let end = start + warm + time;
+    let end = start + warm_up + time;
     let (seconds, delivered, cpu) = std::thread::scope(|scope| {
         for client in 0..clients {
-            let (taken, refused, answers) = (&taken, &refused, &answers);
+            let (accepted, rejected, response_times) = (&accepted, &rejected, &response_times);
             scope.spawn(move || {
                 let Ok(mut connection) = Client::connect(address, Duration::from_secs(5)) else { return };
                 let mut rng = fastrand::Rng::with_seed(client);
-                let mut own = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
+                let mut client_times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds");
                 let mean = rate.map_or(0.0, |rate| clients as f64 / rate);
                 let mut due = start + Duration::from_secs_f64(mean * rng.f64());
                 for n in 0u64.. {
@@ -135,29 +143,29 @@
                     }
                     let dest = table[((client * 97 + n) % table.len() as u64) as usize];
                     let id = format!("{prefix}-{client}-{n}");
-                    connection.write(&submission_with(&id, "order", dest, 20_000, &[b'x'; BODY]));
+                    connection.write(&submission_with(&id, "order", dest, 20_000, &[b'x'; BODY_BYTES]));
                     let Some(answer) = connection.answer() else { break };
-                    if due >= start + warm {
-                        let count = if answer.status() == 202 { taken } else { refused };
+                    if due >= start + warm_up {
+                        let count = if answer.status() == 202 { accepted } else { rejected };
                         count.fetch_add(1, Ordering::Relaxed);
-                        let _ = own.record((due.elapsed().as_micros() as u64).max(1));
+                        let _ = client_times.record((due.elapsed().as_micros() as u64).max(1));
                     }
                     if answer.status() != 202 {
                         std::thread::sleep(Duration::from_millis(1));
                     }
                     due += Duration::from_secs_f64(-mean * (1.0 - rng.f64()).ln());
                 }
-                let _ = answers.lock().map(|mut all| all.add(own));
+                let _ = response_times.lock().map(|mut all| all.add(client_times));
             });
         }
-        std::thread::sleep(warm);
-        let (begun, before, cpu_before) = (Instant::now(), delivered(), cpu(pid));
+        std::thread::sleep(warm_up);
+        let (started, before, cpu_before) = (Instant::now(), delivered(), cpu(pid));
         std::thread::sleep(end.saturating_duration_since(Instant::now()));
-        (begun.elapsed().as_secs_f64(), delivered() - before, cpu(pid).saturating_sub(cpu_before))
+        (started.elapsed().as_secs_f64(), delivered() - before, cpu(pid).saturating_sub(cpu_before))
     });
-    let answers = answers.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
-    let (taken, refused) = (taken.into_inner(), refused.into_inner());
-    Came { taken, delivered, refused, seconds, cpu, answers }
+    let response_times = response_times.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let (accepted, rejected) = (accepted.into_inner(), rejected.into_inner());
+    LoadResult { accepted, delivered, rejected, seconds, cpu, response_times }
 }
 
 fn partners(terms: Option<(u64, Duration)>) -> Vec<Partner> {
@@ -170,13 +178,13 @@
         .collect()
 }
 
-fn node(file: &std::path::Path, platform: &Platform, partners: &[Partner], senders: u32) -> Node {
+fn start_sender(file: &std::path::Path, platform: &Platform, partners: &[Partner], senders: u32) -> Node {
     let endpoints: Vec<_> = partners
         .iter()
         .zip(7..)
         .map(|(partner, dest)| listing(&format!("e{dest}"), dest, "plain", partner.address))
         .collect();
-    Node::start(&program().arg("--operators").arg(file), platform, &endpoints, |config| {
+    Node::start(&sender_program().arg("--operators").arg(file), platform, &endpoints, |config| {
         config["limits"]["disk_mb"] = json!(1_000);
         config["limits"]["sockets"] = json!(4_096);
         config["ops"] = json!("127.0.0.1:0");
@@ -186,45 +194,47 @@
     })
 }
 
-/// What partners counted.
+/// Counts of all partners.
 #[derive(Debug, Default)]
-struct Judged {
+struct PartnerCounts {
     calls: u64,
+    /// `Retry-After` answers.
     waits: u64,
-    /// Calls beyond a limit or before a wait was over: none may be.
+    /// Calls beyond a limit or before the end of a wait; there must be none.
     overshoot: Vec<(u16, Violation)>,
-    /// Calls at once at one partner, at most.
-    at_once: usize,
-    twice: usize,
+    /// Highest number of concurrent calls at one partner.
+    max_concurrent: usize,
+    /// Messages that took effect more than once.
+    duplicated: usize,
 }
 
-impl Judged {
-    fn of(partners: &[Partner]) -> Self {
-        let mut all = Self::default();
+impl PartnerCounts {
+    fn collect(partners: &[Partner]) -> Self {
+        let mut counts = Self::default();
         for (partner, dest) in partners.iter().zip(7..) {
             let counted = partner.counts();
-            all.calls += counted.calls;
-            all.waits += counted.waits;
-            all.overshoot.extend(partner.violations().into_iter().map(|breach| (dest, breach)));
-            all.at_once = all.at_once.max(counted.at_once);
-            all.twice += partner.effects().values().filter(|effects| effects.ran > 1).count();
+            counts.calls += counted.calls;
+            counts.waits += counted.waits;
+            counts.overshoot.extend(partner.violations().into_iter().map(|violation| (dest, violation)));
+            counts.max_concurrent = counts.max_concurrent.max(counted.at_once);
+            counts.duplicated += partner.effects().values().filter(|effects| effects.ran > 1).count();
         }
-        all
+        counts
     }
 
-    /// What no core may do, in words.
-    fn breach(&self) -> Option<String> {
-        let share = SLOTS * 3 / 4;
+    /// Describes the first rule that was broken, if any.
+    fn violation(&self) -> Option<String> {
+        let max_allowed = SLOTS * 3 / 4;
         match self {
-            Self { twice: 1.., .. } => Some(format!("{} orders took effect twice", self.twice)),
+            Self { duplicated: 1.., .. } => Some(format!("{} orders took effect twice", self.duplicated)),
             Self { overshoot, .. } if !overshoot.is_empty() => {
-                for (dest, breach) in overshoot.iter().take(SHOWN) {
-                    println!("destination {dest}: a call {breach}");
+                for (dest, violation) in overshoot.iter().take(MAX_PRINTED_BREACHES) {
+                    println!("destination {dest}: a call {violation}");
                 }
-                Some(format!("{} calls beyond limits or before waits were over", overshoot.len()))
+                Some(format!("{} calls beyond limits or before the end of waits", overshoot.len()))
             }
-            Self { at_once, .. } if *at_once > share => {
-                Some(format!("{at_once} calls at once, {share} are a share"))
+            Self { max_concurrent, .. } if *max_concurrent > max_allowed => {
+                Some(format!("{max_concurrent} concurrent calls at one partner, {max_allowed} are allowed"))
             }
             _ => None,
         }
@@ -234,16 +244,16 @@
 fn run(options: &Options) -> Result<String, String> {
     let time = Duration::from_millis(if options.short { 1_500 } else { 4_000 });
     let (clients, terms_rate, wait) =
-        if options.short { (FEW_CLIENTS, SHORT_RATE, SHORT_WAIT) } else { (CLIENTS, TERMS_RATE, WAIT) };
+        if options.short { (SHORT_CLIENTS, SHORT_RATE, SHORT_WAIT) } else { (CLIENTS, TERMS_RATE, WAIT) };
     let rows: &[usize] = if options.short { &[1, 2] } else { &[1, 2, 4, 8] };
-    let there = std::thread::available_parallelism().map_or(0, usize::from);
+    let machine_cores = std::thread::available_parallelism().map_or(0, usize::from);
     let mut rng = fastrand::Rng::with_seed(options.seed());
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
     let file = folder.path().join("operators.toml");
     println!(
-        "{there} cores, which {clients} clients and {PARTNERS} partners use too; orders of {BODY} bytes, {time:?} a run;\n\
-         answers at {SHARE} of what the row can do; then {terms_rate} a second at partners of which every other one tells a wait of {:?}\n\
-         each {} calls and every fourth has a limit of {LIMIT} calls in 2 s",
+        "{machine_cores} cores, shared with {clients} clients and {PARTNERS} partners; orders of {BODY_BYTES} bytes, {time:?} per run;\n\
+         response times at {LATENCY_LOAD} of the row's throughput; then {terms_rate} per second to partners of which every other one answers\n\
+         with a Retry-After of {:?} every {} calls, and every fourth has a limit of {LIMIT} calls in 2 s",
         wait.1, wait.0
     );
     println!(
@@ -253,7 +263,7 @@
         "msgs/s",
         "times",
         "CPU, µs",
-        "proxy's",
+        "proxy",
         "times",
         "p50, ms",
         "p99",
@@ -262,78 +272,80 @@
         "waits",
         "overshoot"
     );
-    let mut missed = Vec::new();
-    let mut best = 0.0f64;
+    let mut missed_targets = Vec::new();
+    let mut best_speedup = 0.0f64;
     for traffic in [Traffic::Uniform, Traffic::HeavyTail] {
         let table = traffic.table(&mut rng);
-        let (mut one, mut proxys_one, mut one_p99) = (0.0, 0.0, 0.0);
+        let (mut one_core_rate, mut one_core_proxy_rate, mut one_core_p99) = (0.0, 0.0, 0.0);
         for cores in rows {
             std::fs::write(&file, format!("[cores]\ncount = {cores}\n")).map_err(|e| e.to_string())?;
-            let (platform, stand) = (Platform::new(), partners(None));
-            let node_at = node(&file, &platform, &stand, 1);
-            let place = |prefix| (node_at.address, node_at.pid(), prefix);
-            let fast = load(place("f"), &stand, &table, (clients, None), time);
-            // What the clients of before left is over first.
-            wait_until(|| node_at.metric("svc_open_requests") == 0);
-            let open = load(place("o"), &stand, &table, (clients, Some(SHARE * fast.rate())), time);
-            let moves = if *cores > 1 { node_at.metric("svc_destinations_moved") } else { 0 };
-            drop(node_at);
-            let judged = Judged::of(&stand);
-            let (platform, stand) = (Platform::new(), partners(Some(wait)));
-            let node_at = node(&file, &platform, &stand, SENDERS);
-            let kept = load(
-                (node_at.address, node_at.pid(), "t"),
-                &stand,
-                &table,
-                (clients, Some(terms_rate)),
-                time,
-            );
-            drop(node_at);
-            let terms = Judged::of(&stand);
-            if let Some(wrong) = judged.breach().or_else(|| terms.breach()) {
-                return Err(format!("{traffic:?}, {cores} cores: {wrong}"));
+            let (platform, stubs) = (Platform::new(), partners(None));
+            let sender = start_sender(&file, &platform, &stubs, 1);
+            let load_target = |prefix| (sender.address, sender.pid(), prefix);
+            let closed = load(load_target("f"), &stubs, &table, (clients, None), time);
+            // Waits until the messages of the previous load have their outcomes.
+            wait_until(|| sender.metric("svc_open_requests") == 0);
+            let open =
+                load(load_target("o"), &stubs, &table, (clients, Some(LATENCY_LOAD * closed.rate())), time);
+            let moves = if *cores > 1 { sender.metric("svc_destinations_moved") } else { 0 };
+            drop(sender);
+            let counts = PartnerCounts::collect(&stubs);
+            let (platform, stubs) = (Platform::new(), partners(Some(wait)));
+            let sender = start_sender(&file, &platform, &stubs, SENDERS);
+            let terms_load =
+                load((sender.address, sender.pid(), "t"), &stubs, &table, (clients, Some(terms_rate)), time);
+            drop(sender);
+            let terms = PartnerCounts::collect(&stubs);
+            if let Some(violation) = counts.violation().or_else(|| terms.violation()) {
+                return Err(format!("{traffic:?}, {cores} cores: {violation}"));
             }
-            if fast.delivered == 0 || open.taken == 0 || kept.delivered == 0 || terms.waits == 0 {
+            if closed.delivered == 0 || open.accepted == 0 || terms_load.delivered == 0 || terms.waits == 0 {
                 return Err(format!(
-                    "{traffic:?}, {cores} cores: nothing passes, or no partner tells a wait"
+                    "{traffic:?}, {cores} cores: no message is delivered, or no partner sends a Retry-After"
                 ));
             }
-            let stand = partners(None);
-            let (bare, address) = proxy(&stand, *cores)?;
-            let bare = load((address, bare.0.id(), "p"), &stand, &table, (clients, None), time);
+            let stubs = partners(None);
+            let (proxy_load, address) = proxy(&stubs, *cores)?;
+            let proxy_load = load((address, proxy_load.0.id(), "p"), &stubs, &table, (clients, None), time);
             if *cores == 1 {
-                (one, proxys_one, one_p99) = (fast.rate(), bare.rate(), open.at(0.99));
+                (one_core_rate, one_core_proxy_rate, one_core_p99) =
+                    (closed.rate(), proxy_load.rate(), open.quantile_ms(0.99));
             }
-            let (times, proxys) = (fast.rate() / one, bare.rate() / proxys_one);
+            let (speedup, proxy_speedup) =
+                (closed.rate() / one_core_rate, proxy_load.rate() / one_core_proxy_rate);
             println!(
-                "{:>10} {cores:>5} {:>9.0} {times:>6.2} {:>8.1} {:>9.0} {proxys:>6.2} {:>8.1} {:>8.1} {:>8.1} {moves:>6} {:>6} {:>9}{}",
+                "{:>10} {cores:>5} {:>9.0} {speedup:>6.2} {:>8.1} {:>9.0} {proxy_speedup:>6.2} {:>8.1} {:>8.1} {:>8.1} {moves:>6} {:>6} {:>9}{}",
                 format!("{traffic:?}"),
-                fast.rate(),
-                fast.each(),
-                bare.rate(),
-                open.at(0.5),
-                open.at(0.99),
-                open.at(0.999),
+                closed.rate(),
+                closed.cpu_per_message_us(),
+                proxy_load.rate(),
+                open.quantile_ms(0.5),
+                open.quantile_ms(0.99),
+                open.quantile_ms(0.999),
                 terms.waits,
-                judged.overshoot.len() + terms.overshoot.len(),
-                if fast.refused > 0 { format!("  ({} refused)", fast.refused) } else { String::new() },
+                counts.overshoot.len() + terms.overshoot.len(),
+                if closed.rejected > 0 { format!("  ({} rejected)", closed.rejected) } else { String::new() },
             );
-            best = best.max(times);
-            if let Some((_, aim)) = AIMS.iter().find(|aim| aim.0 == *cores)
-                && times < *aim
+            best_speedup = best_speedup.max(speedup);
+            if let Some((_, target)) = SPEEDUP_TARGETS.iter().find(|target| target.0 == *cores)
+                && speedup < *target
             {
-                missed.push(format!("{traffic:?}: {times:.2} times at {cores}, the aim is {aim}"));
+                missed_targets.push(format!(
+                    "{traffic:?}: {speedup:.2} times the throughput at {cores} cores, the target is {target}"
+                ));
             }
-            if open.at(0.99) > 1.5 * one_p99 && *cores < there {
-                missed.push(format!(
-                    "{traffic:?}: p99 {:.1} ms at {cores}, {one_p99:.1} with one",
-                    open.at(0.99)
+            if open.quantile_ms(0.99) > 1.5 * one_core_p99 && *cores < machine_cores {
+                missed_targets.push(format!(
+                    "{traffic:?}: p99 {:.1} ms with {cores} cores, {one_core_p99:.1} with one",
+                    open.quantile_ms(0.99)
                 ));
             }
         }
     }
-    if !missed.is_empty() && !options.short {
-        return Err(missed.join("; "));
+    if !missed_targets.is_empty() && !options.short {
+        return Err(missed_targets.join("; "));
     }
-    Ok(format!("{best:.2} times one core's messages a second at best, overshoot 0, {there} cores for all"))
+    Ok(format!(
+        "up to {best_speedup:.2} times the throughput of one core, overshoot 0, {machine_cores} cores on the machine"
+    ))
 }
--- a/crates/loadtest/src/endings.rs
+++ b/crates/loadtest/src/endings.rs
@@ -1,6 +1,7 @@
-//! A real sender under traffic of which something ends at each of many random moments: the process (asked, killed, asked and
-//! then killed, stopped and going on), an endpoint (drained, away, silent, refusing), the configuration. Whatever was
-//! taken on has its one end after it, and what a restart found untried is tried.
+//! Disturbs a real sender under traffic at many random moments: its process is terminated, killed, terminated and then killed, or
+//! suspended; an endpoint is drained, unreachable, silent, failing or rejecting; the configuration is reloaded. Afterwards each
+//! accepted message must have its outcome, no order may take effect twice, and at least half of the unattempted messages that
+//! restarts recovered must not be abandoned before their deadline.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -11,82 +12,87 @@
     Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, draining, listing,
 };
 
-use crate::scenario::{Ends, Options, Scenario, program};
+use crate::scenario::{Options, Outcomes, Scenario, sender_program};
 
-/// The scenario.
+/// Scenario `endings`: random faults of process, endpoints and configuration.
 pub const SCENARIO: Scenario = Scenario {
     name: "endings",
-    about: "a sender under traffic whose process, endpoints or configuration end at --points random moments (300)",
+    about: "a sender under traffic with faults of process, endpoints or configuration at --points random moments (300)",
     run,
 };
 
-/// Senders side by side, each with partners, clients and a platform of its own.
+/// Senders that run concurrently, each with its own partners, clients and platform.
 const LANES: usize = 4;
-/// From SIGTERM until the process is killed, as on the platform.
-const END_WITHIN: Duration = Duration::from_millis(3_700);
-/// From its end until the next one starts.
-const DOWN: Duration = Duration::from_millis(100);
-/// Destinations of the partners.
-const FIRST: u16 = 7;
+/// Time from SIGTERM until the process is killed, as on the platform.
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// Time from the end of a process until the next one starts.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
+/// Destination of the first partner; the others follow.
+const FIRST_DESTINATION: u16 = 7;
 
-/// What ends.
+/// A fault that is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Ending {
-    /// SIGTERM, and SIGKILL if it is still there in the end.
-    Asked,
-    /// SIGTERM twice, and SIGKILL within its drain.
-    AskedAndKilled,
+enum Fault {
+    /// SIGTERM, and SIGKILL if the process is still running after `TERMINATION_TIMEOUT`.
+    Terminated,
+    /// SIGTERM twice, and SIGKILL while the process drains.
+    TerminatedAndKilled,
+    /// SIGKILL.
     Killed,
-    /// SIGSTOP, and SIGCONT after a while.
-    Stopped,
-    /// The same, and SIGKILL in place of SIGCONT.
-    StoppedAndKilled,
-    /// SIGHUP.
-    Reread,
-    /// The list says that an endpoint wants nothing new, and later that it does.
+    /// SIGSTOP, and SIGCONT after a random time.
+    Suspended,
+    /// SIGSTOP, and SIGKILL after a random time.
+    SuspendedAndKilled,
+    /// SIGHUP, on which the process reloads its configuration.
+    Reloaded,
+    /// The endpoint list marks an endpoint as draining, and as ready again after a random time.
     Drained,
-    /// A partner changes its mood.
-    Mood(usize),
+    /// The partner with this index changes its behavior.
+    PartnerBehavior(usize),
 }
 
-const ENDINGS: [Ending; 10] = [
-    Ending::Asked,
-    Ending::AskedAndKilled,
-    Ending::Killed,
-    Ending::Killed,
-    Ending::Stopped,
-    Ending::StoppedAndKilled,
-    Ending::Reread,
-    Ending::Drained,
-    Ending::Mood(0),
-    Ending::Mood(1),
+const FAULTS: [Fault; 10] = [
+    Fault::Terminated,
+    Fault::TerminatedAndKilled,
+    Fault::Killed,
+    Fault::Killed,
+    Fault::Suspended,
+    Fault::SuspendedAndKilled,
+    Fault::Reloaded,
+    Fault::Drained,
+    Fault::PartnerBehavior(0),
+    Fault::PartnerBehavior(1),
 ];
 
-/// What a lane came to.
+/// Result of one lane.
 #[derive(Debug, Default)]
-struct Came {
-    taken: usize,
+struct LaneResult {
+    /// Messages that were accepted and have an outcome.
+    accepted: usize,
     delivered: usize,
-    noticed: usize,
-    unheard: usize,
-    points: BTreeMap<String, usize>,
-    /// Untried messages that restarts found, those that were called, and those that were given up before their time.
-    untried: [usize; 3],
+    notified: usize,
+    /// Messages whose client received no response.
+    unanswered: usize,
+    /// Number of times that each fault was injected.
+    faults: BTreeMap<String, usize>,
+    /// Recovered messages without an attempt: all of them, those that were then attempted, and those that were abandoned before
+    /// their deadline.
+    unattempted: [usize; 3],
 }
 
 struct Lane {
     partners: Vec<Partner>,
     platform: Platform,
-    place: Arc<Mutex<Option<std::net::SocketAddr>>>,
+    address_slot: Arc<Mutex<Option<std::net::SocketAddr>>>,
     node: Node,
     rng: fastrand::Rng,
-    came: Came,
+    result: LaneResult,
 }
 
-/// The list, with one of them draining.
+/// Returns the endpoint list, with the given endpoint draining.
 fn listings(partners: &[Partner], drained: Option<usize>) -> Vec<Value> {
     let entry = |(at, partner): (usize, &Partner)| {
-        let (name, destination) = (format!("e{at}"), FIRST + at as u16);
+        let (name, destination) = (format!("e{at}"), FIRST_DESTINATION + at as u16);
         if drained == Some(at) {
             draining(&name, destination)
         } else {
@@ -97,98 +103,98 @@
 }
 
 impl Lane {
-    /// Counts what the process said of what it found untried.
-    fn count_untried(&mut self) {
+    /// Adds the counts of unattempted recovered messages that the process logged.
+    fn count_unattempted(&mut self) {
         for line in
             self.node.log().iter().filter(|line| line.contains(" untried messages of the process before "))
         {
             let numbers: Vec<usize> =
                 line.split(|c: char| !c.is_ascii_digit()).filter_map(|digits| digits.parse().ok()).collect();
-            if let [found, called, _, _, given_up, _] = numbers[..] {
-                let counts = self.came.untried.iter_mut().zip([found, called, given_up]);
+            if let [recovered, attempted, _, _, abandoned, _] = numbers[..] {
+                let counts = self.result.unattempted.iter_mut().zip([recovered, attempted, abandoned]);
                 counts.for_each(|(sum, count)| *sum += count);
             }
         }
     }
 
     fn restart(mut self) -> Self {
-        *self.place.lock().unwrap() = None;
-        self.count_untried();
-        let node = self.node.kill_and_restart_after(|| std::thread::sleep(DOWN));
-        *self.place.lock().unwrap() = Some(node.address);
+        *self.address_slot.lock().unwrap() = None;
+        self.count_unattempted();
+        let node = self.node.kill_and_restart_after(|| std::thread::sleep(RESTART_DELAY));
+        *self.address_slot.lock().unwrap() = Some(node.address);
         Self { node, ..self }
     }
 
-    fn point(mut self) -> Self {
-        let ending = ENDINGS[self.rng.usize(..ENDINGS.len())];
-        *self.came.points.entry(format!("{ending:?}")).or_default() += 1;
-        let moment = Duration::from_millis(self.rng.u64(1..600));
-        match ending {
-            Ending::Asked => {
+    fn inject_fault(mut self) -> Self {
+        let fault = FAULTS[self.rng.usize(..FAULTS.len())];
+        *self.result.faults.entry(format!("{fault:?}")).or_default() += 1;
+        let delay = Duration::from_millis(self.rng.u64(1..600));
+        match fault {
+            Fault::Terminated => {
                 self.node.signal("-TERM");
-                let until = Instant::now() + END_WITHIN;
+                let until = Instant::now() + TERMINATION_TIMEOUT;
                 while !self.node.has_ended() && Instant::now() < until {
                     std::thread::sleep(Duration::from_millis(5));
                 }
                 self.restart()
             }
-            Ending::AskedAndKilled => {
+            Fault::TerminatedAndKilled => {
                 self.node.signal("-TERM");
-                std::thread::sleep(moment);
+                std::thread::sleep(delay);
                 if !self.node.has_ended() {
                     self.node.signal("-TERM");
                 }
-                std::thread::sleep(moment / 2);
+                std::thread::sleep(delay / 2);
                 self.restart()
             }
-            Ending::Killed => self.restart(),
-            Ending::Stopped => {
+            Fault::Killed => self.restart(),
+            Fault::Suspended => {
                 self.node.stop();
-                std::thread::sleep(moment);
+                std::thread::sleep(delay);
                 self.node.signal("-CONT");
                 self
             }
-            Ending::StoppedAndKilled => {
+            Fault::SuspendedAndKilled => {
                 self.node.stop();
-                std::thread::sleep(moment);
+                std::thread::sleep(delay);
                 self.restart()
             }
-            Ending::Reread => {
+            Fault::Reloaded => {
                 self.node.signal("-HUP");
                 self
             }
-            Ending::Drained => {
+            Fault::Drained => {
                 let drained = self.rng.usize(..self.partners.len());
                 self.platform.publish(&listings(&self.partners, Some(drained)));
-                std::thread::sleep(moment);
+                std::thread::sleep(delay);
                 self.platform.publish(&listings(&self.partners, None));
                 self
             }
-            Ending::Mood(at) => {
-                let well = Behavior::Healthy(Duration::from_millis(self.rng.u64(1..80)));
-                let moods = [
+            Fault::PartnerBehavior(at) => {
+                let healthy = Behavior::Healthy(Duration::from_millis(self.rng.u64(1..80)));
+                let behaviors = [
                     Behavior::Silent,
                     Behavior::Failing,
                     Behavior::Rejecting,
                     Behavior::Unreachable,
-                    well,
-                    well,
+                    healthy,
+                    healthy,
                 ];
-                self.partners[at].set(moods[self.rng.usize(..moods.len())]);
+                self.partners[at].set(behaviors[self.rng.usize(..behaviors.len())]);
                 self
             }
         }
     }
 }
 
-fn lane(seed: u64, points: usize) -> Result<Came, String> {
+fn lane(seed: u64, faults: usize) -> Result<LaneResult, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut platform = Platform::new();
-    let notices = Notifications::collect(&mut platform);
-    let well = |ms| Behavior::Healthy(Duration::from_millis(ms));
-    let partners = vec![Partner::new(well(5)), Partner::new(well(60)), Partner::new(well(20))];
+    let notifications = Notifications::collect(&mut platform);
+    let healthy = |ms| Behavior::Healthy(Duration::from_millis(ms));
+    let partners = vec![Partner::new(healthy(5)), Partner::new(healthy(60)), Partner::new(healthy(20))];
     let endpoints = listings(&partners, None);
-    let node = Node::start(&program(), &platform, &endpoints, |config| {
+    let node = Node::start(&sender_program(), &platform, &endpoints, |config| {
         config["settings"]["family_info"]["calls_out"] = json!(16);
         config["settings"]["limits"]["max_open"] = json!(60);
         config["settings"]["classes"][0]["dedup_window_us"] = json!(2_000_000);
@@ -201,67 +207,70 @@
         body: 300,
         within_ms: 4_000,
     };
-    let place = Arc::new(Mutex::new(Some(node.address)));
-    let load = Load::start(&plan, &place);
-    let (moods, came) = (partners.clone(), Came::default());
-    let mut lane = Lane { partners, platform, place, node, rng: rng.fork(), came };
-    for _ in 0..points {
+    let address_slot = Arc::new(Mutex::new(Some(node.address)));
+    let load = Load::start(&plan, &address_slot);
+    let (behaviors, result) = (partners.clone(), LaneResult::default());
+    let mut lane = Lane { partners, platform, address_slot, node, rng: rng.fork(), result };
+    for _ in 0..faults {
         std::thread::sleep(Duration::from_millis(rng.u64(20..400)));
-        lane = lane.point();
+        lane = lane.inject_fault();
     }
-    moods.iter().for_each(|partner| partner.set(well(5)));
-    let said = load.stop();
-    let effects = || moods.iter().flat_map(Partner::effects).collect::<HashMap<_, _>>();
-    let patience = Duration::from_millis(u64::from(plan.within_ms) + 3_000);
-    let ends = Ends::wait(patience, || Ends::of(&said, &effects(), &notices.all()));
-    if !ends.lost.is_empty() || !ends.twice.is_empty() {
+    behaviors.iter().for_each(|partner| partner.set(healthy(5)));
+    let submissions = load.stop();
+    let effects = || behaviors.iter().flat_map(Partner::effects).collect::<HashMap<_, _>>();
+    let timeout = Duration::from_millis(u64::from(plan.within_ms) + 3_000);
+    let outcomes =
+        Outcomes::wait(timeout, || Outcomes::count(&submissions, &effects(), &notifications.all()));
+    if !outcomes.lost.is_empty() || !outcomes.duplicated.is_empty() {
         let some = |ids: &[String]| ids.iter().take(5).cloned().collect::<Vec<_>>();
-        let (lost, twice) = (some(&ends.lost), some(&ends.twice));
+        let (lost, duplicated) = (some(&outcomes.lost), some(&outcomes.duplicated));
         return Err(format!(
-            "seed {seed}: {lost:?} have no end, {twice:?} took effect twice; {:?}",
-            lane.came.points
+            "seed {seed}: {lost:?} have no outcome, {duplicated:?} took effect twice; {:?}",
+            lane.result.faults
         ));
     }
-    lane.count_untried();
-    let mut came = lane.came;
-    (came.delivered, came.noticed) = (ends.delivered, ends.noticed);
-    came.taken = ends.delivered + ends.noticed;
-    came.unheard = said.values().filter(|message| message.answer == ClientAnswer::NoAnswer).count();
-    Ok(came)
+    lane.count_unattempted();
+    let mut result = lane.result;
+    (result.delivered, result.notified) = (outcomes.delivered, outcomes.notified);
+    result.accepted = outcomes.delivered + outcomes.notified;
+    result.unanswered =
+        submissions.values().filter(|message| message.answer == ClientAnswer::NoAnswer).count();
+    Ok(result)
 }
 
 fn run(options: &Options) -> Result<String, String> {
-    let points = options.points.unwrap_or(if options.short { 24 } else { 300 });
+    let faults = options.points.unwrap_or(if options.short { 24 } else { 300 });
     let seed = options.seed();
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
-            let part = points / LANES + usize::from(lane < points % LANES);
+            let part = faults / LANES + usize::from(lane < faults % LANES);
             std::thread::spawn(move || self::lane(seed.wrapping_add(lane as u64), part))
         })
         .collect();
-    let mut all = Came::default();
+    let mut all = LaneResult::default();
     for lane in lanes {
-        let came = lane.join().map_err(|_| "a lane failed, as it said above".to_owned())??;
-        all.taken += came.taken;
-        all.delivered += came.delivered;
-        all.noticed += came.noticed;
-        all.unheard += came.unheard;
-        came.points.into_iter().for_each(|(ending, count)| *all.points.entry(ending).or_default() += count);
-        all.untried.iter_mut().zip(came.untried).for_each(|(sum, count)| *sum += count);
+        let result =
+            lane.join().map_err(|_| "a lane panicked; its message is printed above".to_owned())??;
+        all.accepted += result.accepted;
+        all.delivered += result.delivered;
+        all.notified += result.notified;
+        all.unanswered += result.unanswered;
+        result.faults.into_iter().for_each(|(fault, count)| *all.faults.entry(fault).or_default() += count);
+        all.unattempted.iter_mut().zip(result.unattempted).for_each(|(sum, count)| *sum += count);
     }
-    if all.taken == 0 || all.points.len() < 2 {
-        return Err(format!("{all:?}: too little came to pass"));
+    if all.accepted == 0 || all.faults.len() < 2 {
+        return Err(format!("{all:?}: too few messages or kinds of fault for a verdict"));
     }
-    let [found, called, given_up] = all.untried;
-    if 2 * given_up > found {
+    let [recovered, attempted, abandoned] = all.unattempted;
+    if 2 * abandoned > recovered {
         return Err(format!(
-            "of {found} messages that restarts found untried {given_up} were given up before their time"
+            "of {recovered} unattempted messages that restarts recovered, {abandoned} were abandoned before their deadline"
         ));
     }
     Ok(format!(
-        "{points} endings in {LANES} lanes, {:?}; {} messages taken on, {} delivered, {} ended by a notice, none without an end, no \
-         order twice; {} asked and heard nothing; of {found} that restarts found untried {called} were called, {given_up} \
-         given up before their time",
-        all.points, all.taken, all.delivered, all.noticed, all.unheard,
+        "{faults} faults in {LANES} lanes, {:?}; {} messages accepted, {} delivered, {} ended by a notification, none without an \
+         outcome, no order twice; {} submitted without a response; of {recovered} unattempted messages that restarts recovered {attempted} \
+         were attempted, {abandoned} abandoned before their deadline",
+        all.faults, all.accepted, all.delivered, all.notified, all.unanswered,
     ))
 }
--- a/crates/loadtest/src/idle.rs
+++ b/crates/loadtest/src/idle.rs
@@ -1,4 +1,4 @@
-//! Many destinations with little traffic each, by a heavy-tailed law, and a wave that wakes many at once.
+//! Many destinations with little traffic each, by a heavy-tailed distribution, and a wave that activates many at once.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{SocketAddr, TcpListener};
@@ -12,80 +12,90 @@
     submission_with, wait_until,
 };
 
-use crate::scenario::{Options, Scenario, program};
+use crate::scenario::{Options, Scenario, sender_program};
 
-/// The scenario.
+/// Scenario `idle`: a large number of destinations, most of them idle.
 pub const SCENARIO: Scenario = Scenario {
     name: "idle",
-    about: "twenty thousand destinations that sleep most of the time, and a thousand that wake at once",
+    about: "twenty thousand destinations that are idle most of the time, and a thousand that become active at once",
     run,
 };
 
-/// A destination sleeps after this time without a message.
-const AFTER: Duration = Duration::from_secs(2);
-/// The busiest destinations, whose times are compared.
-const BUSY: u16 = 10;
-/// Messages a second, and the clients that hand them in.
+/// A destination becomes idle after this time without a message.
+const IDLE_AFTER: Duration = Duration::from_secs(2);
+/// Number of the busiest destinations, whose delivery times are compared.
+const BUSIEST: u16 = 10;
+/// Messages per second.
 const RATE: u32 = 400;
+/// Number of clients that submit them.
 const CLIENTS: u32 = 8;
-const BODY: usize = 330;
-const WITHIN_MS: u32 = 20_000;
-/// What the sender may take of memory; and the aim.
-const MEMORY_KB: u64 = 200_000;
-const MEMORY_AIM_KB: u64 = 60_000;
-/// The pause that a whole list may make.
-const PAUSE: Duration = Duration::from_millis(10);
-/// From a kill until the next process is ready.
-const READY_WITHIN: Duration = Duration::from_secs(1);
-/// How much longer the busy ones' messages may take while the wave passes.
-const SLOWER: f64 = 1.10;
+/// Size of a message body, in bytes.
+const BODY_BYTES: usize = 330;
+/// Deadline of a message.
+const DEADLINE_MS: u32 = 20_000;
+/// Highest memory of the sender that is accepted.
+const MAX_MEMORY_KB: u64 = 200_000;
+/// Target for the sender's memory.
+const MEMORY_TARGET_KB: u64 = 60_000;
+/// Highest delay that a complete endpoint list may cause.
+const MAX_LIST_DELAY: Duration = Duration::from_millis(10);
+/// Highest time from a kill until the next process is ready.
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(1);
+/// Highest ratio of the busiest destinations' p99 during the wave to that without it.
+const MAX_P99_RATIO: f64 = 1.10;
 
-/// What a run came to.
-struct Figures {
-    /// Before any message, without a list and with it; and at most.
+/// Result of one run.
+struct RunResult {
+    /// Memory before any message, without an endpoint list.
     bare_kb: u64,
+    /// Memory before any message, with the endpoint list.
     listed_kb: u64,
+    /// Highest memory.
     memory_kb: u64,
-    taken: usize,
-    refused: usize,
-    asleep: usize,
+    accepted: usize,
+    rejected: usize,
+    /// Idle destinations before the second half.
+    idle: usize,
+    /// 99th percentile of the busiest destinations' delivery times in the second half.
     p99: Duration,
-    woken: Duration,
+    /// Time until each healthy destination of the wave had its first call.
+    activation_time: Duration,
+    /// Highest number of connections.
     connections: usize,
 }
 
-/// Messages that were taken on, and how many were not.
+/// Accepted messages, and the number of those that were rejected or got no response.
 #[derive(Default)]
-struct Heard {
-    taken: HashSet<String>,
-    refused: usize,
-    nothing: usize,
+struct Responses {
+    accepted: HashSet<String>,
+    rejected: usize,
+    unanswered: usize,
 }
 
-/// Tells whether there was an answer.
-fn hand_in(
-    crowd: &ManyPartners,
+/// Submits a message, and returns whether the client got a response.
+fn submit(
+    partners: &ManyPartners,
     client: &mut Client,
     destination: u16,
     n: &str,
-    heard: &Mutex<Heard>,
+    responses: &Mutex<Responses>,
 ) -> bool {
-    let id = crowd.id(destination, n);
-    client.write(&submission_with(&id, "note", destination, WITHIN_MS, &[b'x'; BODY]));
+    let id = partners.id(destination, n);
+    client.write(&submission_with(&id, "note", destination, DEADLINE_MS, &[b'x'; BODY_BYTES]));
     let status = client.answer().map(|answer| answer.status());
-    let mut heard = heard.lock().unwrap();
+    let mut responses = responses.lock().unwrap();
     match status {
-        Some(202) => drop(heard.taken.insert(id)),
-        Some(_) => heard.refused += 1,
-        None => heard.nothing += 1,
+        Some(202) => drop(responses.accepted.insert(id)),
+        Some(_) => responses.rejected += 1,
+        None => responses.unanswered += 1,
     }
     status.is_some()
 }
 
-/// A destination's number is its rank: the weight of a rank is one over it.
-struct Law(Vec<f64>);
+/// Cumulative weights of the destinations, by Zipf's law: the weight of the n-th destination is 1/n.
+struct ZipfDistribution(Vec<f64>);
 
-impl Law {
+impl ZipfDistribution {
     fn new(count: u16) -> Self {
         let mut sum = 0.0;
         Self(
@@ -99,68 +109,76 @@
     }
 
     fn draw(&self, rng: &mut fastrand::Rng) -> u16 {
-        let at = rng.f64() * self.0.last().copied().unwrap_or(1.0);
-        (self.0.partition_point(|sum| *sum < at)).min(self.0.len() - 1) as u16
+        let position = rng.f64() * self.0.last().copied().unwrap_or(1.0);
+        (self.0.partition_point(|sum| *sum < position)).min(self.0.len() - 1) as u16
     }
 }
 
-/// The wave's destinations, of those that have next to no traffic; some are full, silent or close.
-fn wave(crowd: &ManyPartners, rng: &mut fastrand::Rng, count: u16, size: usize) -> Vec<u16> {
+/// Draws the destinations of the wave among those with next to no traffic. Some of them reject calls, don't answer, or close
+/// connections.
+fn wave(partners: &ManyPartners, rng: &mut fastrand::Rng, count: u16, size: usize) -> Vec<u16> {
     let mut wave: Vec<u16> = (count / 4..count).collect();
     rng.shuffle(&mut wave);
     wave.truncate(size);
     for (n, destination) in wave.iter().enumerate() {
-        let way = match n % 50 {
+        let behavior = match n % 50 {
             0..10 => CallBehavior::RetryAfter(Duration::from_millis(rng.u64(500..4_000))),
             10 => CallBehavior::Silent,
             11 => CallBehavior::Closes,
             _ => CallBehavior::Healthy,
         };
-        crowd.set(*destination, way);
+        partners.set(*destination, behavior);
     }
     wave
 }
 
-/// What happens in the second half of a run.
+/// Load of the second half of a run.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Half {
-    /// As in the first.
-    Calm,
-    /// So many wake at once.
+enum SecondHalf {
+    /// The same as in the first half.
+    Steady,
+    /// This number of destinations become active at once.
     Wave(usize),
-    /// The whole list comes once a second.
+    /// The complete endpoint list is published once a second.
     Lists,
 }
 
-fn play(options: &Options, count: u16, half: Half, time: Duration) -> Result<Figures, String> {
+fn run_halves(
+    options: &Options,
+    count: u16,
+    second_half: SecondHalf,
+    duration: Duration,
+) -> Result<RunResult, String> {
     let (seed, cores) = (options.seed(), options.cores.unwrap_or(1));
     let mut rng = fastrand::Rng::with_seed(seed);
-    let crowd = ManyPartners::new(count, 500.min(count), 3 * AFTER, count);
+    let partners = ManyPartners::new(count, 500.min(count), 3 * IDLE_AFTER, count);
     let mut platform = Platform::new();
-    let notices = Notifications::collect(&mut platform);
+    let notifications = Notifications::collect(&mut platform);
     let endpoints: Vec<_> =
-        (0..count).map(|d| listing(&format!("e{d}"), d, "plain", crowd.address(d))).collect();
+        (0..count).map(|d| listing(&format!("e{d}"), d, "plain", partners.address(d))).collect();
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
     let operators = folder.path().join("operators.toml");
-    let after = AFTER.as_secs();
+    let after = IDLE_AFTER.as_secs();
     let text =
         format!("[status]\nevery = \"100ms\"\n[dormant]\nafter = \"{after}s\"\n[cores]\ncount = {cores}\n");
     std::fs::write(&operators, text).map_err(|e| e.to_string())?;
-    let bare_kb = Node::start(&program(), &platform, &[], |_| {}).memory_kb();
-    let node = Node::start(&program().arg("--operators").arg(&operators), &platform, &endpoints, |config| {
-        config["limits"]["disk_mb"] = json!(200);
-        config["settings"]["family_info"]["calls_out"] = json!(128);
-        config["settings"]["limits"]["max_open"] = json!(8_000);
-    });
+    let bare_kb = Node::start(&sender_program(), &platform, &[], |_| {}).memory_kb();
+    let node =
+        Node::start(&sender_program().arg("--operators").arg(&operators), &platform, &endpoints, |config| {
+            config["limits"]["disk_mb"] = json!(200);
+            config["settings"]["family_info"]["calls_out"] = json!(128);
+            config["settings"]["limits"]["max_open"] = json!(8_000);
+        });
     let listed_kb = node.memory_kb();
-    // Some of those that are called now and then tell waits.
+    // Some of the destinations with occasional calls answer with a Retry-After.
     for destination in (50..count / 4).step_by(7) {
-        crowd.set(destination, CallBehavior::RetryAfter(Duration::from_millis(rng.u64(500..4_000))));
+        partners.set(destination, CallBehavior::RetryAfter(Duration::from_millis(rng.u64(500..4_000))));
     }
-    let (law, heard, stop) = (Law::new(count), Mutex::new(Heard::default()), AtomicBool::new(false));
+    let (weights, responses, stop) =
+        (ZipfDistribution::new(count), Mutex::new(Responses::default()), AtomicBool::new(false));
     let field = |name: &str| -> usize {
         let log = node.log();
-        // The latest line of each core.
+        // Uses the latest status line of each core.
         let of = |core: u8| {
             let begins = if cores > 1 { format!("status core={core} ") } else { "status ".to_owned() };
             let line = log.iter().rev().find(|line| line.starts_with(&begins))?;
@@ -169,31 +187,32 @@
         (0..cores).filter_map(of).sum()
     };
     let mut memory_kb = 0;
-    let (asleep, from, well) = std::thread::scope(|scope| {
+    let (idle, from, healthy) = std::thread::scope(|scope| {
         for client in 0..CLIENTS {
             let mut rng = rng.fork();
-            let (crowd, law, heard, stop, address) = (&crowd, &law, &heard, &stop, node.address);
-            scope.spawn(move || steady(crowd, law, heard, stop, address, client, &mut rng));
+            let (partners, weights, responses, stop, address) =
+                (&partners, &weights, &responses, &stop, node.address);
+            scope.spawn(move || run_client(partners, weights, responses, stop, address, client, &mut rng));
         }
-        std::thread::sleep(time / 2);
-        let (asleep, from, begun) = (field("asleep="), crowd.now(), Instant::now());
+        std::thread::sleep(duration / 2);
+        let (idle, from, started) = (field("asleep="), partners.now(), Instant::now());
         memory_kb = node.memory_kb().max(memory_kb);
-        let size = if let Half::Wave(size) = half { size } else { 0 };
-        let wave = wave(&crowd, &mut rng, count, size);
-        // Each of them gets three messages, as fast as they are taken on.
-        let told: Vec<_> = wave.iter().copied().cycle().take(3 * wave.len()).collect();
-        for (part, some) in told.chunks(told.len().div_ceil(CLIENTS as usize).max(1)).enumerate() {
-            let (some, crowd, heard, address) = (some.to_vec(), &crowd, &heard, node.address);
+        let size = if let SecondHalf::Wave(size) = second_half { size } else { 0 };
+        let wave = wave(&partners, &mut rng, count, size);
+        // Each of them gets three messages, as fast as they are accepted.
+        let targets: Vec<_> = wave.iter().copied().cycle().take(3 * wave.len()).collect();
+        for (part, chunk) in targets.chunks(targets.len().div_ceil(CLIENTS as usize).max(1)).enumerate() {
+            let (chunk, partners, responses, address) = (chunk.to_vec(), &partners, &responses, node.address);
             scope.spawn(move || {
                 let Ok(mut client) = Client::connect(address, Duration::from_secs(5)) else { return };
-                for (n, destination) in some.iter().enumerate() {
-                    hand_in(crowd, &mut client, *destination, &format!("w{part}.{n}"), heard);
+                for (n, destination) in chunk.iter().enumerate() {
+                    submit(partners, &mut client, *destination, &format!("w{part}.{n}"), responses);
                 }
             });
         }
         let mut listed = 0;
-        while begun.elapsed() < time / 2 {
-            if half == Half::Lists && begun.elapsed().as_secs() >= listed {
+        while started.elapsed() < duration / 2 {
+            if second_half == SecondHalf::Lists && started.elapsed().as_secs() >= listed {
                 listed += 1;
                 platform.publish(&endpoints);
             }
@@ -201,57 +220,69 @@
             memory_kb = node.memory_kb().max(memory_kb);
         }
         stop.store(true, Ordering::Relaxed);
-        // Those that are well have all of their messages.
-        let well: HashSet<u16> =
+        // Waits until the healthy ones have received their messages.
+        let healthy: HashSet<u16> =
             wave.iter().enumerate().filter(|(n, _)| n % 50 >= 12).map(|(_, d)| *d).collect();
-        wave_done(&crowd, &well);
-        (asleep, from, well)
+        wait_for_wave(&partners, &healthy);
+        (idle, from, healthy)
     });
-    let heard = heard.into_inner().unwrap();
-    // Each has its end when its time is up, and its notice soon after that.
-    let until = Instant::now() + Duration::from_millis(u64::from(WITHIN_MS) + 2_000);
-    let missing = |saw: &Observations, told: &HashMap<String, Vec<String>>| {
-        let answered: HashSet<&String> = saw.answered.iter().collect();
-        heard.taken.iter().filter(|id| !answered.contains(id) && !told.contains_key(*id)).count()
+    let responses = responses.into_inner().unwrap();
+    // Each message has its outcome by its deadline, and its notification soon after that.
+    let until = Instant::now() + Duration::from_millis(u64::from(DEADLINE_MS) + 2_000);
+    let missing = |observations: &Observations, notified: &HashMap<String, Vec<String>>| {
+        let answered: HashSet<&String> = observations.answered.iter().collect();
+        responses.accepted.iter().filter(|id| !answered.contains(id) && !notified.contains_key(*id)).count()
     };
-    while missing(&crowd.observations(), &notices.all()) > 0 && Instant::now() < until {
+    while missing(&partners.observations(), &notifications.all()) > 0 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(100));
     }
-    let saw = crowd.observations();
-    let lost = missing(&saw, &notices.all());
-    if lost > 0 || heard.nothing > 0 || heard.taken.is_empty() {
+    let observations = partners.observations();
+    let lost = missing(&observations, &notifications.all());
+    if lost > 0 || responses.unanswered > 0 || responses.accepted.is_empty() {
         return Err(format!(
-            "{lost} of {} without an end, {} without an answer",
-            heard.taken.len(),
-            heard.nothing
+            "{lost} of {} without an outcome, {} without a response",
+            responses.accepted.len(),
+            responses.unanswered
         ));
     }
-    if !saw.early.is_empty() || !saw.concurrent.is_empty() {
-        return Err(broken_rules(&saw.early, &saw.concurrent));
+    if !observations.early.is_empty() || !observations.concurrent.is_empty() {
+        return Err(describe_violations(&observations.early, &observations.concurrent));
     }
-    let mut times: Vec<_> = saw.times.iter().filter(|t| t.0 < BUSY && t.1 >= from).map(|t| t.2).collect();
+    let mut times: Vec<_> =
+        observations.times.iter().filter(|t| t.0 < BUSIEST && t.1 >= from).map(|t| t.2).collect();
     times.sort_unstable();
     let p99 = times.get(times.len() * 99 / 100).copied().unwrap_or_default();
-    let woken = woken_after(&saw, &well, from);
-    let (taken, refused, connections) = (heard.taken.len(), heard.refused, saw.connections.0);
-    Ok(Figures { bare_kb, listed_kb, memory_kb, taken, refused, asleep, p99, woken, connections })
+    let activation_time = time_to_activate(&observations, &healthy, from);
+    let (accepted, rejected, connections) =
+        (responses.accepted.len(), responses.rejected, observations.connections.0);
+    Ok(RunResult {
+        bare_kb,
+        listed_kb,
+        memory_kb,
+        accepted,
+        rejected,
+        idle,
+        p99,
+        activation_time,
+        connections,
+    })
 }
 
-fn broken_rules(early: &[(u16, Duration)], pushed: &[u16]) -> String {
+fn describe_violations(early_calls: &[(u16, Duration)], concurrent: &[u16]) -> String {
     format!(
-        "{} calls before a wait was over ({:?}), {} beside the first one ({:?})",
-        early.len(),
-        &early[..early.len().min(5)],
-        pushed.len(),
-        &pushed[..pushed.len().min(5)]
+        "{} calls before the end of a wait ({:?}), {} concurrent with a first call ({:?})",
+        early_calls.len(),
+        &early_calls[..early_calls.len().min(5)],
+        concurrent.len(),
+        &concurrent[..concurrent.len().min(5)]
     )
 }
 
-/// One client hands messages in at its part of the rate, on one connection.
-fn steady(
-    crowd: &ManyPartners,
-    law: &Law,
-    heard: &Mutex<Heard>,
+/// Runs one client, which submits messages at its share of the rate on one connection.
+fn run_client(
+    partners: &ManyPartners,
+    weights: &ZipfDistribution,
+    responses: &Mutex<Responses>,
     stop: &AtomicBool,
     address: SocketAddr,
     number: u32,
@@ -266,8 +297,8 @@
         if stop.load(Ordering::Relaxed) {
             return;
         }
-        if !hand_in(crowd, &mut client, law.draw(rng), &format!("s{number}.{n}"), heard) {
-            // Its sender was killed.
+        if !submit(partners, &mut client, weights.draw(rng), &format!("s{number}.{n}"), responses) {
+            // The sender was killed.
             match Client::connect(address, Duration::from_secs(5)) {
                 Ok(again) => client = again,
                 Err(_) => return,
@@ -276,70 +307,75 @@
     }
 }
 
-/// Waits until each of these has answered a message of the wave.
-fn wave_done(crowd: &ManyPartners, well: &HashSet<u16>) {
+/// Waits until each of these destinations has answered a message of the wave.
+fn wait_for_wave(partners: &ManyPartners, healthy: &HashSet<u16>) {
     wait_until(|| {
-        let saw = crowd.observations();
+        let observations = partners.observations();
         let of = |id: &String| id.strip_prefix('d')?.split("-w").next()?.parse::<u16>().ok();
-        let waves = saw.answered.iter().filter(|id| id.contains("-w"));
+        let waves = observations.answered.iter().filter(|id| id.contains("-w"));
         let answered: HashSet<u16> = waves.filter_map(of).collect();
         std::thread::sleep(Duration::from_millis(50));
-        well.iter().all(|destination| answered.contains(destination))
+        healthy.iter().all(|destination| answered.contains(destination))
     });
 }
 
-/// How long after that time the last of these had its first call since.
-fn woken_after(saw: &Observations, well: &HashSet<u16>, from: Duration) -> Duration {
+/// Returns how long after `from` the last of these destinations had its first call.
+fn time_to_activate(observations: &Observations, healthy: &HashSet<u16>, from: Duration) -> Duration {
     let mut first: HashMap<u16, Duration> = HashMap::new();
-    for (destination, came, _) in saw.times.iter().filter(|t| t.1 >= from && well.contains(&t.0)) {
+    for (destination, came, _) in observations.times.iter().filter(|t| t.1 >= from && healthy.contains(&t.0))
+    {
         first.entry(*destination).or_insert(*came);
     }
     first.into_values().max().unwrap_or(from).saturating_sub(from)
 }
 
-/// What a run with kills came to.
-struct Killed {
-    taken: usize,
+/// Result of a run with kills.
+struct KillResult {
+    accepted: usize,
     waits: u64,
     memory_kb: u64,
+    /// Longest time from a kill until the next process was ready.
     slowest: Duration,
-    known: u64,
+    /// Size of the health snapshot in bytes.
+    snapshot_bytes: u64,
 }
 
-/// Senders that are killed at random moments while most destinations sleep and many have told waits.
-fn restarts(seed: u64, count: u16, kills: usize) -> Result<Killed, String> {
+/// Kills the sender at random moments while most destinations are idle and many have sent a `Retry-After`.
+fn run_with_kills(seed: u64, count: u16, kills: usize) -> Result<KillResult, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let crowd = ManyPartners::new(count, 500.min(count), 3 * AFTER, 0);
+    let partners = ManyPartners::new(count, 500.min(count), 3 * IDLE_AFTER, 0);
     let mut platform = Platform::new();
-    let notices = Notifications::collect(&mut platform);
+    let notifications = Notifications::collect(&mut platform);
     let endpoints: Vec<_> =
-        (0..count).map(|d| listing(&format!("e{d}"), d, "plain", crowd.address(d))).collect();
+        (0..count).map(|d| listing(&format!("e{d}"), d, "plain", partners.address(d))).collect();
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
     let operators = folder.path().join("operators.toml");
-    let text = format!("[dormant]\nafter = \"{}s\"\n[known]\non = true\nclock = \"boot\"\n", AFTER.as_secs());
+    let text =
+        format!("[dormant]\nafter = \"{}s\"\n[known]\non = true\nclock = \"boot\"\n", IDLE_AFTER.as_secs());
     std::fs::write(&operators, text).map_err(|e| e.to_string())?;
-    let held = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
-    let address = held.local_addr().map_err(|e| e.to_string())?;
-    let program = program().arg("--operators").arg(&operators).inheriting(&held);
-    let mut node = Node::start(&program, &platform, &endpoints, |config| {
+    let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
+    let address = listener.local_addr().map_err(|e| e.to_string())?;
+    let sender_program = sender_program().arg("--operators").arg(&operators).inheriting(&listener);
+    let mut node = Node::start(&sender_program, &platform, &endpoints, |config| {
         config["listen"] = json!(address.to_string());
         config["limits"]["disk_mb"] = json!(200);
         config["settings"]["family_info"]["calls_out"] = json!(128);
         config["settings"]["limits"]["max_open"] = json!(8_000);
     });
-    let (law, heard, stop) = (Law::new(count), Mutex::new(Heard::default()), AtomicBool::new(false));
+    let (weights, responses, stop) =
+        (ZipfDistribution::new(count), Mutex::new(Responses::default()), AtomicBool::new(false));
     let (mut memory_kb, mut slowest, mut waits) = (0, Duration::ZERO, 0);
-    // It goes on until all that it has taken on is at its end.
+    // The last process runs until all accepted messages have an outcome.
     let node = std::thread::scope(|scope| {
         for client in 0..CLIENTS {
             let mut rng = rng.fork();
-            let (crowd, law, heard, stop) = (&crowd, &law, &heard, &stop);
-            scope.spawn(move || steady(crowd, law, heard, stop, address, client, &mut rng));
+            let (partners, weights, responses, stop) = (&partners, &weights, &responses, &stop);
+            scope.spawn(move || run_client(partners, weights, responses, stop, address, client, &mut rng));
         }
         for _ in 0..kills {
-            // Of those that are called now and then some tell waits that outlast a kill or two.
+            // Some of the destinations with occasional calls answer with waits that outlast one or two kills.
             for _ in 0..count / 20 {
-                crowd.set(
+                partners.set(
                     rng.u16(..count / 4),
                     CallBehavior::RetryAfter(Duration::from_millis(rng.u64(2_000..8_000))),
                 );
@@ -352,44 +388,46 @@
             slowest = slowest.max(killed.elapsed());
             memory_kb = node.memory_kb().max(memory_kb);
         }
-        std::thread::sleep(2 * AFTER);
+        std::thread::sleep(2 * IDLE_AFTER);
         memory_kb = node.memory_kb().max(memory_kb);
         stop.store(true, Ordering::Relaxed);
         node
     });
-    let heard = heard.into_inner().map_err(|e| e.to_string())?;
+    let responses = responses.into_inner().map_err(|e| e.to_string())?;
     let missing = || {
-        let (saw, told) = (crowd.observations(), notices.all());
-        let answered: HashSet<&String> = saw.answered.iter().collect();
-        heard.taken.iter().filter(|id| !answered.contains(id) && !told.contains_key(*id)).count()
+        let (observations, notified) = (partners.observations(), notifications.all());
+        let answered: HashSet<&String> = observations.answered.iter().collect();
+        responses.accepted.iter().filter(|id| !answered.contains(id) && !notified.contains_key(*id)).count()
     };
-    let until = Instant::now() + Duration::from_millis(u64::from(WITHIN_MS) + 2_000);
+    let until = Instant::now() + Duration::from_millis(u64::from(DEADLINE_MS) + 2_000);
     while missing() > 0 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(100));
     }
-    let saw = crowd.observations();
+    let observations = partners.observations();
     if missing() > 0 {
-        return Err(format!("{} of {} without an end", missing(), heard.taken.len()));
+        return Err(format!("{} of {} without an outcome", missing(), responses.accepted.len()));
     }
-    // One that was told in the last second before a kill may be lost with its process.
-    let early: Vec<_> = saw.early.iter().copied().filter(|early| early.1 > Duration::from_secs(1)).collect();
-    if !early.is_empty() || !saw.concurrent.is_empty() {
-        return Err(broken_rules(&early, &saw.concurrent));
+    // A wait that was received in the last second before a kill may be lost with the process.
+    let early_calls: Vec<_> =
+        observations.early.iter().copied().filter(|early| early.1 > Duration::from_secs(1)).collect();
+    if !early_calls.is_empty() || !observations.concurrent.is_empty() {
+        return Err(describe_violations(&early_calls, &observations.concurrent));
     }
-    let known = node.length_of("known-");
-    Ok(Killed { taken: heard.taken.len(), waits, memory_kb, slowest, known })
+    let snapshot_bytes = node.length_of("known-");
+    Ok(KillResult { accepted: responses.accepted.len(), waits, memory_kb, slowest, snapshot_bytes })
 }
 
 fn run_restarts(options: &Options, count: u16, kills: usize) -> Result<String, String> {
-    let Killed { taken, waits, memory_kb, slowest, known } = restarts(options.seed(), count, kills)?;
+    let KillResult { accepted, waits, memory_kb, slowest, snapshot_bytes } =
+        run_with_kills(options.seed(), count, kills)?;
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let figures = format!(
-        "{kills} kills, {count} destinations on {cores} cores, {taken} taken on, {waits} destinations set to tell waits; no call \
-         before the end of a wait given more than a second before, none beside a first one, none lost; memory {memory_kb} kB at \
-         most, ready {} ms after the kill at the latest, {known} bytes known",
+        "{kills} kills, {count} destinations on {cores} cores, {accepted} messages accepted, {waits} destinations set to send a \
+         Retry-After; no call before the end of a wait received more than a second before, none concurrent with a first call, no \
+         message lost; memory {memory_kb} kB at most, ready {} ms after the kill at the latest, health snapshot of {snapshot_bytes} bytes",
         slowest.as_millis()
     );
-    if memory_kb > MEMORY_AIM_KB || slowest > READY_WITHIN {
+    if memory_kb > MEMORY_TARGET_KB || slowest > MAX_STARTUP_TIME {
         return Err(figures);
     }
     Ok(figures)
@@ -401,52 +439,56 @@
         return run_restarts(options, count, kills);
     }
     let size = usize::from(count / 20).max(10);
-    let time = Duration::from_secs(if options.short { 6 } else { 30 });
+    let duration = Duration::from_secs(if options.short { 6 } else { 30 });
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     println!(
-        "{cores} cores, {count} destinations, {RATE} messages a second, a wave of {size} with 3 messages each"
+        "{cores} cores, {count} destinations, {RATE} messages per second, a wave of {size} with 3 messages each"
     );
-    let calm = if options.short { None } else { Some(play(options, count, Half::Calm, time)?) };
-    let rough = play(options, count, Half::Wave(size), time)?;
-    let lists = if options.short { None } else { Some(play(options, count, Half::Lists, time)?) };
-    let others = [("calm", calm.as_ref()), ("lists", lists.as_ref())];
+    let steady_run =
+        if options.short { None } else { Some(run_halves(options, count, SecondHalf::Steady, duration)?) };
+    let wave_run = run_halves(options, count, SecondHalf::Wave(size), duration)?;
+    let lists_run =
+        if options.short { None } else { Some(run_halves(options, count, SecondHalf::Lists, duration)?) };
+    let others = [("calm", steady_run.as_ref()), ("lists", lists_run.as_ref())];
     let others = others.into_iter().filter_map(|(name, run)| Some((name, run?)));
-    for (name, f) in others.chain([("wave", &rough)]) {
+    for (name, f) in others.chain([("wave", &wave_run)]) {
         println!(
-            "{name}: {} taken on, {} refused, {} asleep before the wave, {} connections at most, memory {} kB, \
-             busy ones' p99 {:?}, all of the wave that are well called after {:?}",
-            f.taken, f.refused, f.asleep, f.connections, f.memory_kb, f.p99, f.woken
+            "{name}: {} accepted, {} rejected, {} idle before the wave, {} connections at most, memory {} kB, \
+             p99 of the busiest {:?}, all healthy destinations of the wave called after {:?}",
+            f.accepted, f.rejected, f.idle, f.connections, f.memory_kb, f.p99, f.activation_time
         );
     }
-    let listed = (rough.listed_kb.saturating_sub(rough.bare_kb)) * 1000 / u64::from(count);
+    let listed = (wave_run.listed_kb.saturating_sub(wave_run.bare_kb)) * 1000 / u64::from(count);
     println!(
-        "the sender without a list {} kB, with it {} kB: {listed} bytes for a destination that is listed only",
-        rough.bare_kb, rough.listed_kb
+        "the sender without an endpoint list {} kB, with it {} kB: {listed} bytes for a destination that is only listed",
+        wave_run.bare_kb, wave_run.listed_kb
     );
-    if rough.asleep == 0 {
-        return Err("none slept: nothing was shown".into());
+    if wave_run.idle == 0 {
+        return Err("no destination became idle, so the run shows nothing".into());
     }
-    if rough.memory_kb > MEMORY_KB {
-        return Err(format!("the sender took {} kB", rough.memory_kb));
+    if wave_run.memory_kb > MAX_MEMORY_KB {
+        return Err(format!("the sender used {} kB of memory", wave_run.memory_kb));
     }
-    if let (Some(calm), Some(lists)) = (&calm, &lists)
-        && lists.p99 > calm.p99 + PAUSE
+    if let (Some(steady_run), Some(lists_run)) = (&steady_run, &lists_run)
+        && lists_run.p99 > steady_run.p99 + MAX_LIST_DELAY
     {
         return Err(format!(
-            "lists make the busy ones' p99 {:?} where it is {:?} without",
-            lists.p99, calm.p99
+            "p99 of the busiest destinations is {:?} with complete lists and {:?} without",
+            lists_run.p99, steady_run.p99
         ));
     }
-    let ratio = calm.map(|calm| rough.p99.as_secs_f64() / calm.p99.as_secs_f64().max(1e-6));
-    if let Some(ratio) = ratio.filter(|ratio| *ratio > SLOWER) {
-        return Err(format!("the busy ones' p99 is {ratio:.2} times what it is without the wave"));
+    let ratio =
+        steady_run.map(|steady_run| wave_run.p99.as_secs_f64() / steady_run.p99.as_secs_f64().max(1e-6));
+    if let Some(ratio) = ratio.filter(|ratio| *ratio > MAX_P99_RATIO) {
+        return Err(format!("p99 of the busiest destinations is {ratio:.2} times that without the wave"));
     }
-    let aim = if rough.memory_kb <= MEMORY_AIM_KB { "within" } else { "over" };
-    let ratio = ratio
-        .map_or_else(String::new, |ratio| format!(", the busy ones' p99 {ratio:.2} times the calm run's"));
+    let verdict = if wave_run.memory_kb <= MEMORY_TARGET_KB { "within" } else { "over" };
+    let ratio = ratio.map_or_else(String::new, |ratio| {
+        format!(", p99 of the busiest destinations {ratio:.2} times that of the calm run")
+    });
     Ok(format!(
-        "no call before a wait was over, none beside a first one, none lost; memory {} kB, {aim} the aim of \
-         {MEMORY_AIM_KB}{ratio}",
-        rough.memory_kb
+        "no call before the end of a wait, none concurrent with a first call, no message lost; memory {} kB, {verdict} the target of \
+         {MEMORY_TARGET_KB}{ratio}",
+        wave_run.memory_kb
     ))
 }
--- a/crates/loadtest/src/limited.rs
+++ b/crates/loadtest/src/limited.rs
@@ -1,4 +1,5 @@
-//! Partners with limits, outages and cold returns on real sockets: the fleet's law, one thread for all of them.
+//! HTTP servers that answer as the simulated partners of `fleet-sim`: with limits, outages and cold phases after them. One thread
+//! serves all partners.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,31 +18,31 @@
 use serde_json::Value;
 use tokio::net::{TcpListener, TcpStream};
 
-/// What came of one message at all partners.
+/// Effects of one message at all partners.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Delivered {
-    /// How often it took effect.
+    /// Number of times that the message took effect.
     pub ran: u32,
-    /// When it was first answered, since the beginning.
+    /// Time of the first answer to it, since the start.
     pub at: Option<Duration>,
 }
 
 struct State {
     partners: Vec<Partner>,
-    begun: Instant,
+    started: Instant,
     messages: HashMap<String, Delivered>,
 }
 
-/// All of them.
+/// Handle of all partners.
 #[derive(Clone)]
-pub struct Limited {
-    /// Where they listen, in their order.
+pub struct LimitedPartners {
+    /// Addresses of the partners, in their order.
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
 }
 
-impl Limited {
-    /// Listens. Their outages count from now on.
+impl LimitedPartners {
+    /// Starts the partners. The times of their outages count from now on.
     pub fn new(partners: Vec<Partner>) -> Result<Self, String> {
         let listeners = partners.iter().map(|_| {
             let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
@@ -50,9 +51,9 @@
         });
         let listeners = listeners.collect::<std::io::Result<Vec<_>>>().map_err(|e| e.to_string())?;
         let addresses = listeners.iter().filter_map(|listener| listener.local_addr().ok()).collect();
-        let state = State { partners, begun: Instant::now(), messages: HashMap::new() };
-        let all = Self { addresses, state: Arc::new(Mutex::new(state)) };
-        let serving = all.clone();
+        let state = State { partners, started: Instant::now(), messages: HashMap::new() };
+        let server = Self { addresses, state: Arc::new(Mutex::new(state)) };
+        let task_server = server.clone();
         thread::spawn(move || {
             let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
                 return;
@@ -61,52 +62,52 @@
                 let mut tasks = tokio::task::JoinSet::new();
                 for (number, listener) in listeners.into_iter().enumerate() {
                     let Ok(listener) = TcpListener::from_std(listener) else { return };
-                    let serving = serving.clone();
+                    let task_server = task_server.clone();
                     tasks.spawn(async move {
                         while let Ok((stream, _)) = listener.accept().await {
-                            // One that is down takes no connections; the call that wanted one counts all the same.
-                            if serving.is_down(number) {
-                                serving.call(number);
+                            // A partner that is down drops the connection; the call still counts as one of its calls.
+                            if task_server.is_down(number) {
+                                task_server.call(number);
                                 continue;
                             }
-                            tokio::spawn(serving.clone().serve(number, stream));
+                            tokio::spawn(task_server.clone().serve(number, stream));
                         }
                     });
                 }
                 while tasks.join_next().await.is_some() {}
             });
         });
-        Ok(all)
+        Ok(server)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The partners as they are now, with what they counted.
+    /// Returns the partners in their present state, with their counts.
     pub fn partners(&self) -> Vec<Partner> {
         self.state().partners.clone()
     }
 
-    /// Since the beginning.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
-        self.state().begun.elapsed()
+        self.state().started.elapsed()
     }
 
-    /// What came of each message, by its `Req-Id`.
+    /// Returns the effects of each message, by its `Req-Id`.
     pub fn messages(&self) -> HashMap<String, Delivered> {
         self.state().messages.clone()
     }
 
     fn is_down(&self, number: usize) -> bool {
         let state = self.state();
-        let at = state.begun.elapsed().as_secs_f64();
+        let at = state.started.elapsed().as_secs_f64();
         state.partners[number].outages.iter().any(|span| (span.0..span.1).contains(&at))
     }
 
     fn call(&self, number: usize) -> (Outcome, Vec<f32>, Duration) {
         let state = &mut *self.state();
-        let now = state.begun.elapsed().as_micros() as u64;
+        let now = state.started.elapsed().as_micros() as u64;
         let partner = &mut state.partners[number];
         let (outcome, report) = partner.call(now);
         (outcome, report, Duration::from_secs_f64(partner.call_seconds))
@@ -115,8 +116,8 @@
     async fn serve(self, number: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request: Request<Incoming>| {
-            let all = self.clone();
-            async move { all.answer(number, request).await }
+            let server = self.clone();
+            async move { server.answer(number, request).await }
         });
         let _ =
             hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -138,7 +139,7 @@
             }
             false => vec![id],
         };
-        let (outcome, report, takes) = self.call(number);
+        let (outcome, report, duration) = self.call(number);
         let load = report.first().zip(report.get(1)).map(|(left, limit)| format!("x0={left},x1={limit}"));
         let answer = |status: u16, body: String| {
             let mut response = Response::builder().status(status);
@@ -152,19 +153,19 @@
                 for id in &ids {
                     self.state().messages.entry(id.clone()).or_default().ran += 1;
                 }
-                tokio::time::sleep(takes).await;
+                tokio::time::sleep(duration).await;
                 let state = &mut *self.state();
-                let at = state.begun.elapsed();
+                let at = state.started.elapsed();
                 for id in &ids {
                     state.messages.entry(id.clone()).or_default().at.get_or_insert(at);
                 }
-                let ends: Vec<_> =
+                let states: Vec<_> =
                     ids.iter().map(|id| serde_json::json!({"id": id, "state": "ok"})).collect();
-                answer(200, if batch { Value::from(ends).to_string() } else { String::new() })
+                answer(200, if batch { Value::from(states).to_string() } else { String::new() })
             }
             Outcome::Rejected(_) => answer(503, String::new()),
-            // It went down with the connection open.
-            _ => Err("down".to_owned()),
+            // The partner went down while the connection was open.
+            _ => Err("the partner is down".to_owned()),
         }
     }
 }
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,7 +1,7 @@
-//! Measurements and faults against the real sender, on loopback: one scenario a name, each bounded in time, its last
-//! line `held: …` with the figures or `broken: …` with what did not hold.
+//! Measurements and fault injection against the real sender, on loopback. Each scenario has a name and a bounded duration; its last
+//! line is `held: …` with the figures, or `broken: …` with what failed.
 
-#![allow(clippy::unwrap_used, reason = "a load test that fails ends in `broken`")]
+#![allow(clippy::unwrap_used, reason = "a panic in a scenario is reported as `broken`")]
 
 mod compaction_kills;
 mod cores;
@@ -39,11 +39,11 @@
     upgrade_kills::CORES,
 ];
 
-/// Runs a measurement or a fault run by its name; `list` names them all.
+/// Runs a measurement or a fault scenario by name; `list` prints all of them.
 #[derive(Parser)]
 #[command(name = "loadtest", version)]
 struct Arguments {
-    /// Its name, or `list`.
+    /// Name of the scenario, or `list`.
     name: String,
     #[command(flatten)]
     options: Options,
@@ -53,8 +53,8 @@
     let mut arguments = std::env::args_os();
     if let (Some(first), Some(second)) = (std::env::args().nth(1), std::env::args().nth(2)) {
         let run = match first.as_str() {
-            journal_bench::READER => Some(journal_bench::reader(second.as_ref())),
-            proxy::PROXY => {
+            journal_bench::RUN_AS_READER => Some(journal_bench::run_reader(second.as_ref())),
+            proxy::RUN_AS_PROXY => {
                 let cores = std::env::args().nth(3).and_then(|cores| cores.parse().ok());
                 Some(proxy::run(&second, cores.unwrap_or(1)))
             }
@@ -64,8 +64,8 @@
             return run.map_or(ExitCode::FAILURE, |()| ExitCode::SUCCESS);
         }
     }
-    // The program is the sender too, so that what it starts is always the code that it was built with.
-    if arguments.nth(1).is_some_and(|first| first == scenario::SENDER) {
+    // This program contains the sender too, so that the processes it starts always run the code that it was built with.
+    if arguments.nth(1).is_some_and(|first| first == scenario::RUN_AS_SENDER) {
         return sender::cli::main(std::iter::once("myrtleyard".into()).chain(arguments));
     }
     let Arguments { name, options } = Arguments::parse();
@@ -76,7 +76,7 @@
         return ExitCode::SUCCESS;
     }
     let Some(scenario) = SCENARIOS.iter().find(|scenario| scenario.name == name) else {
-        println!("broken: there is no scenario {name}; `loadtest list` names them");
+        println!("broken: there is no scenario {name}; `loadtest list` prints all of them");
         return ExitCode::FAILURE;
     };
     if let Some(sender) = &options.sender {
@@ -84,13 +84,13 @@
     }
     println!("{name}, seed {}", options.seed());
     let run = catch_unwind(AssertUnwindSafe(|| (scenario.run)(&options)));
-    match run.unwrap_or_else(|_| Err("the load test itself failed, as it said above".into())) {
+    match run.unwrap_or_else(|_| Err("the scenario panicked; its message is printed above".into())) {
         Ok(figures) => {
             println!("held: {figures}");
             ExitCode::SUCCESS
         }
-        Err(what) => {
-            println!("broken: {what}");
+        Err(failure) => {
+            println!("broken: {failure}");
             ExitCode::FAILURE
         }
     }
--- a/crates/loadtest/src/proxy.rs
+++ b/crates/loadtest/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A bare proxy that decides and journals nothing: what HTTP alone costs.
+//! Bare proxy without decisions and without a journal. It shows the cost of HTTP alone.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -15,14 +15,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// The first argument with which the program is the proxy; the second is where it sends what it gets, in turn where there are
-/// several places, and a third how many cores it uses.
-pub const PROXY: &str = "run-as-proxy";
+/// First argument that makes this program run as the proxy. The second lists the upstream addresses, which are used in rotation,
+/// and the third gives the number of cores.
+pub const RUN_AS_PROXY: &str = "run-as-proxy";
 
-/// Kept connections of a core, by place.
+/// Idle connections of one core, by upstream address.
 struct Pool {
-    places: Vec<SocketAddr>,
-    kept: RefCell<Vec<Vec<SendRequest<Full<Bytes>>>>>,
+    addresses: Vec<SocketAddr>,
+    idle: RefCell<Vec<Vec<SendRequest<Full<Bytes>>>>>,
     next: Cell<usize>,
 }
 
@@ -35,66 +35,69 @@
 }
 
 async fn forward(request: Request<Incoming>, pool: Rc<Pool>) -> Option<StatusCode> {
-    let place = pool.next.get();
-    pool.next.set((place + 1) % pool.places.len());
-    let upstream = pool.places[place];
+    let address_index = pool.next.get();
+    pool.next.set((address_index + 1) % pool.addresses.len());
+    let upstream = pool.addresses[address_index];
     let (head, body) = request.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
-    let mut onward = Request::post("/v1/messages").header("host", upstream.to_string());
+    let mut upstream_request = Request::post("/v1/messages").header("host", upstream.to_string());
     for name in ["req-id", "idempotency-key", "req-deadline-ms"] {
         if let Some(value) = head.headers.get(name) {
-            onward = onward.header(name, value);
+            upstream_request = upstream_request.header(name, value);
         }
     }
-    let kept = pool.kept.borrow_mut()[place].pop().filter(|kept| !kept.is_closed());
-    let mut sender = match kept {
-        Some(kept) => kept,
+    let idle = pool.idle.borrow_mut()[address_index].pop().filter(|idle| !idle.is_closed());
+    let mut sender = match idle {
+        Some(idle) => idle,
         None => connect(upstream).await?,
     };
     sender.ready().await.ok()?;
-    let answer = sender.send_request(onward.body(Full::new(body)).ok()?).await.ok()?;
-    let status = answer.status();
-    answer.into_body().collect().await.ok()?;
-    pool.kept.borrow_mut()[place].push(sender);
+    let response = sender.send_request(upstream_request.body(Full::new(body)).ok()?).await.ok()?;
+    let status = response.status();
+    response.into_body().collect().await.ok()?;
+    pool.idle.borrow_mut()[address_index].push(sender);
     Some(status)
 }
 
-/// Listens, prints where, and forwards on so many cores until the process ends. A core takes a connection when it has
-/// nothing else to do.
+/// Listens, prints the address, and forwards requests on this number of cores until the process ends. Each core serves the
+/// connections that are assigned to it.
 pub fn run(upstream: &str, cores: usize) -> Result<(), String> {
-    let places = upstream.split(',').map(|place| place.parse().map_err(|e| format!("{place}: {e}")));
-    let places = places.collect::<Result<Vec<SocketAddr>, String>>()?;
+    let addresses = upstream.split(',').map(|address| address.parse().map_err(|e| format!("{address}: {e}")));
+    let addresses = addresses.collect::<Result<Vec<SocketAddr>, String>>()?;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
     listener.set_nonblocking(true).map_err(|e| e.to_string())?;
     println!("{}", listener.local_addr().map_err(|e| e.to_string())?);
-    // Connections are dealt out in turn, so that each core has as many.
-    let mut takers = Vec::new();
+    // Connections are assigned in rotation, so that all cores have the same number.
+    let mut core_channels = Vec::new();
     let mut threads = Vec::new();
     for _ in 0..cores.max(1) {
-        let (deal, dealt) = tokio::sync::mpsc::unbounded_channel();
-        takers.push(deal);
-        let places = places.clone();
-        threads.push(std::thread::spawn(move || serve(places, dealt)));
+        let (connections, assigned) = tokio::sync::mpsc::unbounded_channel();
+        core_channels.push(connections);
+        let addresses = addresses.clone();
+        threads.push(std::thread::spawn(move || serve(addresses, assigned)));
     }
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     runtime.block_on(async {
         let listener = TcpListener::from_std(listener).map_err(|e| e.to_string())?;
-        for taker in takers.iter().cycle() {
+        for core_channel in core_channels.iter().cycle() {
             let (stream, _) = listener.accept().await.map_err(|e| e.to_string())?;
-            let _ = taker.send(stream.into_std().map_err(|e| e.to_string())?);
+            let _ = core_channel.send(stream.into_std().map_err(|e| e.to_string())?);
         }
         Ok::<_, String>(())
     })
 }
 
-fn serve(places: Vec<SocketAddr>, mut dealt: UnboundedReceiver<std::net::TcpStream>) -> Result<(), String> {
+fn serve(
+    addresses: Vec<SocketAddr>,
+    mut assigned: UnboundedReceiver<std::net::TcpStream>,
+) -> Result<(), String> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let kept = RefCell::new(places.iter().map(|_| Vec::new()).collect());
-        let pool = Rc::new(Pool { places, kept, next: Cell::new(0) });
-        while let Some(stream) = dealt.recv().await {
+        let idle = RefCell::new(addresses.iter().map(|_| Vec::new()).collect());
+        let pool = Rc::new(Pool { addresses, idle, next: Cell::new(0) });
+        while let Some(stream) = assigned.recv().await {
             let stream = TcpStream::from_std(stream).map_err(|e| e.to_string())?;
             let _ = stream.set_nodelay(true);
             let pool = pool.clone();
--- a/crates/loadtest/src/scenario.rs
+++ b/crates/loadtest/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What scenarios have in common.
+//! Command-line options, the sender program and the message accounting that the scenarios share.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -7,114 +7,115 @@
 
 use test_doubles::{ClientAnswer, Effects, Program, Submission};
 
-/// The first argument with which the program is the sender.
-pub const SENDER: &str = "run-as-sender";
+/// First argument that makes this program run as the sender.
+pub const RUN_AS_SENDER: &str = "run-as-sender";
 
-/// What the command line says.
+/// Options of the command line.
 #[derive(Debug, clap::Args)]
 pub struct Options {
-    /// Repeats a run, as far as real processes allow.
+    /// Seed of the random draws; repeats a run as far as real processes allow.
     #[arg(long)]
     seed: Option<u64>,
-    /// The short form that the tests run.
+    /// Runs the short form that the tests use.
     #[arg(long)]
     pub short: bool,
-    /// How many points a fault run has.
+    /// Number of faults that a fault scenario injects.
     #[arg(long)]
     pub points: Option<usize>,
-    /// How many destinations there are.
+    /// Number of destinations.
     #[arg(long)]
     pub destinations: Option<u16>,
-    /// How often a run kills its senders, where it can.
+    /// Number of times that a scenario kills its sender, where it supports that.
     #[arg(long)]
     pub restarts: Option<usize>,
-    /// How many cores the sender has.
+    /// Number of cores of the sender.
     #[arg(long)]
     pub cores: Option<u8>,
-    /// How many senders there are.
+    /// Number of senders.
     #[arg(long)]
     pub senders: Option<usize>,
-    /// The program that is the sender, in place of this one: another version, or one that runs several by turns.
+    /// Sender executable to use instead of this program: another version, or a wrapper that alternates between versions.
     #[arg(long, value_name = "FILE")]
     pub sender: Option<PathBuf>,
     #[arg(skip)]
-    drawn: OnceLock<u64>,
+    random_seed: OnceLock<u64>,
 }
 
 impl Options {
-    /// The seed that was told, or one that was drawn.
+    /// Returns the seed of the command line, or else one drawn at random once per process.
     pub fn seed(&self) -> u64 {
-        self.seed.unwrap_or_else(|| *self.drawn.get_or_init(|| fastrand::u64(..)))
+        self.seed.unwrap_or_else(|| *self.random_seed.get_or_init(|| fastrand::u64(..)))
     }
 }
 
-/// A run by its name. It ends with its figures, or with what did not hold.
+/// A named scenario. It returns its figures, or as an error what failed.
 pub struct Scenario {
-    /// Its name.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it shows, in a line.
+    /// Description of one line for `loadtest list`.
     pub about: &'static str,
-    /// Runs it.
+    /// Runs the scenario.
     pub run: fn(&Options) -> Result<String, String>,
 }
 
-/// The program that is the sender, where it is not this one.
+/// Sender executable of the command line, if not this program.
 pub static OTHER_SENDER: OnceLock<PathBuf> = OnceLock::new();
 
-/// The sender that the program was built with, or the one that the command line names.
-pub fn program() -> Program {
+/// Returns the sender to run: the one of the command line, or else the one that is built into this program.
+pub fn sender_program() -> Program {
     if let Some(other) = OTHER_SENDER.get() {
         return Program::new(other);
     }
-    Program::new(std::env::current_exe().expect("the program's own file")).arg(SENDER)
+    Program::new(std::env::current_exe().expect("the path of the current executable is known"))
+        .arg(RUN_AS_SENDER)
 }
 
-/// How the messages of a run ended.
+/// Outcomes of the messages of a run.
 #[derive(Debug, Default)]
-pub struct Ends {
-    /// Taken on, and answered 200 by a partner.
+pub struct Outcomes {
+    /// Messages that were accepted and answered with 200 by a partner.
     pub delivered: usize,
-    /// Taken on, and ended by a notice.
-    pub noticed: usize,
-    /// Taken on, with neither.
+    /// Messages that were accepted and ended by a notification.
+    pub notified: usize,
+    /// Messages that were accepted and have neither.
     pub lost: Vec<String>,
-    /// Of a class that must not take effect twice, and took effect twice, whatever their clients heard.
-    pub twice: Vec<String>,
+    /// Non-idempotent messages that took effect more than once, whatever response their clients received.
+    pub duplicated: Vec<String>,
 }
 
-impl Ends {
-    /// Waits until each message that was taken on has its end, or the patience is over.
-    pub fn wait(patience: Duration, look: impl Fn() -> Self) -> Self {
-        let until = Instant::now() + patience;
-        let mut ends = look();
-        while !ends.lost.is_empty() && Instant::now() < until {
+impl Outcomes {
+    /// Waits until each accepted message has an outcome, or until the timeout.
+    pub fn wait(timeout: Duration, observe: impl Fn() -> Self) -> Self {
+        let end = Instant::now() + timeout;
+        let mut outcomes = observe();
+        while !outcomes.lost.is_empty() && Instant::now() < end {
             std::thread::sleep(Duration::from_millis(20));
-            ends = look();
+            outcomes = observe();
         }
-        ends
+        outcomes
     }
 
-    /// Holds what clients heard against what partners did and what the platform was told.
-    pub fn of(
-        said: &HashMap<String, Submission>,
+    /// Compares the responses to clients with the effects at partners and the notifications to the platform.
+    pub fn count(
+        submissions: &HashMap<String, Submission>,
         effects: &HashMap<String, Effects>,
-        notices: &HashMap<String, Vec<String>>,
+        notifications: &HashMap<String, Vec<String>>,
     ) -> Self {
-        let mut ends = Self::default();
-        for (id, message) in said {
-            let of = effects.get(id).copied().unwrap_or_default();
-            // Whatever its client heard: it must not take effect twice.
-            if message.class == "order" && of.ran > 1 {
-                ends.twice.push(id.clone());
+        let mut outcomes = Self::default();
+        for (id, message) in submissions {
+            let effect = effects.get(id).copied().unwrap_or_default();
+            // This holds for each response, also when the client received none.
+            if message.class == "order" && effect.ran > 1 {
+                outcomes.duplicated.push(id.clone());
             }
             if message.answer == ClientAnswer::Accepted {
-                match (of.answered > 0, notices.contains_key(id)) {
-                    (true, _) => ends.delivered += 1,
-                    (false, true) => ends.noticed += 1,
-                    (false, false) => ends.lost.push(id.clone()),
+                match (effect.answered > 0, notifications.contains_key(id)) {
+                    (true, _) => outcomes.delivered += 1,
+                    (false, true) => outcomes.notified += 1,
+                    (false, false) => outcomes.lost.push(id.clone()),
                 }
             }
         }
-        ends
+        outcomes
     }
 }
--- a/crates/loadtest/src/stores.rs
+++ b/crates/loadtest/src/stores.rs
@@ -1,67 +1,69 @@
-//! The same stream through other stores: what was weighed.
+//! Writes the same stream of records to the journal and to embedded databases, for comparison.
 
 use std::path::Path;
 use std::time::Instant;
 
 use journal::{Journal, Options, Record};
 
-use crate::stream::{Stream, Times, used};
+use crate::stream::{Durations, Stream, disk_usage};
 
-/// A store that keeps records so that they outlast the process, not the machine.
+/// A store of records that survive a crash of the process, though not one of the machine.
 trait Store {
-    /// Its name.
+    /// Name in the output.
     fn name(&self) -> &'static str;
 
-    /// Keeps the records of a turn; they outlast SIGKILL when it returns.
-    fn turn(&mut self, records: &mut Vec<Record>) -> Result<(), String>;
+    /// Stores the records of one iteration; once this returns, they survive SIGKILL.
+    fn store_records(&mut self, records: &mut Vec<Record>) -> Result<(), String>;
 }
 
-struct Own(Journal);
+/// The sender's journal.
+struct SenderJournal(Journal);
 
-impl Store for Own {
+impl Store for SenderJournal {
     fn name(&self) -> &'static str {
         "this journal"
     }
-    fn turn(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
+    fn store_records(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
         self.0.append(1, records).map_err(|e| e.to_string())?;
         self.0.compact_step(1).map_err(|e| e.to_string())
     }
 }
 
-/// Prints a line for each store: turns a second, the 99.9th percentile, and the most that its folder ever took.
-pub fn compare(folder: &Path, seed: u64, turns: u32) -> Result<(), String> {
+/// Prints a line for each store: iterations per second, the 99.9th percentile, and the highest disk usage of its folder.
+pub fn compare(folder: &Path, seed: u64, iterations: u32) -> Result<(), String> {
     for limit in [3_000_000u64, 10_000_000_000] {
         let live = if limit < 10_000_000 { 200 } else { 1000 };
-        let own = folder.join(format!("own{limit}"));
-        let (journal, _) =
-            Journal::open(&own, Options { limit, ..Options::default() }, 1).map_err(|e| e.to_string())?;
+        let journal_folder = folder.join(format!("own{limit}"));
+        let (journal, _) = Journal::open(&journal_folder, Options { limit, ..Options::default() }, 1)
+            .map_err(|e| e.to_string())?;
         #[cfg_attr(not(feature = "embedded"), allow(unused_mut))]
-        let mut stores: Vec<(std::path::PathBuf, Box<dyn Store>)> = vec![(own, Box::new(Own(journal)))];
+        let mut stores: Vec<(std::path::PathBuf, Box<dyn Store>)> =
+            vec![(journal_folder, Box::new(SenderJournal(journal)))];
         #[cfg(feature = "embedded")]
         embedded::add(&mut stores, folder, limit)?;
         for (path, mut store) in stores {
             let mut stream = Stream::new(seed, live);
-            let (mut records, mut times, mut most) = (Vec::new(), Vec::new(), 0);
-            for n in 0..turns {
-                stream.turn(&mut records);
-                let begun = Instant::now();
-                store.turn(&mut records)?;
-                times.push(begun.elapsed());
+            let (mut records, mut durations, mut max_disk_usage) = (Vec::new(), Vec::new(), 0);
+            for n in 0..iterations {
+                stream.next_records(&mut records);
+                let started = Instant::now();
+                store.store_records(&mut records)?;
+                durations.push(started.elapsed());
                 if n % 64 == 0 {
-                    most = most.max(used(&path));
+                    max_disk_usage = max_disk_usage.max(disk_usage(&path));
                 }
             }
-            let times = Times::new(times);
+            let durations = Durations::new(durations);
             println!(
-                "{:<14} at {:>5} MB, {live} live: {:>8.0} turns/s, 99.9th percentile {:>10?}, longest {:>10?}, \
-                 {:>9} bytes on the disk at most{}",
+                "{:<14} at {:>5} MB, {live} live: {:>8.0} iterations/s, 99.9th percentile {:>10?}, longest {:>10?}, \
+                 {:>9} bytes on disk at most{}",
                 store.name(),
                 limit / 1_000_000,
-                f64::from(turns) / times.sum().as_secs_f64(),
-                times.at(0.999),
-                times.at(1.0),
-                most,
-                if most > limit { " (OVER)" } else { "" },
+                f64::from(iterations) / durations.sum().as_secs_f64(),
+                durations.quantile(0.999),
+                durations.quantile(1.0),
+                max_disk_usage,
+                if max_disk_usage > limit { " (over the limit)" } else { "" },
             );
             drop(store);
             let _ = std::fs::remove_dir_all(path);
@@ -70,7 +72,7 @@
     Ok(())
 }
 
-/// Embedded databases, each set so that what is committed outlasts SIGKILL, without syncs where it has such a mode.
+/// Embedded databases, each configured so that commits survive SIGKILL, and without syncs where it has such a mode.
 #[cfg(feature = "embedded")]
 mod embedded {
     use std::path::{Path, PathBuf};
@@ -79,12 +81,12 @@
 
     use super::Store;
 
-    /// A message's own row, and one for each attempt behind it.
+    /// Returns the key of a message's row, or of the row of one of its attempts, which follow it.
     fn key(message: u32, attempt: Option<u16>) -> u64 {
         u64::from(message) << 17 | attempt.map_or(0, |attempt| u64::from(attempt) + 1)
     }
 
-    /// What is put into a row; none removes it.
+    /// Returns the rows that a record writes, with their content; none deletes the row.
     fn rows(record: &Record) -> Vec<(u64, Option<Vec<u8>>)> {
         match record {
             Record::Taken(message, taken) => {
@@ -111,7 +113,7 @@
         fn name(&self) -> &'static str {
             "fjall"
         }
-        fn turn(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
+        fn store_records(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
             let mut batch = self.database.batch();
             for (key, value) in records.drain(..).flat_map(|record| rows(&record)) {
                 match value {
@@ -125,14 +127,14 @@
 
     const ROWS: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("rows");
 
-    /// It has no mode that outlasts SIGKILL without a sync.
+    /// Has no mode that survives SIGKILL without a sync.
     struct Redb(redb::Database);
 
     impl Store for Redb {
         fn name(&self) -> &'static str {
             "redb (syncs)"
         }
-        fn turn(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
+        fn store_records(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
             let write = self.0.begin_write().map_err(|e| e.to_string())?;
             {
                 let mut table = write.open_table(ROWS).map_err(|e| e.to_string())?;
@@ -154,7 +156,7 @@
         fn name(&self) -> &'static str {
             "SQLite"
         }
-        fn turn(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
+        fn store_records(&mut self, records: &mut Vec<Record>) -> Result<(), String> {
             let write = self.0.transaction().map_err(|e| e.to_string())?;
             for (key, value) in records.drain(..).flat_map(|record| rows(&record)) {
                 let key = key as i64;
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Opens each in a folder of its own.
+    /// Opens each database in a folder of its own.
     pub fn add(stores: &mut Vec<(PathBuf, Box<dyn Store>)>, folder: &Path, limit: u64) -> Result<(), String> {
         let path = folder.join(format!("fjall{limit}"));
         let database = fjall::Database::builder(&path).open().map_err(|e| e.to_string())?;
--- a/crates/loadtest/src/stream.rs
+++ b/crates/loadtest/src/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of records that stores are compared on, and how the times that they took are told.
+//! Generated stream of journal records on which stores are compared, and statistics of the times that they took.
 
 use std::collections::VecDeque;
 use std::fs;
@@ -8,38 +8,39 @@
 
 use journal::{AcceptedMessage, Record};
 
-/// Bytes of a message's body.
+/// Size of a message body, in bytes.
 pub const BODY: usize = 330;
-/// The stream of records: messages are taken on and begun in one turn, and over some turns later.
+/// Generator of records: each iteration accepts a message and starts its attempt; the message completes some iterations later.
 pub struct Stream {
     rng: fastrand::Rng,
     next: u32,
     live: VecDeque<u32>,
-    most: usize,
+    /// Maximum number of live messages.
+    max_live: usize,
     class: Arc<str>,
     endpoint: Arc<str>,
 }
 
 impl Stream {
-    /// A stream in which so many messages are live.
-    pub fn new(seed: u64, most: usize) -> Self {
+    /// Returns a stream that keeps up to `max_live` messages live.
+    pub fn new(seed: u64, max_live: usize) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
         Self {
             rng,
             next: 0,
             live: VecDeque::new(),
-            most,
+            max_live,
             class: "order".into(),
             endpoint: "s-5be2a07c".into(),
         }
     }
 
-    /// The next turn's records, in the place of what is there.
-    pub fn turn(&mut self, records: &mut Vec<Record>) {
+    /// Replaces the content of `records` by the records of the next iteration.
+    pub fn next_records(&mut self, records: &mut Vec<Record>) {
         records.clear();
         let message = self.next;
         self.next += 1;
-        let taken = Arc::new(AcceptedMessage {
+        let accepted = Arc::new(AcceptedMessage {
             id: format!("{:016x}", self.rng.u64(..)),
             key: Some(format!("{:032x}", self.rng.u128(..))),
             class: self.class.clone(),
@@ -47,46 +48,46 @@
             deadline: u64::MAX,
             body: vec![self.rng.u8(..); BODY].into(),
         });
-        records.push(Record::Accepted(message, taken));
+        records.push(Record::Accepted(message, accepted));
         let endpoint = self.endpoint.clone();
         records.push(Record::AttemptStarted { message, attempt: 0, endpoint, at: 1_700_000_000_000_000 });
         self.live.push_back(message);
-        if self.live.len() > self.most {
-            // Not always the oldest: some stay long.
-            let at = if self.rng.u8(..) < 16 { self.rng.usize(..self.live.len()) } else { 0 };
-            records.extend(self.live.swap_remove_front(at).map(Record::Completed));
+        if self.live.len() > self.max_live {
+            // One in 16 completions is that of a random message instead of the oldest one, so that some messages stay live for long.
+            let index = if self.rng.u8(..) < 16 { self.rng.usize(..self.live.len()) } else { 0 };
+            records.extend(self.live.swap_remove_front(index).map(Record::Completed));
         }
     }
 }
 
-/// Durations by their share.
-pub struct Times(Vec<Duration>);
+/// Sorted durations.
+pub struct Durations(Vec<Duration>);
 
-impl Times {
-    /// Sorts them.
-    pub fn new(mut times: Vec<Duration>) -> Self {
-        times.sort_unstable();
-        Self(times)
+impl Durations {
+    /// Sorts the durations.
+    pub fn new(mut durations: Vec<Duration>) -> Self {
+        durations.sort_unstable();
+        Self(durations)
     }
 
-    /// The time that this share does not exceed.
-    pub fn at(&self, share: f64) -> Duration {
-        let place = ((self.0.len() as f64 * share) as usize).min(self.0.len() - 1);
-        self.0[place]
+    /// Returns the quantile for this share, between 0 and 1.
+    pub fn quantile(&self, share: f64) -> Duration {
+        let index = ((self.0.len() as f64 * share) as usize).min(self.0.len() - 1);
+        self.0[index]
     }
 
-    /// Their sum.
+    /// Returns the sum of the durations.
     pub fn sum(&self) -> Duration {
         self.0.iter().sum()
     }
 }
 
-/// Bytes of a folder's files, in whole blocks of 512.
-pub fn used(folder: &Path) -> u64 {
+/// Returns the disk space of a folder's files in bytes, each rounded up to blocks of 512.
+pub fn disk_usage(folder: &Path) -> u64 {
     let entries = fs::read_dir(folder).into_iter().flatten().flatten();
     let lengths = entries.filter_map(|entry| {
         let metadata = entry.metadata().ok()?;
-        if metadata.is_dir() { Some(used(&entry.path())) } else { Some(metadata.len()) }
+        if metadata.is_dir() { Some(disk_usage(&entry.path())) } else { Some(metadata.len()) }
     });
     lengths.map(|length| length.next_multiple_of(512)).sum()
 }
--- a/crates/loadtest/src/upgrade_kills.rs
+++ b/crates/loadtest/src/upgrade_kills.rs
@@ -1,5 +1,5 @@
-//! A real sender that is upgraded time and again under traffic; the old process, the new one or both are killed or paused at a
-//! random moment of the hand-over, and a third one is started into it.
+//! Upgrades a real sender repeatedly under traffic. At a random moment of each hand-over the predecessor, the successor or both are
+//! killed or suspended, and a third process is started that has to take over from whatever is left.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -13,66 +13,71 @@
     Behavior, ClientAnswer, Load, Node, Notifications, Partner, Plan, Platform, StartingNode, listing,
 };
 
-use crate::scenario::{Ends, Options, Scenario, program};
+use crate::scenario::{Options, Outcomes, Scenario, sender_program};
 
-/// The scenario.
+/// Scenario `upgrade-kills`: faults during hand-overs.
 pub const SCENARIO: Scenario = Scenario {
     name: "upgrade-kills",
-    about: "a sender upgraded under traffic, old and new process killed or paused at --points random moments (300)",
+    about: "a sender upgraded under traffic, predecessor and successor killed or suspended at --points random moments (300)",
     run,
 };
 
-/// The same with another number of cores in each process, and destinations that are moved meanwhile.
+/// Scenario `cores-kills`: the same with a random number of cores in each process, and destinations that move between cores.
 pub const CORES: Scenario = Scenario {
     name: "cores-kills",
-    about: "the same with 1 to 5 cores, another number in each process, and destinations that move (300)",
-    run: |options| run_with(options, Some(MOST_CORES)),
+    about: "upgrade-kills with 1 to 5 cores, a random number in each process, and destinations that move (300)",
+    run: |options| run_with(options, Some(MAX_CORES)),
 };
 
-/// Cores of a process at most.
-const MOST_CORES: u8 = 5;
-/// Senders that are upgraded side by side.
+/// Maximum number of cores of a process.
+const MAX_CORES: u8 = 5;
+/// Senders that are upgraded concurrently.
 const LANES: usize = 4;
-/// The third process has to be ready within that.
+/// The third process has to be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(6);
-const PAUSE: Duration = Duration::from_secs(2);
-/// From SIGTERM until an old process is killed.
-const END_WITHIN: Duration = Duration::from_millis(1_500);
-/// A figure may be so late, and off by a hundredth or by so many.
-const LATE: Duration = Duration::from_millis(500);
-const OFF_BY: i64 = 3;
-/// Callers at the second address that never finish a call.
-const SILENT: usize = 3;
+/// Time for which a process is suspended.
+const SUSPENSION: Duration = Duration::from_secs(2);
+/// Time from SIGTERM until a predecessor is killed.
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time after which a metric has to include an answer of a partner.
+const METRICS_DELAY: Duration = Duration::from_millis(500);
+/// A metric may differ from the partners' count by this number, or by one percent where that is more.
+const COUNT_TOLERANCE: i64 = 3;
+/// Clients of the admin address that never complete their request.
+const STALLED_CLIENTS: usize = 3;
 
-/// What is done to a hand-over.
+/// A fault that is injected into a hand-over, by the processes that it hits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fire {
-    Kill { old: bool, new: bool },
-    Pause { old: bool, new: bool },
+enum Fault {
+    /// SIGKILL.
+    Kill { predecessor: bool, successor: bool },
+    /// SIGSTOP, and SIGCONT after `SUSPENSION`.
+    Suspend { predecessor: bool, successor: bool },
 }
 
-const FIRES: [Fire; 6] = [
-    Fire::Kill { old: true, new: false },
-    Fire::Kill { old: false, new: true },
-    Fire::Kill { old: true, new: true },
-    Fire::Pause { old: true, new: false },
-    Fire::Pause { old: false, new: true },
-    Fire::Pause { old: true, new: true },
+const FAULTS: [Fault; 6] = [
+    Fault::Kill { predecessor: true, successor: false },
+    Fault::Kill { predecessor: false, successor: true },
+    Fault::Kill { predecessor: true, successor: true },
+    Fault::Suspend { predecessor: true, successor: false },
+    Fault::Suspend { predecessor: false, successor: true },
+    Fault::Suspend { predecessor: true, successor: true },
 ];
 
-/// What a lane came to.
+/// Result of one lane.
 #[derive(Debug, Default)]
-struct Came {
-    taken: usize,
+struct LaneResult {
+    accepted: usize,
     orders: usize,
     delivered: usize,
-    noticed: usize,
-    /// Hand-overs in which the new process was ready before the fire, or took over in spite of it.
+    notified: usize,
+    /// Hand-overs in which the successor became ready before the fault or in spite of it.
     handed_over: usize,
-    /// Comparisons of figures.
-    figures: usize,
-    /// Destinations that were told to go to another core.
+    /// Number of times that the metrics were compared with the partners' counts.
+    comparisons: usize,
+    /// Accepted requests to move a destination to another core.
     moves: usize,
+    /// Longest time from the start of a third process until it was ready.
     slowest: Duration,
 }
 
@@ -80,15 +85,15 @@
     partners: Vec<Partner>,
     rng: fastrand::Rng,
     node: Node,
-    came: Came,
+    result: LaneResult,
     operators: PathBuf,
-    /// Cores of a process at most, where their number changes.
+    /// Maximum number of cores of a process, where their number changes.
     cores: Option<u8>,
 }
 
-/// What the next process is told to switch on.
-fn switch_on(operators: &Path, cores: Option<u8>) -> Result<(), String> {
-    // What is known is written all the time, and taken over or believed; several cores don't write it yet.
+/// Writes the operators' file of the next process: the health snapshot, or the number of cores.
+fn write_operators_file(operators: &Path, cores: Option<u8>) -> Result<(), String> {
+    // The snapshot is written continuously, and the next process adopts or loads it. It can't be combined with several cores.
     let text = match cores {
         None => "[known]\non = true\nclock = \"boot\"\n".to_owned(),
         Some(cores) => format!("[cores]\ncount = {cores}\n"),
@@ -96,13 +101,13 @@
     std::fs::write(operators, text).map_err(|e| e.to_string())
 }
 
-/// Processes of which all but the last are told to end.
-fn end(mut node: Node) {
+/// Terminates a predecessor, and kills it when it is still running after `TERMINATION_TIMEOUT`.
+fn terminate(mut node: Node) {
     if node.has_ended() {
         return;
     }
     node.signal("-TERM");
-    let until = Instant::now() + END_WITHIN;
+    let until = Instant::now() + TERMINATION_TIMEOUT;
     while !node.has_ended() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -113,118 +118,121 @@
         self.partners.iter().map(|partner| partner.answered() as i64).sum()
     }
 
-    /// One hand-over under fire, and a third process into it.
-    fn point(mut self) -> Result<Self, String> {
-        let fire = FIRES[self.rng.usize(..FIRES.len())];
-        let mut old = self.node;
-        let another = |rng: &mut fastrand::Rng| self.cores.map(|most| rng.u8(1..=most));
-        if let Some(most) = self.cores {
+    /// Runs one hand-over with a fault, and starts a third process during it.
+    fn interrupted_hand_over(mut self) -> Result<Self, String> {
+        let fault = FAULTS[self.rng.usize(..FAULTS.len())];
+        let mut predecessor = self.node;
+        let random_cores = |rng: &mut fastrand::Rng| self.cores.map(|maximum| rng.u8(1..=maximum));
+        if let Some(maximum) = self.cores {
             for destination in 7..10 {
-                let core = self.rng.u8(..most);
-                let told =
-                    old.try_admin("POST", &format!("/cores/move?destination={destination}&core={core}"));
-                self.came.moves += usize::from(told.is_some_and(|told| told.status() == 202));
+                let core = self.rng.u8(..maximum);
+                let response = predecessor
+                    .try_admin("POST", &format!("/cores/move?destination={destination}&core={core}"));
+                self.result.moves += usize::from(response.is_some_and(|response| response.status() == 202));
             }
         }
-        switch_on(&self.operators, another(&mut self.rng))?;
-        let mut new = old.spawn_successor();
+        write_operators_file(&self.operators, random_cores(&mut self.rng))?;
+        let mut successor = predecessor.spawn_successor();
         std::thread::sleep(Duration::from_micros(self.rng.u64(..60_000)));
-        let (kills, pauses) = match fire {
-            Fire::Kill { old, new } => ((old, new), (false, false)),
-            Fire::Pause { old, new } => ((false, false), (old, new)),
+        let (kills, suspensions) = match fault {
+            Fault::Kill { predecessor, successor } => ((predecessor, successor), (false, false)),
+            Fault::Suspend { predecessor, successor } => ((false, false), (predecessor, successor)),
         };
-        let signals = |name: &str, of: (bool, bool), old: &Node, new: &StartingNode| {
+        let signals = |name: &str, of: (bool, bool), predecessor: &Node, successor: &StartingNode| {
             if of.0 {
-                old.signal(name);
+                predecessor.signal(name);
             }
             if of.1 {
-                new.signal(name);
+                successor.signal(name);
             }
         };
-        signals("-KILL", kills, &old, &new);
-        signals("-STOP", pauses, &old, &new);
-        switch_on(&self.operators, another(&mut self.rng))?;
-        let (mut third, began) = (old.spawn_successor(), Instant::now());
-        let mut paused = pauses != (false, false);
-        let mut termed = false;
-        while !third.is_ready() && began.elapsed() < READY_WITHIN {
-            if paused && began.elapsed() >= PAUSE {
-                paused = false;
-                signals("-CONT", pauses, &old, &new);
+        signals("-KILL", kills, &predecessor, &successor);
+        signals("-STOP", suspensions, &predecessor, &successor);
+        write_operators_file(&self.operators, random_cores(&mut self.rng))?;
+        let (mut third, started) = (predecessor.spawn_successor(), Instant::now());
+        let mut suspended = suspensions != (false, false);
+        let mut terminated = false;
+        while !third.is_ready() && started.elapsed() < READY_WITHIN {
+            if suspended && started.elapsed() >= SUSPENSION {
+                suspended = false;
+                signals("-CONT", suspensions, &predecessor, &successor);
             }
-            // As on the platform: once the new one says yes, the old one is told to end.
-            if !paused && !termed && new.is_ready() && !old.has_ended() {
-                termed = true;
-                old.signal("-TERM");
+            // As on the platform: the predecessor gets SIGTERM once the successor is ready.
+            if !suspended && !terminated && successor.is_ready() && !predecessor.has_ended() {
+                terminated = true;
+                predecessor.signal("-TERM");
             }
             if third.has_ended() {
                 break;
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        if paused {
-            std::thread::sleep(PAUSE.saturating_sub(began.elapsed()));
-            signals("-CONT", pauses, &old, &new);
+        if suspended {
+            std::thread::sleep(SUSPENSION.saturating_sub(started.elapsed()));
+            signals("-CONT", suspensions, &predecessor, &successor);
         }
-        let took = began.elapsed();
-        self.came.handed_over += usize::from(new.is_ready());
+        let startup_time = started.elapsed();
+        self.result.handed_over += usize::from(successor.is_ready());
         let third = match third.ready(Duration::ZERO) {
             Ok(third) => third,
             Err(failed) => {
                 let (third, log) = *failed;
                 third.end();
-                let logs = (old.log(), new.end(), log);
-                return Err(format!("{fire:?}: the third is not ready after {took:?}: {logs:?}"));
+                let logs = (predecessor.log(), successor.end(), log);
+                return Err(format!(
+                    "{fault:?}: the third process is not ready after {startup_time:?}: {logs:?}"
+                ));
             }
         };
-        self.came.slowest = self.came.slowest.max(took);
-        // Two that decide: both say that they take clients, one of them before and after the other did.
-        let decides = |node: &Node| {
-            node.try_admin("GET", "/status").is_some_and(|told| told.body == b"taking clients\n")
+        self.result.slowest = self.result.slowest.max(startup_time);
+        // Two processes are active at once if both report that they take clients, and one of them does so before and after the
+        // other one.
+        let is_active = |node: &Node| {
+            node.try_admin("GET", "/status").is_some_and(|response| response.body == b"taking clients\n")
         };
-        let new = if new.is_ready() {
-            new.ready(Duration::ZERO).map_err(|_| ()).ok()
+        let successor = if successor.is_ready() {
+            successor.ready(Duration::ZERO).map_err(|_| ()).ok()
         } else {
-            drop(new.end());
+            drop(successor.end());
             None
         };
-        let mut others: Vec<Node> = [Some(old), new].into_iter().flatten().collect();
+        let mut others: Vec<Node> = [Some(predecessor), successor].into_iter().flatten().collect();
         for other in &mut others {
-            if !other.has_ended() && decides(other) && decides(&third) && decides(other) {
-                return Err(format!("{fire:?}: two decide"));
+            if !other.has_ended() && is_active(other) && is_active(&third) && is_active(other) {
+                return Err(format!("{fault:?}: two processes are active at once"));
             }
         }
-        others.into_iter().for_each(end);
+        others.into_iter().for_each(terminate);
         self.node = third;
         Ok(self)
     }
 
-    /// Holds the figures against what partners counted, with callers that finish no call.
+    /// Compares the metrics with the partners' counts while some admin clients never complete their request.
     fn compare(&mut self) -> Result<(), String> {
-        let Some(ops) = self.node.admin else { return Err("there is no second address".into()) };
-        let silent: Vec<_> = (0..SILENT)
+        let Some(admin) = self.node.admin else { return Err("the sender has no admin address".into()) };
+        let stalled: Vec<_> = (0..STALLED_CLIENTS)
             .filter_map(|_| {
-                let mut caller = TcpStream::connect(ops).ok()?;
-                caller.write_all(b"GET /status HT").ok()?;
-                Some(caller)
+                let mut client = TcpStream::connect(admin).ok()?;
+                client.write_all(b"GET /status HT").ok()?;
+                Some(client)
             })
             .collect();
         let before = self.answered();
-        std::thread::sleep(LATE);
+        std::thread::sleep(METRICS_DELAY);
         let first = self.fulfilled()?;
         let after = self.answered();
-        std::thread::sleep(LATE);
+        std::thread::sleep(METRICS_DELAY);
         let before_last = self.answered();
-        std::thread::sleep(LATE);
+        std::thread::sleep(METRICS_DELAY);
         let last = self.fulfilled()?;
         let at_last = self.answered();
-        drop(silent);
+        drop(stalled);
         let counted = last - first;
-        let (least, most) = (before_last - after, at_last - before);
-        let off = |counted: i64| OFF_BY.max(counted / 100);
-        self.came.figures += 1;
-        if counted < least - off(least) || counted > most + off(most) {
-            return Err(format!("figures count {counted}, partners {least} to {most}"));
+        let (minimum, maximum) = (before_last - after, at_last - before);
+        let tolerance = |counted: i64| COUNT_TOLERANCE.max(counted / 100);
+        self.result.comparisons += 1;
+        if counted < minimum - tolerance(minimum) || counted > maximum + tolerance(maximum) {
+            return Err(format!("metrics count {counted} deliveries, partners {minimum} to {maximum}"));
         }
         Ok(())
     }
@@ -237,24 +245,24 @@
     }
 }
 
-fn lane(seed: u64, points: usize, cores: Option<u8>) -> Result<Came, String> {
+fn lane(seed: u64, points: usize, cores: Option<u8>) -> Result<LaneResult, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut platform = Platform::new();
-    let notices = Notifications::collect(&mut platform);
-    let well = |ms| Behavior::Healthy(Duration::from_millis(ms));
-    let partners = vec![Partner::new(well(2)), Partner::new(well(40)), Partner::new(well(5))];
+    let notifications = Notifications::collect(&mut platform);
+    let healthy = |ms| Behavior::Healthy(Duration::from_millis(ms));
+    let partners = vec![Partner::new(healthy(2)), Partner::new(healthy(40)), Partner::new(healthy(5))];
     let endpoints: Vec<_> = partners
         .iter()
         .zip(7..)
         .map(|(p, dest)| listing(&format!("e{dest}"), dest, "plain", p.address))
         .collect();
-    let held = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
-    let address = held.local_addr().map_err(|e| e.to_string())?;
+    let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
+    let address = listener.local_addr().map_err(|e| e.to_string())?;
     let folder = tempfile::tempdir().map_err(|e| e.to_string())?;
     let operators = folder.path().join("operators.toml");
-    switch_on(&operators, cores)?;
-    let program = program().arg("--operators").arg(&operators).inheriting(&held);
-    let node = Node::start(&program, &platform, &endpoints, |config| {
+    write_operators_file(&operators, cores)?;
+    let sender_program = sender_program().arg("--operators").arg(&operators).inheriting(&listener);
+    let node = Node::start(&sender_program, &platform, &endpoints, |config| {
         (config["listen"], config["ops"]) = (json!(address.to_string()), json!("127.0.0.1:0"));
         config["settings"]["family_info"]["calls_out"] = json!(32);
         config["settings"]["limits"]["max_open"] = json!(300);
@@ -269,74 +277,81 @@
     };
     let load = Load::start(&plan, &Arc::new(Mutex::new(Some(address))));
     let effects = || partners.iter().flat_map(Partner::effects).collect::<HashMap<_, _>>();
-    let (partners_of, came) = (partners.clone(), Came::default());
-    let mut lane = Lane { partners: partners_of, rng: rng.fork(), node, came, operators, cores };
-    for point in 1..=points {
+    let (partners_of, result) = (partners.clone(), LaneResult::default());
+    let mut lane = Lane { partners: partners_of, rng: rng.fork(), node, result, operators, cores };
+    for number in 1..=points {
         std::thread::sleep(Duration::from_millis(rng.u64(50..250)));
-        let ill = [Behavior::Silent, Behavior::Failing, Behavior::Rejecting, well(5)];
-        partners[2].set(ill[rng.usize(..ill.len())]);
-        lane = lane.point().map_err(|e| format!("point {point}: {e}"))?;
-        if point % 5 == 0 {
-            lane.compare().map_err(|e| format!("point {point}: {e}"))?;
+        let behaviors = [Behavior::Silent, Behavior::Failing, Behavior::Rejecting, healthy(5)];
+        partners[2].set(behaviors[rng.usize(..behaviors.len())]);
+        lane = lane.interrupted_hand_over().map_err(|e| format!("point {number}: {e}"))?;
+        if number % 5 == 0 {
+            lane.compare().map_err(|e| format!("point {number}: {e}"))?;
         }
     }
-    partners[2].set(well(5));
-    let said = load.stop();
-    let patience = Duration::from_millis(u64::from(plan.within_ms) + 3_000);
-    let ends = Ends::wait(patience, || Ends::of(&said, &effects(), &notices.all()));
-    if !ends.lost.is_empty() || !ends.twice.is_empty() {
+    partners[2].set(healthy(5));
+    let submissions = load.stop();
+    let timeout = Duration::from_millis(u64::from(plan.within_ms) + 3_000);
+    let outcomes =
+        Outcomes::wait(timeout, || Outcomes::count(&submissions, &effects(), &notifications.all()));
+    if !outcomes.lost.is_empty() || !outcomes.duplicated.is_empty() {
         let some = |ids: &[String]| ids.iter().take(5).cloned().collect::<Vec<_>>();
-        return Err(format!("{:?} have no end, {:?} took effect twice", some(&ends.lost), some(&ends.twice)));
+        return Err(format!(
+            "{:?} have no outcome, {:?} took effect twice",
+            some(&outcomes.lost),
+            some(&outcomes.duplicated)
+        ));
     }
-    let mut came = lane.came;
-    (came.delivered, came.noticed, came.taken) =
-        (ends.delivered, ends.noticed, ends.delivered + ends.noticed);
-    came.orders = said.values().filter(|m| m.class == "order" && m.answer == ClientAnswer::Accepted).count();
-    Ok(came)
+    let mut result = lane.result;
+    (result.delivered, result.notified, result.accepted) =
+        (outcomes.delivered, outcomes.notified, outcomes.delivered + outcomes.notified);
+    result.orders =
+        submissions.values().filter(|m| m.class == "order" && m.answer == ClientAnswer::Accepted).count();
+    Ok(result)
 }
 
 fn run(options: &Options) -> Result<String, String> {
     run_with(options, None)
 }
 
-fn run_with(options: &Options, most: Option<u8>) -> Result<String, String> {
+fn run_with(options: &Options, maximum: Option<u8>) -> Result<String, String> {
     let points = options.points.unwrap_or(if options.short { 12 } else { 300 });
     let seed = options.seed();
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
             let part = points / LANES + usize::from(lane < points % LANES);
-            std::thread::spawn(move || self::lane(seed.wrapping_add(lane as u64), part, most))
+            std::thread::spawn(move || self::lane(seed.wrapping_add(lane as u64), part, maximum))
         })
         .collect();
-    let mut all = Came::default();
+    let mut all = LaneResult::default();
     for lane in lanes {
-        let came = lane.join().map_err(|_| "a lane failed, as it said above".to_owned())??;
-        all.taken += came.taken;
-        all.orders += came.orders;
-        all.delivered += came.delivered;
-        all.noticed += came.noticed;
-        all.handed_over += came.handed_over;
-        all.figures += came.figures;
-        all.moves += came.moves;
-        all.slowest = all.slowest.max(came.slowest);
+        let result =
+            lane.join().map_err(|_| "a lane panicked; its message is printed above".to_owned())??;
+        all.accepted += result.accepted;
+        all.orders += result.orders;
+        all.delivered += result.delivered;
+        all.notified += result.notified;
+        all.handed_over += result.handed_over;
+        all.comparisons += result.comparisons;
+        all.moves += result.moves;
+        all.slowest = all.slowest.max(result.slowest);
     }
-    if all.orders == 0 || all.handed_over == 0 || (most.is_some() && all.moves == 0) {
-        return Err(format!("{all:?}: too little came to pass"));
+    if all.orders == 0 || all.handed_over == 0 || (maximum.is_some() && all.moves == 0) {
+        return Err(format!("{all:?}: too few orders, hand-overs or moves for a verdict"));
     }
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
-    let each = most.map_or(String::new(), |most| {
-        format!(", 1 to {most} in a process, {} destinations told to move", all.moves)
+    let each = maximum.map_or(String::new(), |maximum| {
+        format!(", 1 to {maximum} per process, {} destinations moved on request", all.moves)
     });
     Ok(format!(
-        "{points} hand-overs under fire in {LANES} lanes on {cores} cores{each}, {} of them came about all the same; {} messages taken \
-         on ({} orders), {} delivered, {} ended by a notice, none without an end, no order twice, never two that decide; ready \
-         after {} ms at the latest; figures as partners counted, {} times",
+        "{points} hand-overs with a fault in {LANES} lanes on {cores} cores{each}, {} of them completed; {} messages accepted ({} \
+         orders), {} delivered, {} ended by a notification, none without an outcome, no order twice, never two active processes; \
+         ready after {} ms at the latest; metrics matched the partners' counts {} times",
         all.handed_over,
-        all.taken,
+        all.accepted,
         all.orders,
         all.delivered,
-        all.noticed,
+        all.notified,
         all.slowest.as_millis(),
-        all.figures,
+        all.comparisons,
     ))
 }
--- a/crates/loadtest/tests/short.rs
+++ b/crates/loadtest/tests/short.rs
@@ -1,20 +1,20 @@
-//! The scenarios' short forms.
+//! Short forms of the scenarios.
 
 use std::process::Command;
 use std::sync::{PoisonError, RwLock};
 
-/// What counts moments runs alone: guards its verdict against the others' load.
-static MACHINE: RwLock<()> = RwLock::new(());
+/// Held exclusively by a test whose verdict depends on timing, so that the load of the other tests does not falsify it.
+static MACHINE_LOCK: RwLock<()> = RwLock::new(());
 
-/// Runs one, and tells its last line.
+/// Runs a scenario and returns the last line of its output.
 fn last_line(arguments: &[&str]) -> String {
-    let _shared = MACHINE.read().unwrap_or_else(PoisonError::into_inner);
+    let _shared = MACHINE_LOCK.read().unwrap_or_else(PoisonError::into_inner);
     run(arguments)
 }
 
-/// The same with nothing else running here.
-fn last_line_alone(arguments: &[&str]) -> String {
-    let _alone = MACHINE.write().unwrap_or_else(PoisonError::into_inner);
+/// Does the same while no other test of this file runs.
+fn last_line_exclusive(arguments: &[&str]) -> String {
+    let _exclusive = MACHINE_LOCK.write().unwrap_or_else(PoisonError::into_inner);
     run(arguments)
 }
 
@@ -27,79 +27,79 @@
 }
 
 #[test]
-fn the_demo_holds() {
+fn demo_passes() {
     let last = last_line(&["demo", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn a_name_that_is_not_known_is_told() {
+fn reports_unknown_scenario_name() {
     let last = last_line(&["none"]);
     assert!(last.starts_with("broken: ") && last.contains("loadtest list"), "{last}");
 }
 
 #[test]
-fn a_sender_that_is_killed_while_it_compacts_loses_nothing_and_applies_nothing_twice() {
+fn kills_during_compaction_lose_and_duplicate_no_message() {
     let last = last_line(&["compaction-kills", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn the_journal_bench_runs() {
+fn journal_bench_passes() {
     let last = last_line(&["journal-bench", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn messages_pass_a_sender_and_a_proxy() {
+fn throughput_of_sender_and_proxy_is_measured() {
     let last = last_line(&["throughput", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn waits_of_sleepers_outlast_kills() {
+fn retry_after_of_idle_destinations_survives_kills() {
     let last = last_line(&["idle", "--destinations", "1000", "--restarts", "4"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn what_is_known_costs_little() {
+fn health_snapshot_cost_is_measured() {
     let last = last_line(&["known-cost", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn a_fleet_that_is_killed_loses_nothing() {
+fn killed_fleet_loses_no_message() {
     let last = last_line(&["herd", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn whatever_ends_nothing_is_left_owed() {
+fn each_message_has_one_outcome_after_random_faults() {
     let last = last_line(&["endings", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn hand_overs_under_fire_lose_nothing_and_apply_nothing_twice() {
+fn faults_during_hand_overs_lose_and_duplicate_no_message() {
     let last = last_line(&["upgrade-kills", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn several_cores_keep_waits_limits_and_shares_together() {
-    let last = last_line_alone(&["cores", "--short"]);
+fn several_cores_respect_waits_limits_and_quota_shares() {
+    let last = last_line_exclusive(&["cores", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn cores_that_move_destinations_and_are_killed_lose_nothing_and_apply_nothing_twice() {
+fn kills_with_moving_destinations_lose_and_duplicate_no_message() {
     let last = last_line(&["cores-kills", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
 
 #[test]
-fn sleepers_wake_within_their_waits_and_one_call_first() {
+fn idle_destinations_respect_waits_and_activate_with_one_call() {
     let last = last_line(&["idle", "--short"]);
     assert!(last.starts_with("held: "), "{last}");
 }
