--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -1,7 +1,7 @@
-//! The state that one process hands to the next, and what the two say to one another.
+//! The state that a predecessor hands over to its successor, and the messages between the two.
 //!
-//! States of the decision module are taken from days of drawn events, so that as many of their fields as possible are not
-//! at their defaults; days, like all else here, are the same each time.
+//! States of the decision module come from simulations with random events, so that as many fields as possible differ from their
+//! defaults. All random draws have fixed seeds, so that the files are the same each time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -17,39 +17,39 @@
 use rmpv::Value;
 
 const SECOND: Micros = 1_000_000;
-/// When a day begins.
+/// Time at which a simulation begins.
 const START: Micros = 1_800_000_000 * SECOND;
-/// Batches of events in a day.
-const STEPS: usize = 360;
-/// Destinations that there are.
+/// Number of event batches in a simulation.
+const BATCHES: usize = 360;
+/// Number of destinations.
 const DESTINATIONS: u16 = 12;
-/// Days that snapshots are chosen from.
-const DAYS: u64 = 9;
-/// Names of classes, in order.
+/// Number of simulations from which states are selected.
+const SIMULATIONS: u64 = 9;
+/// Names of the classes, in their order.
 const CLASSES: [&str; 4] = ["keyed", "once", "safe", "ordered"];
 
-/// Everything that is recorded of a hand-over: by file name, bytes.
+/// Returns the golden files of a hand-over by name.
 ///
 /// # Errors
-/// Fails when a state can't be written or read.
+/// Fails when a state can't be serialized or deserialized.
 pub fn files() -> io::Result<BTreeMap<String, Vec<u8>>> {
-    let policies = policies()?;
+    let policy_states = policy_states()?;
     let mut files = BTreeMap::new();
-    let biggest = policies.iter().max_by_key(|policy| policy.len()).cloned().unwrap_or_default();
-    for (number, policy) in policies.into_iter().enumerate() {
+    let largest = policy_states.iter().max_by_key(|policy| policy.len()).cloned().unwrap_or_default();
+    for (number, policy) in policy_states.into_iter().enumerate() {
         files.insert(format!("policy-{number}.msgpack"), policy);
     }
-    for (number, parcel) in parcels()?.into_iter().enumerate() {
-        files.insert(format!("parcel-{number}.msgpack"), parcel);
+    for (number, migrated) in migrated_states()?.into_iter().enumerate() {
+        files.insert(format!("parcel-{number}.msgpack"), migrated);
     }
-    files.insert("state.msgpack".to_owned(), named(&state(biggest))?);
-    files.insert("to_old.frames".to_owned(), frames(&to_old())?);
-    files.insert("to_new.frames".to_owned(), frames(&to_new())?);
+    files.insert("state.msgpack".to_owned(), to_message_pack(&handover_state(largest))?);
+    files.insert("to_old.frames".to_owned(), encode_frames(&messages_to_predecessor())?);
+    files.insert("to_new.frames".to_owned(), encode_frames(&messages_to_successor())?);
     files.insert("names.txt".to_owned(), listing(&names(&files)?).into_bytes());
     Ok(files)
 }
 
-/// Writes the golden files of this kind into the folder.
+/// Writes the golden files to the folder `handover` in `to`.
 ///
 /// # Errors
 /// Fails when a file cannot be written.
@@ -65,20 +65,20 @@
     Ok(())
 }
 
-/// Every key path of recorded files, and whether the value there was ever other than its default.
+/// Returns each key path in the files, and whether any value at this path differs from its default.
 ///
 /// # Errors
-/// Fails when a file is no MessagePack.
+/// Fails when a file is not valid MessagePack.
 pub fn names(files: &BTreeMap<String, Vec<u8>>) -> io::Result<BTreeMap<String, bool>> {
     let mut names = BTreeMap::new();
     for (file, bytes) in files {
         let (stem, kind) = file.split_once('.').unwrap_or((file, ""));
         let root = stem.split('-').next().unwrap_or(stem);
         match kind {
-            "msgpack" => walk(&decode(bytes)?, root, &mut names),
+            "msgpack" => collect_paths(&decode(bytes)?, root, &mut names),
             "frames" => {
                 for body in bodies(bytes)? {
-                    walk(&decode(body)?, root, &mut names);
+                    collect_paths(&decode(body)?, root, &mut names);
                 }
             }
             _ => {}
@@ -87,15 +87,15 @@
     Ok(names)
 }
 
-/// The listing of key paths as text, one a line.
+/// Returns the key paths as text, one per line.
 pub fn listing(names: &BTreeMap<String, bool>) -> String {
     names.keys().map(|name| format!("{name}\n")).collect()
 }
 
-/// The bodies of frames that follow each other.
+/// Splits consecutive frames into their bodies.
 ///
 /// # Errors
-/// Fails when the last one is not whole.
+/// Fails when the last frame is incomplete.
 pub fn bodies(mut bytes: &[u8]) -> io::Result<Vec<&[u8]>> {
     let mut bodies = Vec::new();
     while let Some((head, rest)) = bytes.split_first_chunk() {
@@ -107,18 +107,22 @@
     if bytes.is_empty() { Ok(bodies) } else { Err(io::ErrorKind::UnexpectedEof.into()) }
 }
 
-/// A state with the entries of hash maps and hash sets in order; fields stay in the order in which they were written.
+/// Returns a state with the entries of hash maps and hash sets sorted. Fields keep the order in which they were written.
 ///
 /// # Errors
-/// Fails when the bytes are no MessagePack.
+/// Fails when the bytes are not valid MessagePack.
 pub fn canonical(bytes: &[u8]) -> io::Result<Vec<u8>> {
-    encode(&sorted(decode(bytes)?, ""))
+    encode(&sort_sets(decode(bytes)?, ""))
 }
 
-/// A value of MessagePack, with nothing behind it.
+/// Decodes a MessagePack value that takes up all of the bytes.
 fn decode(mut bytes: &[u8]) -> io::Result<Value> {
     let value = rmpv::decode::read_value(&mut bytes).map_err(io::Error::other)?;
-    if bytes.is_empty() { Ok(value) } else { Err(io::Error::other("something stands behind the value")) }
+    if bytes.is_empty() {
+        Ok(value)
+    } else {
+        Err(io::Error::other("trailing bytes after the MessagePack value"))
+    }
 }
 
 fn encode(value: &Value) -> io::Result<Vec<u8>> {
@@ -127,19 +131,19 @@
     Ok(bytes)
 }
 
-fn named<T: serde::Serialize>(value: &T) -> io::Result<Vec<u8>> {
+fn to_message_pack<T: serde::Serialize>(value: &T) -> io::Result<Vec<u8>> {
     rmp_serde::to_vec_named(value).map_err(io::Error::other)
 }
 
-fn frames<T: serde::Serialize>(messages: &[T]) -> io::Result<Vec<u8>> {
+fn encode_frames<T: serde::Serialize>(messages: &[T]) -> io::Result<Vec<u8>> {
     let frames: Result<Vec<_>, _> = messages.iter().map(frame::write).collect();
     Ok(frames.map_err(io::Error::other)?.concat())
 }
 
-/// Arrays that are hash sets, whose order is nobody's.
+/// Paths of arrays that hold hash sets, the order of which is arbitrary.
 const SETS: [&str; 3] = [".routes.awake.awake", ".waking.granted", ".waking.out"];
 
-fn sorted(value: Value, path: &str) -> Value {
+fn sort_sets(value: Value, path: &str) -> Value {
     let bytes = |value: &Value| encode(value).unwrap_or_default();
     match value {
         Value::Map(entries) => {
@@ -148,7 +152,7 @@
                 .into_iter()
                 .map(|(key, value)| {
                     let path = format!("{path}.{}", key.as_str().unwrap_or("{}"));
-                    (key, sorted(value, &path))
+                    (key, sort_sets(value, &path))
                 })
                 .collect();
             if !fields {
@@ -157,7 +161,7 @@
             Value::Map(entries)
         }
         Value::Array(items) => {
-            let mut items: Vec<_> = items.into_iter().map(|item| sorted(item, path)).collect();
+            let mut items: Vec<_> = items.into_iter().map(|item| sort_sets(item, path)).collect();
             if SETS.contains(&path) {
                 items.sort_by_key(bytes);
             }
@@ -167,8 +171,8 @@
     }
 }
 
-/// Notes each path below a value. Variants without data are strings, and are listed as what stands there.
-fn walk(value: &Value, path: &str, names: &mut BTreeMap<String, bool>) {
+/// Adds each path below a value. A variant without data is a string, and its path is listed with this value.
+fn collect_paths(value: &Value, path: &str, names: &mut BTreeMap<String, bool>) {
     let set = match value {
         Value::Nil => false,
         Value::Boolean(set) => *set,
@@ -181,16 +185,16 @@
         }
         Value::Binary(bytes) => !bytes.is_empty(),
         Value::Array(items) => {
-            items.iter().for_each(|item| walk(item, &format!("{path}[]"), names));
+            items.iter().for_each(|item| collect_paths(item, &format!("{path}[]"), names));
             !items.is_empty()
         }
         Value::Map(entries) => {
             for (key, value) in entries {
                 match key.as_str() {
-                    Some(key) => walk(value, &format!("{path}.{key}"), names),
+                    Some(key) => collect_paths(value, &format!("{path}.{key}"), names),
                     None => {
-                        walk(key, &format!("{path}{{key}}"), names);
-                        walk(value, &format!("{path}{{}}"), names);
+                        collect_paths(key, &format!("{path}{{key}}"), names);
+                        collect_paths(value, &format!("{path}{{}}"), names);
                     }
                 }
             }
@@ -201,10 +205,10 @@
     *names.entry(path.to_owned()).or_default() |= set;
 }
 
-/// A hand-over with no field at its default.
-fn state(policy: Vec<u8>) -> HandoverState {
-    let texts = |texts: &[&str]| texts.iter().map(|text| (*text).to_owned()).collect::<Vec<_>>();
-    let listed = |n: u8, listing, gone| HandoverEndpoint {
+/// Returns a hand-over state in which no field has its default value.
+fn handover_state(policy: Vec<u8>) -> HandoverState {
+    let strings = |strings: &[&str]| strings.iter().map(|text| (*text).to_owned()).collect::<Vec<_>>();
+    let listed = |n: u8, listing, unlisted| HandoverEndpoint {
         id: endpoint(n, 1),
         name: format!("endpoint-{n}"),
         address: Some(format!("10.0.0.{n}:7000")),
@@ -213,11 +217,11 @@
         group: n.into(),
         listing,
         weight: 12.5,
-        unlisted: gone,
+        unlisted,
     };
     HandoverState {
         stopped_at: START + 17,
-        names: [texts(&CLASSES), texts(&["plain", "apart", "bundled"]), texts(&["near", "far"])].into(),
+        names: [strings(&CLASSES), strings(&["plain", "apart", "bundled"]), strings(&["near", "far"])].into(),
         policy: policy.into(),
         endpoints: vec![
             listed(1, Listing::Ready, false),
@@ -240,8 +244,8 @@
     }
 }
 
-/// One of each message that the new process says, and of each answer.
-fn to_old() -> Vec<ToPredecessor> {
+/// Returns one of each message from the successor, with each kind of answer.
+fn messages_to_predecessor() -> Vec<ToPredecessor> {
     let answers = [Answer::Accepted, Answer::Rejected(1_500), Answer::Failed, Answer::Delivered];
     let mut all = vec![
         ToPredecessor::RequestTakeover,
@@ -256,9 +260,9 @@
     all
 }
 
-/// One of each message that the old process says, with each outcome of an attempt and each call of on-call staff.
-fn to_new() -> Vec<ToSuccessor> {
-    let taken = AcceptedMessage {
+/// Returns one of each message from the predecessor, with each outcome of an attempt and each admin request.
+fn messages_to_successor() -> Vec<ToSuccessor> {
+    let accepted = AcceptedMessage {
         id: "request-1".to_owned(),
         key: Some("key-1".to_owned()),
         class: CLASSES[0].into(),
@@ -266,7 +270,7 @@
         deadline: START + 20 * SECOND,
         body: b"body"[..].into(),
     };
-    let over = |(outcome, n): (Outcome, u16)| AttemptCompleted {
+    let completed = |(outcome, n): (Outcome, u16)| AttemptCompleted {
         message: MessageId(u32::from(n)),
         attempt: n,
         endpoint: endpoint(1, 1),
@@ -289,7 +293,7 @@
         Outcome::NotSent { no_slot: true },
         Outcome::NotSent { no_slot: false },
     ];
-    let calls = [
+    let requests = [
         AdminRequest::Status,
         AdminRequest::Metrics,
         AdminRequest::Gossip,
@@ -300,29 +304,31 @@
         AdminRequest::Move { destination: 3, core: 1 },
     ];
     let mut all = vec![
-        ToSuccessor::State(Box::new(state(b"policy".to_vec()))),
+        ToSuccessor::State(Box::new(handover_state(b"policy".to_vec()))),
         ToSuccessor::Drained,
-        ToSuccessor::Submitted { number: 4, message: taken, request: 40 },
+        ToSuccessor::Submitted { number: 4, message: accepted, request: 40 },
         ToSuccessor::Withdrawn { id: "request-2".to_owned(), request: 41, destination: 3 },
-        ToSuccessor::CallCompleted(outcomes.into_iter().zip(1..).map(over).collect()),
+        ToSuccessor::CallCompleted(outcomes.into_iter().zip(1..).map(completed).collect()),
         ToSuccessor::RetryAfter(endpoint(2, 1), 700_000),
         ToSuccessor::ConnectionReused { lost: true },
     ];
-    all.extend(calls.into_iter().zip(1..).map(|(call, number)| ToSuccessor::AdminRequest { number, call }));
+    all.extend(
+        requests.into_iter().zip(1..).map(|(call, number)| ToSuccessor::AdminRequest { number, call }),
+    );
     all
 }
 
-/// Settings under which everything may happen, with no figure at its default.
+/// Returns settings that enable every feature, with no number at its default.
 pub fn settings(me: u16) -> Settings {
-    let class = |effect, in_order| Class {
-        idempotency: effect,
+    let class = |idempotency, in_order| Class {
+        idempotency,
         latency_objective: 4 * SECOND,
         deadline: 20 * SECOND,
         priority_weight: 1.5,
         late_weight: 0.5,
         in_order,
     };
-    let keyed = |group| Idempotency::Keyed { scope: group, window: 6 * SECOND };
+    let keyed = |scope| Idempotency::Keyed { scope, window: 6 * SECOND };
     Settings {
         classes: vec![
             class(keyed(IdempotencyScope::Zone), false),
@@ -400,9 +406,9 @@
     .collect()
 }
 
-/// An attempt that has no outcome yet.
+/// An attempt in flight.
 #[derive(Clone, Copy)]
-struct Out {
+struct InFlightAttempt {
     message: MessageId,
     attempt: u16,
     endpoint: EndpointId,
@@ -410,21 +416,21 @@
     until: Micros,
 }
 
-/// A decision module and its attempts.
+/// A decision module with its attempts in flight.
 struct Sender {
     policy: Policy,
-    out: Vec<Out>,
+    in_flight: Vec<InFlightAttempt>,
     attempts: BTreeMap<MessageId, u16>,
-    notes: Vec<Vec<u8>>,
+    gossip_messages: Vec<Vec<u8>>,
 }
 
 impl Sender {
     fn new(settings: Settings, seed: u64) -> Self {
         let policy = Policy::new(settings, seed, START);
-        Self { policy, out: Vec::new(), attempts: BTreeMap::new(), notes: Vec::new() }
+        Self { policy, in_flight: Vec::new(), attempts: BTreeMap::new(), gossip_messages: Vec::new() }
     }
 
-    fn tell(&mut self, now: Micros, events: &[Event]) {
+    fn handle(&mut self, now: Micros, events: &[Event]) {
         for event in events {
             if let Event::Recovered { message, attempts, .. } = event {
                 self.attempts.insert(message.id, *attempts as u16);
@@ -438,54 +444,73 @@
                     let attempts = self.attempts.entry(message).or_default();
                     let attempt = *attempts;
                     *attempts += 1;
-                    self.out.push(Out { message, attempt, endpoint, sent: now, until: now + timeout });
+                    self.in_flight.push(InFlightAttempt {
+                        message,
+                        attempt,
+                        endpoint,
+                        sent: now,
+                        until: now + timeout,
+                    });
                 }
-                Action::SendGossip { content, .. } => self.notes.push(content),
+                Action::SendGossip { content, .. } => self.gossip_messages.push(content),
                 _ => {}
             }
         }
     }
 
-    fn ended(&mut self, at: usize, outcome: Outcome, now: Micros, report: Vec<f32>, over: bool) -> Event {
-        let Out { message, attempt, endpoint, sent, .. } = self.out.remove(at);
-        let terminal = over || outcome == Outcome::Delivered;
+    fn complete_attempt(
+        &mut self,
+        at: usize,
+        outcome: Outcome,
+        now: Micros,
+        report: Vec<f32>,
+        terminal: bool,
+    ) -> Event {
+        let InFlightAttempt { message, attempt, endpoint, sent, .. } = self.in_flight.remove(at);
+        let terminal = terminal || outcome == Outcome::Delivered;
         Event::AttemptCompleted { message, attempt, endpoint, outcome, terminal, took: now - sent, report }
     }
 }
 
-/// Two senders that hear each other, and what happens to them.
-struct Day {
+/// Simulation of two senders that exchange gossip.
+struct Simulation {
     rng: fastrand::Rng,
     now: Micros,
     senders: [Sender; 2],
-    next: u32,
-    /// Messages in order are among what is handed in.
-    ordered: bool,
+    next_message: u32,
+    /// Whether messages of the ordered class are submitted too.
+    with_ordered_class: bool,
 }
 
-impl Day {
-    fn new(seed: u64, ordered: bool) -> Self {
+impl Simulation {
+    fn new(seed: u64, with_ordered_class: bool) -> Self {
         let senders = [1, 2].map(|me| {
             let decay = [Decay::Halving, Decay::Linear][(seed % 2) as usize];
             let weights = [Weights::Rough, Weights::Nominal, Weights::None][(seed % 3) as usize];
             Sender::new(Settings { decay, weights, ..settings(me) }, seed + u64::from(me))
         });
-        let mut day = Self { rng: fastrand::Rng::with_seed(seed), now: START, senders, next: 0, ordered };
-        for sender in &mut day.senders {
-            sender.tell(START, &[Event::EndpointList(entries())]);
+        let mut simulation = Self {
+            rng: fastrand::Rng::with_seed(seed),
+            now: START,
+            senders,
+            next_message: 0,
+            with_ordered_class,
+        };
+        for sender in &mut simulation.senders {
+            sender.handle(START, &[Event::EndpointList(entries())]);
         }
-        day
+        simulation
     }
 
     fn message(&mut self, step: usize) -> Message {
-        self.next += 1;
+        self.next_message += 1;
         let rng = &mut self.rng;
-        // A few are busy at a time, so that others fall asleep.
-        let busy = (step / 60 * 3) as u16;
-        let destination = (busy + rng.u16(..4)) % DESTINATIONS + 1;
+        // Only a few destinations are busy at a time, so that the others become idle.
+        let first_busy = (step / 60 * 3) as u16;
+        let destination = (first_busy + rng.u16(..4)) % DESTINATIONS + 1;
         Message {
-            id: MessageId(self.next),
-            class: rng.usize(..if self.ordered { 4 } else { 3 }),
+            id: MessageId(self.next_message),
+            class: rng.usize(..if self.with_ordered_class { 4 } else { 3 }),
             tenant: rng.usize(..2),
             key: Some(rng.u64(1..4)),
             remaining_time: rng.u64(6..20) * SECOND,
@@ -498,16 +523,16 @@
         endpoint(self.rng.u8(1..=DESTINATIONS as u8), self.rng.u8(1..3))
     }
 
-    fn learnt(&mut self) -> Event {
+    fn snapshot_restored(&mut self) -> Event {
         let now = self.now;
-        let worst = [Condition::Healthy, Condition::Rejecting, Condition::Failing][self.rng.usize(..3)];
-        let learnt = RouteSnapshot {
+        let condition = [Condition::Healthy, Condition::Rejecting, Condition::Failing][self.rng.usize(..3)];
+        let snapshot = RouteSnapshot {
             wait_until: now + self.rng.u64(1..40) * SECOND,
             limit: 20.0,
             shortage_at: Some(now - SECOND),
             send_rate: 7.0,
             success_rate: 3.0,
-            condition: worst,
+            condition,
             failures: 1,
             unhealthy_since: Some(now - 9 * SECOND),
             cold_since: Some(now - 2 * SECOND),
@@ -517,19 +542,27 @@
             latency: Some((20_000.0, 5_000.0)),
         };
         let destination = self.rng.u16(1..=DESTINATIONS);
-        let apart = destination % 3 == 1;
+        let separate_routes = destination % 3 == 1;
         Event::SnapshotRestored {
-            route: (DestinationId(destination), apart.then(|| endpoint(destination as u8, 1))),
-            snapshot: learnt,
+            route: (DestinationId(destination), separate_routes.then(|| endpoint(destination as u8, 1))),
+            snapshot,
         }
     }
 
-    /// What happens to a sender in one batch.
-    fn events(&mut self, of: usize, step: usize) -> Vec<Event> {
+    /// Draws the events of one batch for a sender.
+    fn events(&mut self, sender_index: usize, step: usize) -> Vec<Event> {
         let now = self.now;
         let mut events = Vec::new();
-        while let Some(at) = self.senders[of].out.iter().position(|out| out.until <= now) {
-            events.push(self.senders[of].ended(at, Outcome::TimedOut, now, vec![], false));
+        while let Some(at) =
+            self.senders[sender_index].in_flight.iter().position(|attempt| attempt.until <= now)
+        {
+            events.push(self.senders[sender_index].complete_attempt(
+                at,
+                Outcome::TimedOut,
+                now,
+                vec![],
+                false,
+            ));
         }
         match self.rng.u8(..24) {
             0..8 => {
@@ -537,8 +570,8 @@
                     events.push(Event::Accepted(self.message(step)));
                 }
             }
-            8..15 if !self.senders[of].out.is_empty() => {
-                let at = self.rng.usize(..self.senders[of].out.len());
+            8..15 if !self.senders[sender_index].in_flight.is_empty() => {
+                let at = self.rng.usize(..self.senders[sender_index].in_flight.len());
                 let outcomes = [
                     Outcome::Delivered,
                     Outcome::Delivered,
@@ -554,8 +587,8 @@
                 ];
                 let outcome = outcomes[self.rng.usize(..outcomes.len())];
                 let report = vec![self.rng.f32(), 20.0 + 20.0 * self.rng.f32()];
-                let over = matches!(outcome, Outcome::NotSent { .. }) && self.rng.bool();
-                events.push(self.senders[of].ended(at, outcome, now, report, over));
+                let terminal = matches!(outcome, Outcome::NotSent { .. }) && self.rng.bool();
+                events.push(self.senders[sender_index].complete_attempt(at, outcome, now, report, terminal));
             }
             15 => {
                 let listing = [Listing::Ready, Listing::Draining, Listing::Gone][self.rng.usize(..3)];
@@ -568,26 +601,26 @@
                 let endpoint = self.any_endpoint();
                 events.push(Event::RetryAfter { endpoint, wait: self.rng.u64(1..30) * SECOND });
             }
-            19 => events.extend((0..4).map(|_| self.learnt()).collect::<Vec<_>>()),
+            19 => events.extend((0..4).map(|_| self.snapshot_restored()).collect::<Vec<_>>()),
             20 => {
                 let message = self.message(step);
                 let attempts = self.rng.u32(..3);
                 let at = endpoint(message.destination.0 as u8, 1);
                 let may_have_run = if attempts > 0 { vec![(SECOND, at)] } else { vec![] };
-                let group = [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Endpoint]
+                let scope = [IdempotencyScope::All, IdempotencyScope::Zone, IdempotencyScope::Endpoint]
                     [self.rng.usize(..3)];
-                let effect = Some(Idempotency::Keyed { scope: group, window: 5 * SECOND });
-                events.push(Event::Recovered { message, attempts, may_have_run, idempotency: effect });
+                let idempotency = Some(Idempotency::Keyed { scope, window: 5 * SECOND });
+                events.push(Event::Recovered { message, attempts, may_have_run, idempotency });
             }
             21 => events.push(Event::DiscoveryFailed),
             22 if step > 40 => events.push(Event::SnapshotLost),
-            _ if self.next > 3 => {
-                let message = MessageId(self.rng.u32(1..self.next));
+            _ if self.next_message > 3 => {
+                let message = MessageId(self.rng.u32(1..self.next_message));
                 events.push(Event::Withdrawn(message));
             }
             _ => {}
         }
-        if of == 0 && step + 6 == STEPS {
+        if sender_index == 0 && step + 6 == BATCHES {
             events.push(Event::ShuttingDown(now + 5 * SECOND));
         }
         events
@@ -598,13 +631,15 @@
             0 => self.rng.u64(SECOND..2 * SECOND),
             _ => self.rng.u64(1_000..120_000),
         };
-        for of in 0..2 {
-            let mut events = self.events(of, step);
-            let notes = std::mem::take(&mut self.senders[1 - of].notes);
+        for sender_index in 0..2 {
+            let mut events = self.events(sender_index, step);
+            let gossip_messages = std::mem::take(&mut self.senders[1 - sender_index].gossip_messages);
             events.extend(
-                notes.into_iter().map(|content| Event::GossipReceived { from: (2 - of) as u16, content }),
+                gossip_messages
+                    .into_iter()
+                    .map(|content| Event::GossipReceived { from: (2 - sender_index) as u16, content }),
             );
-            self.senders[of].tell(self.now, &events);
+            self.senders[sender_index].handle(self.now, &events);
         }
     }
 
@@ -613,60 +648,60 @@
     }
 }
 
-/// A recorded value, and the paths in it that are not at their defaults.
-type Moment = (BTreeSet<String>, Vec<u8>);
+/// The paths of a recorded value that differ from their defaults, and its bytes.
+type RecordedValue = (BTreeSet<String>, Vec<u8>);
 
-fn moment(bytes: Vec<u8>) -> io::Result<Moment> {
+fn record_value(bytes: Vec<u8>) -> io::Result<RecordedValue> {
     let mut names = BTreeMap::new();
-    walk(&decode(&bytes)?, "", &mut names);
+    collect_paths(&decode(&bytes)?, "", &mut names);
     Ok((names.into_iter().filter(|name| name.1).map(|name| name.0).collect(), bytes))
 }
 
-/// Few of them that together have each path at other than its default, as far as any of them has it so.
-fn fewest(mut moments: Vec<Moment>) -> Vec<Vec<u8>> {
+/// Selects a small number of values that together cover each path at which any of them differs from the default.
+fn select_covering(mut values: Vec<RecordedValue>) -> Vec<Vec<u8>> {
     let (mut covered, mut chosen) = (BTreeSet::new(), Vec::new());
     loop {
-        let gain = |moment: &Moment| moment.0.difference(&covered).count();
-        let best = moments.iter().enumerate().map(|(at, moment)| (gain(moment), usize::MAX - at)).max();
+        let gain = |recorded: &RecordedValue| recorded.0.difference(&covered).count();
+        let best = values.iter().enumerate().map(|(at, recorded)| (gain(recorded), usize::MAX - at)).max();
         let Some((1.., at)) = best else { return chosen };
-        let (set, bytes) = moments.swap_remove(usize::MAX - at);
+        let (set, bytes) = values.swap_remove(usize::MAX - at);
         covered.extend(set);
         chosen.push(bytes);
     }
 }
 
-/// States of the decision module.
-fn policies() -> io::Result<Vec<Vec<u8>>> {
-    let mut moments = Vec::new();
-    for seed in 1..=DAYS {
-        let mut day = Day::new(seed, true);
-        for step in 0..STEPS {
-            day.step(step);
-            if step >= 60 && (step % 4 == 0 || step + 6 >= STEPS) {
-                moments.push(moment(day.state()?)?);
+/// Returns serialized states of the decision module.
+fn policy_states() -> io::Result<Vec<Vec<u8>>> {
+    let mut values = Vec::new();
+    for seed in 1..=SIMULATIONS {
+        let mut simulation = Simulation::new(seed, true);
+        for step in 0..BATCHES {
+            simulation.step(step);
+            if step >= 60 && (step % 4 == 0 || step + 6 >= BATCHES) {
+                values.push(record_value(simulation.state()?)?);
             }
         }
-        // What the next process has of it, before its first batch.
-        let taken_over = Policy::from_state(&day.state()?, settings(1), seed, day.now);
+        // The state in the successor before its first batch.
+        let taken_over = Policy::from_state(&simulation.state()?, settings(1), seed, simulation.now);
         let state = taken_over.map_err(io::Error::other)?.state().map_err(io::Error::other)?;
-        moments.push(moment(canonical(&state)?)?);
+        values.push(record_value(canonical(&state)?)?);
     }
-    Ok(fewest(moments))
+    Ok(select_covering(values))
 }
 
-/// Destinations that go to another core.
-fn parcels() -> io::Result<Vec<Vec<u8>>> {
-    let mut moments = Vec::new();
-    for seed in 1..=3 * DAYS {
-        let mut day = Day::new(seed, false);
+/// Returns serialized states of destinations that move to another core.
+fn migrated_states() -> io::Result<Vec<Vec<u8>>> {
+    let mut values = Vec::new();
+    for seed in 1..=3 * SIMULATIONS {
+        let mut simulation = Simulation::new(seed, false);
         for step in 0..100 {
-            day.step(step);
+            simulation.step(step);
         }
-        let policy = &mut day.senders[0].policy;
+        let policy = &mut simulation.senders[0].policy;
         for destination in policy.observed_destinations() {
-            let parcel = policy.detach(destination).map_err(|stays| io::Error::other(stays.to_string()))?;
-            moments.push(moment(named(&parcel)?)?);
+            let migrated = policy.detach(destination).map_err(|error| io::Error::other(error.to_string()))?;
+            values.push(record_value(to_message_pack(&migrated)?)?);
         }
     }
-    Ok(fewest(moments))
+    Ok(select_covering(values))
 }
--- a/crates/golden/src/lib.rs
+++ b/crates/golden/src/lib.rs
@@ -1,7 +1,7 @@
-//! Golden files: what a known version of the sender stored, handed over and sent, byte for byte.
+//! Golden files: the exact bytes that a known version of the sender stored, handed over and sent.
 //!
-//! Some renames change bytes without a compile error. The files in `data/` were recorded by this package's program; its
-//! tests fail when the code of today reads or writes anything else.
+//! Some renames change these bytes without a compile error. The program of this package recorded the files in `data/`; its tests
+//! fail if the current code reads or writes anything else.
 #![forbid(unsafe_code)]
 
 pub mod handover;
--- a/crates/golden/src/main.rs
+++ b/crates/golden/src/main.rs
@@ -1,11 +1,11 @@
-//! Records the golden files anew: `cargo run -p golden -- record`.
+//! Records new golden files: `cargo run -p golden -- record`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
 
-/// Records the golden files that the tests of this package compare with.
+/// Records the golden files with which the tests of this package compare.
 #[derive(Parser)]
 #[command(name = "golden", version)]
 struct Arguments {
@@ -15,7 +15,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Writes the golden files of this version.
+    /// Writes the golden files of the current code.
     Record {
         /// The folder to write to.
         #[arg(long, default_value = concat!(env!("CARGO_MANIFEST_DIR"), "/data"))]
@@ -31,7 +31,7 @@
     match recorded {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("golden files could not be recorded in {}: {error}", to.display());
+            eprintln!("could not record the golden files in {}: {error}", to.display());
             ExitCode::FAILURE
         }
     }
--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -1,7 +1,7 @@
-//! Folders as `NODE_STATE` holds them, and what the code says of each.
+//! State folders as in `NODE_STATE`, with a description of the content of each.
 //!
-//! Each case is a folder of files that a script wrote, with time told to it, and a text: what the journal, what is known,
-//! the classes' effects and the endpoints held out by hand come to when the folder is read.
+//! Each case is a folder of files that a script wrote with fixed times, and a text that describes the journal, the health snapshot,
+//! the idempotency of classes and the ejected endpoints as the code reads them from the folder.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -22,12 +22,12 @@
 };
 
 const SECOND: Micros = 1_000_000;
-/// When a script begins.
+/// Time at which a script begins.
 const START: Micros = 1_800_000_000 * SECOND;
-/// Whose knowledge it is.
-const OWNER: &str = "node-1";
-/// Bytes that the text of endpoints held out may have.
-const ROOM: usize = 8 * 1024;
+/// Owner of the health snapshots.
+const SNAPSHOT_OWNER: &str = "node-1";
+/// Maximum size of the list of ejected endpoints, in bytes.
+const MAX_EJECTIONS_BYTES: usize = 8 * 1024;
 
 /// A script that writes one folder.
 pub type Script = fn(&Path) -> io::Result<()>;
@@ -45,7 +45,7 @@
     ("beside", companion_files),
 ];
 
-/// Writes the golden files of this kind into the folder.
+/// Writes the golden files of all cases to the folder `stored` in `to`.
 ///
 /// # Errors
 /// Fails when a file cannot be written.
@@ -58,7 +58,7 @@
         let folder = stored.join(name);
         fs::create_dir_all(&folder)?;
         script(&folder)?;
-        // Empty, and made by whoever opens the folder.
+        // The lock file is empty, and each process that opens the folder creates it.
         if folder.join(LOCK).exists() {
             fs::remove_file(folder.join(LOCK))?;
         }
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// How the scripts' journals are kept: segments are short, so that there are several.
+/// Returns the journal options of the scripts. Segments are short, so that there are several.
 pub fn options() -> Options {
     Options {
         limit: 200_000,
@@ -78,10 +78,10 @@
     }
 }
 
-/// The files of a folder by name, without the empty one that is locked.
+/// Returns the files of a folder by name, without the empty lock file.
 ///
 /// # Errors
-/// Fails when one can't be read.
+/// Fails when a file can't be read.
 pub fn contents(folder: &Path) -> io::Result<BTreeMap<String, Vec<u8>>> {
     let mut files = BTreeMap::new();
     for file in fs::read_dir(folder)? {
@@ -94,39 +94,42 @@
     Ok(files)
 }
 
-/// What the code says of a folder, looked at from outside.
+/// Describes the content of a folder, which is opened for reading only.
 ///
 /// # Errors
-/// Fails when something can't be read.
+/// Fails when a part of it can't be read.
 pub fn describe(folder: &Path) -> io::Result<String> {
     let mut text = String::new();
-    let seen = inspect(&mut Folder::reader(folder)).map_err(io::Error::other)?;
-    for file in &seen.files {
+    let content = inspect(&mut Folder::reader(folder)).map_err(io::Error::other)?;
+    for file in &content.files {
         write_line(
             &mut text,
             format_args!("file {}: {} bytes, {} records", file.file, file.bytes, file.records),
         );
     }
-    write_line(&mut text, format_args!("torn {}, dying {}, used {}", seen.torn, seen.dying, seen.used));
-    write_line(&mut text, format_args!("damaged {}, suspected {}", seen.damaged.len(), seen.suspected));
-    for (number, live) in &seen.live {
-        owed(&mut text, *number, live);
+    write_line(
+        &mut text,
+        format_args!("torn {}, dying {}, used {}", content.torn, content.dying, content.used),
+    );
+    write_line(&mut text, format_args!("damaged {}, suspected {}", content.damaged.len(), content.suspected));
+    for (number, live) in &content.live {
+        describe_message(&mut text, *number, live);
     }
-    for LedgerEntry { id, delivered, at } in &seen.ledger {
+    for LedgerEntry { id, delivered, at } in &content.ledger {
         write_line(&mut text, format_args!("remembered {id}: delivered {delivered} at {at}"));
     }
     let files = contents(folder)?;
     if let Some(names) = files.get("held-out") {
-        let names = Ejections::read(&String::from_utf8_lossy(names), ROOM);
+        let names = Ejections::read(&String::from_utf8_lossy(names), MAX_EJECTIONS_BYTES);
         write_line(&mut text, format_args!("held out: {:?}", names.text()));
     }
     if let Some(classes) = files.get("classes") {
-        for (name, of) in serde_json::from_slice::<Classes>(classes)? {
-            write_line(&mut text, format_args!("class {name}: {}", effect(of)));
+        for (name, idempotency) in serde_json::from_slice::<Classes>(classes)? {
+            write_line(&mut text, format_args!("class {name}: {}", describe_idempotency(idempotency)));
         }
     }
     if files.keys().any(|name| name.starts_with(journal::SNAPSHOT_PREFIX)) {
-        known(&mut text, folder)?;
+        describe_snapshot(&mut text, folder)?;
     }
     Ok(text)
 }
@@ -136,15 +139,16 @@
     let _ = writeln!(text, "{line}");
 }
 
-fn owed(text: &mut String, number: u32, live: &journal::PendingMessage) {
+fn describe_message(text: &mut String, number: u32, live: &journal::PendingMessage) {
     let AcceptedMessage { id, key, class, destination, deadline, body } = &*live.message;
     let size = body.len();
-    let sum = body.iter().fold(0u32, |sum, byte| sum.wrapping_mul(31).wrapping_add((*byte).into()));
+    let checksum =
+        body.iter().fold(0u32, |checksum, byte| checksum.wrapping_mul(31).wrapping_add((*byte).into()));
     write_line(
         text,
         format_args!(
             "message {number}: id {id}, key {key:?}, class {class}, to {destination}, until {deadline}, {size} bytes \
-             of sum {sum}"
+             of sum {checksum}"
         ),
     );
     for journal::Attempt { number, endpoint, at, never_ran } in &live.attempts {
@@ -159,17 +163,17 @@
     }
 }
 
-fn known(text: &mut String, folder: &Path) -> io::Result<()> {
+fn describe_snapshot(text: &mut String, folder: &Path) -> io::Result<()> {
     let mut disk = Folder::reader(folder);
     let owner = health_snapshot::store::owner(&mut disk)?.unwrap_or_default();
-    let seen = load(&mut disk, &owner)?;
-    let Timestamp { wall, boot } = seen.timestamp;
+    let content = load(&mut disk, &owner)?;
+    let Timestamp { wall, boot } = content.timestamp;
     let boot = boot.map(|Boot { id, at }| (id, at));
     write_line(text, format_args!("known of {owner}, at {wall}, since the machine's start {boot:?}"));
-    let list = seen.list.map(|list| (list.index, list.confirmed_at));
-    write_line(text, format_args!("list {list:?}, found {}, left out {}", seen.found, seen.omitted));
-    write_line(text, format_args!("{} troubles, lost {}", seen.faults.len(), seen.is_incomplete()));
-    for (destination, DestinationRecord { at, listed, routes }) in &seen.destinations {
+    let list = content.list.map(|list| (list.index, list.confirmed_at));
+    write_line(text, format_args!("list {list:?}, found {}, left out {}", content.found, content.omitted));
+    write_line(text, format_args!("{} troubles, lost {}", content.faults.len(), content.is_incomplete()));
+    for (destination, DestinationRecord { at, listed, routes }) in &content.destinations {
         write_line(text, format_args!("destination {destination} at {at}"));
         for ListedEndpoint { name, address, zone, kind, status, weight } in listed {
             let status = match status {
@@ -179,45 +183,31 @@
             };
             write_line(text, format_args!("  endpoint {name} {address} {zone} {kind} {status} {weight}"));
         }
-        for RouteRecord { endpoint, snapshot: learnt } in routes {
-            write_line(text, format_args!("  route {endpoint:?}: {}", observed(learnt)));
+        for RouteRecord { endpoint, snapshot } in routes {
+            write_line(text, format_args!("  route {endpoint:?}: {}", describe_route(snapshot)));
         }
     }
-    for (RouteKey { destination, endpoint }, until) in &seen.waits {
+    for (RouteKey { destination, endpoint }, until) in &content.waits {
         write_line(text, format_args!("wait of {destination} {endpoint:?} until {until}"));
     }
     Ok(())
 }
 
-/// All figures of a route, in an order that no renaming changes.
-fn observed(learnt: &RouteSnapshot) -> String {
-    let RouteSnapshot {
-        wait_until,
-        limit,
-        shortage_at: short_at,
-        send_rate: pace,
-        success_rate: rate,
-        condition: worst,
-        failures,
-        ..
-    } = *learnt;
+/// Returns all values of a route's snapshot in a fixed order, independent of the names of its fields.
+fn describe_route(snapshot: &RouteSnapshot) -> String {
     let RouteSnapshot {
-        unhealthy_since: ill_since,
-        cold_since,
-        last_success_at: well_at,
-        trial,
-        recent_calls: spent,
-        latency: answers,
-        ..
-    } = *learnt;
-    let worst = match worst {
+        wait_until, limit, shortage_at, send_rate, success_rate, condition, failures, ..
+    } = *snapshot;
+    let RouteSnapshot { unhealthy_since, cold_since, last_success_at, trial, recent_calls, latency, .. } =
+        *snapshot;
+    let condition = match condition {
         Condition::Healthy => "well",
         Condition::Rejecting => "full",
         Condition::Failing => "failed",
     };
     format!(
-        "{wait_until} {limit} {short_at:?} {pace} {rate} {worst} {failures} {ill_since:?} {cold_since:?} {well_at} \
-         {trial:?} {spent:?} {answers:?}"
+        "{wait_until} {limit} {shortage_at:?} {send_rate} {success_rate} {condition} {failures} {unhealthy_since:?} \
+         {cold_since:?} {last_success_at} {trial:?} {recent_calls:?} {latency:?}"
     )
 }
 
@@ -242,7 +232,7 @@
     }
 }
 
-fn remembered(n: u32, delivered: bool) -> Record {
+fn ledger_entry(n: u32, delivered: bool) -> Record {
     Record::LedgerEntry(LedgerEntry {
         id: format!("request-{n}"),
         delivered,
@@ -250,8 +240,8 @@
     })
 }
 
-/// Every kind of record, in turns of one and of several.
-fn all_records() -> Vec<Vec<Record>> {
+/// Returns records of every kind, in batches of one and of several.
+fn all_kinds_of_record() -> Vec<Vec<Record>> {
     vec![
         vec![Record::Accepted(1, message(1, "order", 40)), Record::Accepted(2, message(2, "note", 0))],
         vec![started(1, 0), started(2, 0), Record::Accepted(3, message(3, "order", 300))],
@@ -266,7 +256,7 @@
             Record::Abandoned(2, Abandonment::Deferred(2_500_000)),
             Record::Abandoned(5, Abandonment::Undeliverable),
         ],
-        vec![started(4, 0), remembered(3, true), Record::Completed(3)],
+        vec![started(4, 0), ledger_entry(3, true), Record::Completed(3)],
     ]
 }
 
@@ -280,22 +270,22 @@
 
 fn records(folder: &Path) -> io::Result<()> {
     let mut journal = open(folder)?;
-    for (turn, records) in (1..).zip(all_records()) {
-        append(&mut journal, START + turn * 1_000, records)?;
+    for (iteration, records) in (1..).zip(all_kinds_of_record()) {
+        append(&mut journal, START + iteration * 1_000, records)?;
     }
     Ok(())
 }
 
-/// Many messages come and go between compaction's slices.
-fn churn(journal: &mut Journal, turns: u32) -> io::Result<()> {
-    for n in 10..10 + turns {
+/// Accepts and completes many messages, with a compaction step after each.
+fn churn(journal: &mut Journal, iterations: u32) -> io::Result<()> {
+    for n in 10..10 + iterations {
         let now = START + u64::from(n) * 10_000;
         let class = if n % 2 == 0 { "order" } else { "note" };
         append(journal, now, vec![Record::Accepted(n, message(n, class, 200)), started(n, 0)])?;
         if n % 16 != 0 {
             let ended = Record::AttemptEnded { message: n, attempt: 0, never_ran: false };
             let mut records = vec![ended];
-            records.extend(n.is_multiple_of(2).then(|| remembered(n, n % 4 == 0)));
+            records.extend(n.is_multiple_of(2).then(|| ledger_entry(n, n % 4 == 0)));
             records.push(Record::Completed(n));
             append(journal, now + 5_000, records)?;
         }
@@ -314,7 +304,7 @@
     Ok(())
 }
 
-/// As a process leaves it that was killed within an append.
+/// Writes a journal as a process leaves it that was killed during an append.
 fn torn(folder: &Path) -> io::Result<()> {
     records(folder)?;
     let Some((name, bytes)) = contents(folder)?.pop_last() else {
@@ -323,20 +313,20 @@
     fs::write(folder.join(name), &bytes[..bytes.len() - 7])
 }
 
-/// Ends that are remembered, some of them forgotten since.
+/// Writes ledger entries, some of which have expired since.
 fn ledger(folder: &Path) -> io::Result<()> {
     let mut journal = open(folder)?;
     for n in 1..30 {
         let now = START + u64::from(n) * SECOND;
         append(&mut journal, now, vec![Record::Accepted(n, message(n, "order", 10)), started(n, 0)])?;
-        append(&mut journal, now + 1, vec![remembered(n, n % 3 > 0), Record::Completed(n)])?;
+        append(&mut journal, now + 1, vec![ledger_entry(n, n % 3 > 0), Record::Completed(n)])?;
         journal.compact_step(now + 2)?;
     }
     journal.compact_step(START + 605 * SECOND)?;
     append(&mut journal, START + 606 * SECOND, vec![Record::Accepted(31, message(31, "order", 10))])
 }
 
-/// Two cores write to one journal, and a destination goes from one to the other.
+/// Writes a journal shared by two cores, between which a destination moves.
 fn parts(folder: &Path) -> io::Result<()> {
     let mut parts = open(folder)?.share(2, |destination| usize::from(destination % 2));
     let mut numbers = Vec::new();
@@ -357,10 +347,11 @@
     parts[0].append(START + 11, &mut records).map_err(io::Error::other)
 }
 
-/// The one file of versions before 0.2: each record behind its length and its checksum. They had no ledger.
+/// Writes the single journal file of versions before 0.2, in which each record follows its length and its checksum. Those versions
+/// had no ledger.
 fn legacy(folder: &Path) -> io::Result<()> {
     let mut bytes = Vec::new();
-    let records = all_records().into_iter().flatten();
+    let records = all_kinds_of_record().into_iter().flatten();
     for record in records.filter(|record| !matches!(record, Record::LedgerEntry(_))) {
         let body = postcard::to_allocvec(&record).map_err(io::Error::other)?;
         let length = u32::try_from(body.len()).map_err(io::Error::other)?;
@@ -371,13 +362,13 @@
     fs::write(folder.join("journal"), bytes)
 }
 
-/// What a sender knows, at some moment.
-struct World {
+/// Content of a health snapshot at one moment.
+struct SnapshotSource {
     now: Micros,
     all: BTreeMap<u16, DestinationRecord>,
 }
 
-impl Source for World {
+impl Source for SnapshotSource {
     fn destinations(&self) -> Vec<u16> {
         self.all.keys().copied().collect()
     }
@@ -391,24 +382,25 @@
     }
 }
 
-fn kept(destination: u16) -> DestinationRecord {
+fn destination_record(destination: u16) -> DestinationRecord {
     let n = u64::from(destination);
-    let listed = |of: u64, status| ListedEndpoint {
-        name: format!("endpoint-{n}-{of}"),
-        address: format!("10.0.{n}.{of}:7000"),
+    let listed = |number: u64, status| ListedEndpoint {
+        name: format!("endpoint-{n}-{number}"),
+        address: format!("10.0.{n}.{number}:7000"),
         zone: "near".to_owned(),
         kind: "plain".to_owned(),
         status,
         weight: 12.5,
     };
-    let worst = [Condition::Healthy, Condition::Rejecting, Condition::Failing][usize::from(destination % 3)];
-    let learnt = RouteSnapshot {
+    let condition =
+        [Condition::Healthy, Condition::Rejecting, Condition::Failing][usize::from(destination % 3)];
+    let snapshot = RouteSnapshot {
         wait_until: START + n * SECOND,
         limit: 20.5,
         shortage_at: Some(START - 1),
         send_rate: 7.25,
         success_rate: 3.5,
-        condition: worst,
+        condition,
         failures: 2,
         unhealthy_since: Some(START - 2),
         cold_since: Some(START - 3),
@@ -425,53 +417,54 @@
             listed(2, EndpointStatus::Draining),
             listed(3, EndpointStatus::Removed),
         ],
-        routes: vec![RouteRecord { endpoint, snapshot: learnt }],
+        routes: vec![RouteRecord { endpoint, snapshot }],
     }
 }
 
-/// A whole, and differences behind it.
+/// Writes a complete snapshot, followed by changes.
 fn snapshot_files(folder: &Path) -> io::Result<()> {
     let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
     let disk = Box::new(Folder::companion(folder));
-    let (mut store, _) = Store::open(disk, OWNER, options)?;
-    let mut world = World { now: START, all: (1..=6).map(|n| (n, kept(n))).collect() };
-    let slice = |store: &mut Store, world: &World| {
-        let boot = Some(Boot { id: 0x0123_4567_89ab_cdef, at: world.now - START + 77 });
-        store.write_slice(&Timestamp { wall: world.now, boot }, 64 << 10, world)
+    let (mut store, _) = Store::open(disk, SNAPSHOT_OWNER, options)?;
+    let mut source =
+        SnapshotSource { now: START, all: (1..=6).map(|n| (n, destination_record(n))).collect() };
+    let slice = |store: &mut Store, source: &SnapshotSource| {
+        let boot = Some(Boot { id: 0x0123_4567_89ab_cdef, at: source.now - START + 77 });
+        store.write_slice(&Timestamp { wall: source.now, boot }, 64 << 10, source)
     };
     for _ in 0..4 {
-        slice(&mut store, &world)?;
-        world.now += SECOND;
+        slice(&mut store, &source)?;
+        source.now += SECOND;
     }
-    if let Some(kept) = world.all.get_mut(&3) {
-        kept.routes[0].snapshot.wait_until = START + 90 * SECOND;
-        kept.listed[0].status = EndpointStatus::Draining;
+    if let Some(record) = source.all.get_mut(&3) {
+        record.routes[0].snapshot.wait_until = START + 90 * SECOND;
+        record.listed[0].status = EndpointStatus::Draining;
     }
-    store.mark_urgent(3, true, world.now);
-    store.mark_changed(4, world.now);
+    store.mark_urgent(3, true, source.now);
+    store.mark_changed(4, source.now);
     for _ in 0..40 {
-        slice(&mut store, &world)?;
-        world.now += SECOND;
+        slice(&mut store, &source)?;
+        source.now += SECOND;
     }
     Ok(())
 }
 
-/// A generation that is begun behind one that has grown, and a marker of an earlier loss.
+/// Writes the incomplete start of a generation next to a complete one, and the marker of an earlier removal of all files.
 fn generations(folder: &Path) -> io::Result<()> {
     snapshot_files(folder)?;
     let options = health_snapshot::store::Options { size: 64 << 10, sync: true };
-    let (mut store, _) = Store::open(Box::new(Folder::companion(folder)), OWNER, options)?;
-    // More than one slice holds, so that the further generation is not at its end.
-    let mut all: BTreeMap<u16, DestinationRecord> = (1..=120).map(|n| (n, kept(n))).collect();
-    all.values_mut().for_each(|kept| kept.routes[0].snapshot.wait_until = 0);
-    let world = World { now: START + 100 * SECOND, all };
-    store.write_slice(&Timestamp { wall: world.now, boot: None }, 64 << 10, &world)?;
+    let (mut store, _) = Store::open(Box::new(Folder::companion(folder)), SNAPSHOT_OWNER, options)?;
+    // More destinations than one slice holds, so that the new generation is incomplete.
+    let mut all: BTreeMap<u16, DestinationRecord> = (1..=120).map(|n| (n, destination_record(n))).collect();
+    all.values_mut().for_each(|record| record.routes[0].snapshot.wait_until = 0);
+    let source = SnapshotSource { now: START + 100 * SECOND, all };
+    store.write_slice(&Timestamp { wall: source.now, boot: None }, 64 << 10, &source)?;
     fs::write(folder.join(health_snapshot::store::RELEASED_MARKER), "")
 }
 
-/// Names of endpoints that are held out by hand, and what classes meant.
+/// Writes the list of endpoints that operators ejected, and the idempotency of classes.
 fn companion_files(folder: &Path) -> io::Result<()> {
-    let mut held_out = Ejections::new(ROOM);
+    let mut held_out = Ejections::new(MAX_EJECTIONS_BYTES);
     for name in ["endpoint-2", "endpoint-1", "an\\odd\nname"] {
         held_out.enter(name).map_err(|refused| io::Error::other(refused.text()))?;
     }
@@ -484,17 +477,17 @@
         ("safe", Idempotency::Idempotent),
         ("zone", keyed(IdempotencyScope::Zone)),
     ]
-    .map(|(name, effect)| (name.to_owned(), effect))
+    .map(|(name, idempotency)| (name.to_owned(), idempotency))
     .into();
     fs::write(folder.join("classes"), serde_json::to_vec(&classes)?)
 }
 
-/// What repeating messages of a class does, as the file `classes` has it.
+/// Idempotency by class, as in the file `classes`.
 type Classes = BTreeMap<String, Idempotency>;
 
-/// An effect by names that no renaming changes.
-fn effect(effect: Idempotency) -> String {
-    match effect {
+/// Describes an idempotency in fixed words, independent of the names of its variants.
+fn describe_idempotency(idempotency: Idempotency) -> String {
+    match idempotency {
         Idempotency::Idempotent => "idempotent".to_owned(),
         Idempotency::NonIdempotent => "at most once".to_owned(),
         Idempotency::Keyed { scope: IdempotencyScope::All, window } => {
--- a/crates/golden/src/wire.rs
+++ b/crates/golden/src/wire.rs
@@ -1,7 +1,7 @@
-//! Bytes on sockets: to endpoints, the platform, peers, clients and the simulator, and the texts that people and tests read.
+//! Bytes on sockets to endpoints, the platform, peers, clients and the simulator, and texts that operators and tests read.
 //!
-//! Each kind is one file of text. What changes from run to run is replaced in `scripted::normal` and nowhere else;
-//! header names, their letter case and their order are kept as they were written.
+//! Each kind has one text file. Values that differ between runs are replaced in `scripted::normalize` and nowhere else; header names
+//! keep their letter case and their order.
 
 use std::fs;
 use std::io;
@@ -19,11 +19,11 @@
 mod settings;
 mod simulator;
 
-/// What makes one kind's text.
-pub type Source = fn() -> String;
+/// Function that produces the text of one kind.
+pub type Producer = fn() -> String;
 
-/// All kinds: the name of the file, and what makes its text.
-pub const KINDS: [(&str, Source); 10] = [
+/// All kinds: the name of the file, and the function that produces its text.
+pub const KINDS: [(&str, Producer); 10] = [
     ("simulator", simulator::text),
     ("actions", simulator::actions),
     ("settings", settings::text),
@@ -36,17 +36,17 @@
     ("logs", logs::text),
 ];
 
-/// The text of a kind as the code of today makes it; none where there is no such kind.
-pub fn today(kind: &str) -> Option<String> {
-    KINDS.iter().find(|(name, _)| *name == kind).map(|(_, make)| make())
+/// Returns the text that the current code produces for a kind, or `None` if there is no such kind.
+pub fn current_text(kind: &str) -> Option<String> {
+    KINDS.iter().find(|(name, _)| *name == kind).map(|(_, produce)| produce())
 }
 
-/// Writes the golden files of this kind into the folder.
+/// Writes the golden files of all kinds to the folder `wire` in `to`.
 ///
 /// # Errors
 /// Fails when a file cannot be written.
 pub fn record(to: &Path) -> io::Result<()> {
     let folder = to.join("wire");
     fs::create_dir_all(&folder)?;
-    KINDS.iter().try_for_each(|(name, make)| fs::write(folder.join(format!("{name}.txt")), make()))
+    KINDS.iter().try_for_each(|(name, produce)| fs::write(folder.join(format!("{name}.txt")), produce()))
 }
--- a/crates/golden/src/wire/clients.rs
+++ b/crates/golden/src/wire/clients.rs
@@ -1,33 +1,39 @@
-//! Answers to clients.
+//! Responses to clients.
 
 use test_doubles::{draining, listing};
 
-use super::scripted::{Pages, Scene, Server, ask, ask_again, message, wait_out};
+use super::scripted::{Scene, Sections, Server, exchange, exchange_until_completed, message, wait_for_exit};
 
 const READY: &[u8] = b"GET /ready HTTP/1.1\r\nHost: origin.svc\r\n\r\n";
 
-/// The text of this kind.
+/// Returns the text of the kind `clients`.
 pub fn text() -> String {
-    let mut pages = Pages::default();
+    let mut sections = Sections::default();
     let endpoint = Server::new();
     let ledger = "[journal]\nretain = \"1h\"\nledger = \"64kB\"\n";
-    let known = [listing("e1", 7, "plain", endpoint.address), draining("e0", 8)];
-    let scene = Scene::new(&known, ledger, |_| {});
+    let endpoints = [listing("e1", 7, "plain", endpoint.address), draining("e0", 8)];
+    let scene = Scene::new(&endpoints, ledger, |_| {});
     let address = scene.node.address;
-    pages.add_bytes("ready", &ask(address, READY));
-    pages.add_bytes("accepted", &ask(address, &message("a", "order", &[])));
-    endpoint.next("").answer_with(200, "", "");
-    scene.wait_for(0);
-    pages.add_bytes("delivered, as the ledger knows", &ask_again(address, &message("a", "order", &[])));
-    assert!(ask(address, &message("b", "order", &[])).starts_with(b"HTTP/1.1 202 "));
-    endpoint.next("").answer_with(500, "", "");
-    scene.platform.next("POST ").answer_with(204, "", "");
-    scene.wait_for(0);
-    pages.add_bytes("failed, as the ledger knows", &ask_again(address, &message("b", "order", &[])));
+    sections.add_bytes("ready", &exchange(address, READY));
+    sections.add_bytes("accepted", &exchange(address, &message("a", "order", &[])));
+    endpoint.next("").respond_with(200, "", "");
+    scene.wait_for_pending(0);
+    sections.add_bytes(
+        "delivered, as the ledger knows",
+        &exchange_until_completed(address, &message("a", "order", &[])),
+    );
+    assert!(exchange(address, &message("b", "order", &[])).starts_with(b"HTTP/1.1 202 "));
+    endpoint.next("").respond_with(500, "", "");
+    scene.platform.next("POST ").respond_with(204, "", "");
+    scene.wait_for_pending(0);
+    sections.add_bytes(
+        "failed, as the ledger knows",
+        &exchange_until_completed(address, &message("b", "order", &[])),
+    );
     let unlisted = message("c", "note", &[("dest=7", "dest=9")]);
-    pages.add_bytes("refused, no list names the destination", &ask(address, &unlisted));
+    sections.add_bytes("refused, no list names the destination", &exchange(address, &unlisted));
     let late = message("d", "note", &[("dest=7", "dest=8"), ("Deadline-Ms: 20000", "Deadline-Ms: 0")]);
-    pages.add_bytes("no time left", &ask(address, &late));
+    sections.add_bytes("no time left", &exchange(address, &late));
     for (title, from, to) in [
         ("no id", "Req-Id: a\r\n", ""),
         ("no such class", "Req-Kind: order", "Req-Kind: none"),
@@ -48,39 +54,39 @@
         let id = if title == "no class in the header" { "f" } else { "a" };
         let good = String::from_utf8(message(id, "order", &[])).expect("text");
         assert!(good.contains(from), "{title}");
-        pages.add_bytes(title, &ask(address, good.replace(from, to).as_bytes()));
+        sections.add_bytes(title, &exchange(address, good.replace(from, to).as_bytes()));
         if title == "no class in the header" {
-            endpoint.next("").answer_with(200, "", "");
-            scene.wait_for(0);
+            endpoint.next("").respond_with(200, "", "");
+            scene.wait_for_pending(0);
         }
     }
-    pages.add_bytes("not found", &ask(address, b"GET /none HTTP/1.1\r\nHost: origin.svc\r\n\r\n"));
-    pages.add_bytes("no HTTP", &ask(address, b"\x01\x02\x03\r\n\r\n"));
+    sections.add_bytes("not found", &exchange(address, b"GET /none HTTP/1.1\r\nHost: origin.svc\r\n\r\n"));
+    sections.add_bytes("no HTTP", &exchange(address, b"\x01\x02\x03\r\n\r\n"));
     let half = message("g", "order", &[("Content-Length: 9", "Content-Length: 10")]);
-    pages.add_bytes("a body that does not come", &ask(address, &half));
-    full(&mut pages);
-    leave(&mut pages, scene);
-    pages.finish()
+    sections.add_bytes("a body that does not come", &exchange(address, &half));
+    disk_full(&mut sections);
+    standby_and_exit(&mut sections, scene);
+    sections.finish()
 }
 
-/// Refused for want of room on the disk.
-fn full(pages: &mut Pages) {
+/// Adds the rejection of a message because the disk limit is reached.
+fn disk_full(sections: &mut Sections) {
     let scene = Scene::new(&[draining("e0", 7)], "", |config| config["limits"]["disk_mb"] = 0.02.into());
     let refused = (0..1000)
-        .map(|n| ask(scene.node.address, &message(&format!("m{n}"), "order", &[])))
+        .map(|n| exchange(scene.node.address, &message(&format!("m{n}"), "order", &[])))
         .find(|answer| !answer.starts_with(b"HTTP/1.1 202 "))
-        .expect("there is no room at last");
-    pages.add_bytes("refused, no room on the disk", &refused);
+        .expect("a message is rejected when the disk limit is reached");
+    sections.add_bytes("refused, no room on the disk", &refused);
 }
 
-/// Clients that are sent away, and an end.
-fn leave(pages: &mut Pages, mut scene: Scene) {
+/// Adds the responses of a sender at standby, and its exit code.
+fn standby_and_exit(sections: &mut Sections, mut scene: Scene) {
     scene.admin("POST", "/standby");
-    pages.add_bytes("not ready", &ask(scene.node.address, READY));
-    pages.add_bytes(
+    sections.add_bytes("not ready", &exchange(scene.node.address, READY));
+    sections.add_bytes(
         "accepted, the last on its connection",
-        &ask(scene.node.address, &message("z", "tick", &[("dest=7", "dest=8")])),
+        &exchange(scene.node.address, &message("z", "tick", &[("dest=7", "dest=8")])),
     );
     scene.node.signal("-TERM");
-    pages.add("exit code at the end", &format!("{:?}", wait_out(&mut scene.node)));
+    sections.add("exit code at the end", &format!("{:?}", wait_for_exit(&mut scene.node)));
 }
--- a/crates/golden/src/wire/gossip.rs
+++ b/crates/golden/src/wire/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip messages: the bytes of each kind of part, and what is told of those that are rejected.
+//! Gossip messages: the bytes of each kind of part, and the errors for rejected messages.
 
 use std::fmt::Write as _;
 
@@ -44,17 +44,19 @@
     ]
 }
 
-/// The text of this kind.
+/// Returns the text of the kind `gossip`.
 pub fn text() -> String {
     let mut text = String::new();
     let mut all = Writer::new(INCARNATION, NOW);
     for (name, part) in parts() {
         let mut writer = Writer::new(INCARNATION, NOW);
-        assert!(writer.add(&part), "{name} fits");
+        assert!(writer.add(&part), "{name} does not fit into an empty message");
         let bytes = writer.finish();
-        let read = Message::read(&bytes).and_then(|message| message.parts(NOW, 0)).expect("it is read");
-        let same = if read == [part] { "read as written" } else { "read otherwise" };
-        let _ = writeln!(text, "{name}: {} {same}", hex(&bytes));
+        let read = Message::read(&bytes)
+            .and_then(|message| message.parts(NOW, 0))
+            .expect("a message that was written can be read");
+        let verdict = if read == [part] { "read as written" } else { "read otherwise" };
+        let _ = writeln!(text, "{name}: {} {verdict}", hex(&bytes));
         all.add(&part);
     }
     let bytes = all.finish();
@@ -63,12 +65,12 @@
     damaged[20] ^= 1;
     let mut other = bytes;
     other[0] = 2;
-    let rejected = |bytes: &[u8]| Message::read(bytes).expect_err("it is rejected").to_string();
+    let rejected = |bytes: &[u8]| Message::read(bytes).expect_err("the message is rejected").to_string();
     let _ = writeln!(text, "damaged: {}", rejected(&damaged));
     let _ = writeln!(text, "another version: {}", rejected(&other));
     let _ = writeln!(text, "too short: {}", rejected(b"short"));
-    for why in [Rejected::Contradicts, Rejected::Stale, Rejected::Unknown] {
-        let _ = writeln!(text, "rejected: {why}");
+    for reason in [Rejected::Contradicts, Rejected::Stale, Rejected::Unknown] {
+        let _ = writeln!(text, "rejected: {reason}");
     }
     text
 }
--- a/crates/golden/src/wire/operators.rs
+++ b/crates/golden/src/wire/operators.rs
@@ -1,11 +1,11 @@
-//! What `myrtleyard check` says of operators' files, with its exit code.
+//! Output and exit code of `myrtleyard check` for operators' files.
 
 use std::fmt::Write as _;
 
 use super::programs;
 
-/// A line that is right, for each key of each table.
-const TABLES: &[(&str, &[&str])] = &[
+/// A valid line for each key of each table.
+const VALID_LINES: &[(&str, &[&str])] = &[
     ("journal", &["sync = \"group\"", "damage = \"refuse\"", "retain = \"1h\"", "ledger = \"1MB\""]),
     ("status", &["every = \"1s\""]),
     ("dormant", &["after = \"10m\"", "remember = \"1h\"", "memory = \"1MB\"", "awake = 10", "wakes = 10"]),
@@ -14,8 +14,8 @@
     ("shared", &["on = true", "lends = true", "bytes = \"4kB\""]),
 ];
 
-/// Files that are wrong as a whole.
-const BROKEN: &[&str] = &[
+/// Invalid files.
+const INVALID_FILES: &[&str] = &[
     "[jurnal]\n",
     "[journal]\n\nsnc = \"none\"\n",
     "[journal]\nsync = \"always\"\n",
@@ -57,19 +57,19 @@
 fn check(text: &str) -> String {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("myrtleyard.toml");
-    std::fs::write(&file, text).expect("it is written");
+    std::fs::write(&file, text).expect("the file is written");
     let mut command = programs::sender().arg("check").arg(&file).command(folder.path());
     let output = command.output().expect("it runs");
-    let said = [output.stdout, output.stderr].map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
+    let outputs = [output.stdout, output.stderr].map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
     let code = output.status.code().map_or("none".to_owned(), |code| code.to_string());
-    let [out, err] = said.map(|text| text.replace(&*file.to_string_lossy(), "FILE"));
+    let [out, err] = outputs.map(|text| text.replace(&*file.to_string_lossy(), "FILE"));
     format!("{text}-> exit {code}, output {out:?}, log {err:?}\n\n")
 }
 
-/// The text of this kind.
+/// Returns the text of the kind `operators`.
 pub fn text() -> String {
     let mut text = check("");
-    for (table, lines) in TABLES {
+    for (table, lines) in VALID_LINES {
         text += &check(&format!("[{table}]\n{}\n", lines.join("\n")));
         for line in *lines {
             let key = line.split(' ').next().unwrap_or_default();
@@ -77,12 +77,12 @@
         }
         text += &check(&format!("[{table}]\nnothing_of_the_kind = 1\n"));
     }
-    BROKEN.iter().for_each(|broken| text += &check(broken));
+    INVALID_FILES.iter().for_each(|invalid| text += &check(invalid));
     let folder = tempfile::tempdir().expect("a folder");
     let mut missing =
         programs::sender().arg("check").arg(folder.path().join("none.toml")).command(folder.path());
     let output = missing.output().expect("it runs");
-    let said = String::from_utf8_lossy(&output.stderr).replace(&*folder.path().to_string_lossy(), "FOLDER");
-    let _ = writeln!(text, "a file that is not there -> exit {:?}, log {said:?}", output.status.code());
+    let log = String::from_utf8_lossy(&output.stderr).replace(&*folder.path().to_string_lossy(), "FOLDER");
+    let _ = writeln!(text, "a file that is not there -> exit {:?}, log {log:?}", output.status.code());
     text
 }
--- a/crates/golden/src/wire/platform.rs
+++ b/crates/golden/src/wire/platform.rs
@@ -1,108 +1,113 @@
-//! Requests to discovery, and notifications of results.
+//! Requests to discovery, and notifications of outcomes.
 
 use serde_json::json;
 use test_doubles::{draining, listing};
 
-use super::scripted::{Pages, Scene, Server, ask, message};
+use super::scripted::{Scene, Sections, Server, exchange, message};
 
-/// The text of this kind.
+/// Returns the text of the kind `platform`.
 pub fn text() -> String {
-    let mut pages = Pages::default();
-    lists(&mut pages);
-    notifications(&mut pages);
-    restart(&mut pages);
-    pages.finish()
+    let mut sections = Sections::default();
+    lists(&mut sections);
+    notifications(&mut sections);
+    restart(&mut sections);
+    sections.finish()
 }
 
-fn lists(pages: &mut Pages) {
+fn lists(sections: &mut Sections) {
     let endpoint = Server::new();
     let scene = Scene::new(&[draining("e0", 7)], "", |_| {});
     let watch = scene.platform.next("GET ");
-    pages.add_bytes("a watch from the version of the configuration", &watch.bytes);
-    watch.answer_with(200, "", &json!({"index": 5, "endpoints": [draining("e1", 8)]}).to_string());
+    sections.add_bytes("a watch from the version of the configuration", &watch.bytes);
+    watch.respond_with(200, "", &json!({"index": 5, "endpoints": [draining("e1", 8)]}).to_string());
     let watch = scene.platform.next("GET ");
-    pages.add_bytes("a watch from the version that was told", &watch.bytes);
-    scene.wait_for_figure("svc_registry_entries", 2);
-    watch.answer_with(200, "", "{\"index\": broken");
+    sections.add_bytes("a watch from the version that was told", &watch.bytes);
+    scene.wait_for_metric("svc_registry_entries", 2);
+    watch.respond_with(200, "", "{\"index\": broken");
     let watch = scene.platform.next("GET ");
-    pages.add_bytes("after a list that is broken", &watch.bytes);
-    watch.answer_with(503, "", "");
+    sections.add_bytes("after a list that is broken", &watch.bytes);
+    watch.respond_with(503, "", "");
     let watch = scene.platform.next("GET ");
-    pages.add_bytes("after a refusal", &watch.bytes);
-    let mut left = draining("e1", 8);
-    left["status"] = json!("left");
-    let entries = [left, listing("e2", 9, "plain", endpoint.address)];
-    watch.answer_with(200, "", &json!({"index": 6, "endpoints": entries}).to_string());
+    sections.add_bytes("after a refusal", &watch.bytes);
+    let mut removed = draining("e1", 8);
+    removed["status"] = json!("left");
+    let entries = [removed, listing("e2", 9, "plain", endpoint.address)];
+    watch.respond_with(200, "", &json!({"index": 6, "endpoints": entries}).to_string());
     let watch = scene.platform.next("GET ");
-    pages.add_bytes("after an endpoint left and another came", &watch.bytes);
-    scene.wait_for_figure("svc_registry_entries", 2);
+    sections.add_bytes("after an endpoint left and another came", &watch.bytes);
+    scene.wait_for_metric("svc_registry_entries", 2);
     assert!(
-        ask(scene.node.address, &message("a", "order", &[("dest=7", "dest=9")])).starts_with(b"HTTP/1.1 202")
+        exchange(scene.node.address, &message("a", "order", &[("dest=7", "dest=9")]))
+            .starts_with(b"HTTP/1.1 202")
     );
-    endpoint.next("").answer_with(200, "", "");
-    // Discovery at another address: the list is asked for as a whole there.
-    let other = Server::new();
+    endpoint.next("").respond_with(200, "", "");
+    // With discovery at another address, the sender requests the complete list there.
+    let other_discovery = Server::new();
     let mut configuration = scene.node.configuration();
-    configuration["discovery"] = json!(other.address.to_string());
+    configuration["discovery"] = json!(other_discovery.address.to_string());
     scene.node.reconfigure(&configuration.to_string());
     scene.node.signal("-HUP");
-    let whole = other.next("GET ");
-    pages.add_bytes("the whole list from another address", &whole.bytes);
+    let list_request = other_discovery.next("GET ");
+    sections.add_bytes("the whole list from another address", &list_request.bytes);
     drop(watch);
-    // Without a known version it is asked for as a whole too.
+    // The sender also requests the complete list if the configuration has no list version.
     let scene = Scene::new(&[], "", |config| config["known"] = json!({}));
-    pages.add_bytes("with no list in the configuration", &scene.platform.next("GET ").bytes);
+    sections.add_bytes("with no list in the configuration", &scene.platform.next("GET ").bytes);
 }
 
-fn notifications(pages: &mut Pages) {
+fn notifications(sections: &mut Sections) {
     let endpoint = Server::new();
     let scene = Scene::new(&[draining("e0", 7), listing("e1", 8, "plain", endpoint.address)], "", |_| {});
     let submit = |id: &str, class: &str, changes: &[(&str, &str)]| {
-        let answer = ask(scene.node.address, &message(id, class, changes));
+        let answer = exchange(scene.node.address, &message(id, class, changes));
         assert!(answer.starts_with(b"HTTP/1.1 202 "), "{}", answer.escape_ascii());
     };
     submit("a", "order", &[("Deadline-Ms: 20000", "Deadline-Ms: 300")]);
-    let told = scene.platform.next("POST ");
-    pages.add_bytes("deferred", &told.bytes);
-    told.answer_with(500, "", "");
-    let told = scene.platform.next("POST ");
-    pages.add_bytes("deferred, after the platform failed", &told.bytes);
-    told.answer_with(204, "", "");
+    let notification = scene.platform.next("POST ");
+    sections.add_bytes("deferred", &notification.bytes);
+    notification.respond_with(500, "", "");
+    let notification = scene.platform.next("POST ");
+    sections.add_bytes("deferred, after the platform failed", &notification.bytes);
+    notification.respond_with(204, "", "");
     submit("b", "order", &[("dest=7", "dest=8")]);
-    endpoint.next("").answer_with(500, "", "");
-    let told = scene.platform.next("POST ");
-    pages.add_bytes("undeliverable", &told.bytes);
-    // Those that come while one is out are told together.
+    endpoint.next("").respond_with(500, "", "");
+    let notification = scene.platform.next("POST ");
+    sections.add_bytes("undeliverable", &notification.bytes);
+    // Notifications that become due while one is in flight are sent together.
     for id in ["c", "d"] {
         submit(id, "order", &[("dest=7", "dest=8")]);
-        endpoint.next("").answer_with(500, "", "");
+        endpoint.next("").respond_with(500, "", "");
     }
-    told.answer_with(400, "", "");
-    scene.wait_for(0);
-    let mut more = Vec::new();
-    while !["c", "d"].iter().all(|id| more.iter().any(|line: &String| line.contains(&format!("\"{id}\"")))) {
-        let told = scene.platform.next("POST ");
-        let body = String::from_utf8_lossy(&told.bytes).split_once("\r\n\r\n").expect("a head").1.to_owned();
-        more.extend(body.lines().map(str::to_owned));
-        told.answer_with(204, "", "");
+    notification.respond_with(400, "", "");
+    scene.wait_for_pending(0);
+    let mut further_lines = Vec::new();
+    while !["c", "d"]
+        .iter()
+        .all(|id| further_lines.iter().any(|line: &String| line.contains(&format!("\"{id}\""))))
+    {
+        let notification = scene.platform.next("POST ");
+        let body =
+            String::from_utf8_lossy(&notification.bytes).split_once("\r\n\r\n").expect("a head").1.to_owned();
+        further_lines.extend(body.lines().map(str::to_owned));
+        notification.respond_with(204, "", "");
     }
-    pages.add("further lines", &more.join("\n"));
+    sections.add("further lines", &further_lines.join("\n"));
     submit("e", "note", &[("dest=7", "dest=8"), ("Deadline-Ms: 20000", "Deadline-Ms: 1000")]);
-    endpoint.next("").answer_with(429, "Retry-After: 3\r\n", "");
-    let told = scene.platform.next("POST ");
-    pages.add_bytes("deferred, with a wait", &told.bytes);
-    told.answer_with(204, "", "");
+    endpoint.next("").respond_with(429, "Retry-After: 3\r\n", "");
+    let notification = scene.platform.next("POST ");
+    sections.add_bytes("deferred, with a wait", &notification.bytes);
+    notification.respond_with(204, "", "");
 }
 
-/// What a restart found attempted once already is undeliverable.
-fn restart(pages: &mut Pages) {
+/// Adds the notification of a non-idempotent message that a restart recovered with an attempt: it is undeliverable.
+fn restart(sections: &mut Sections) {
     let endpoint = Server::new();
     let scene = Scene::new(&[listing("e1", 7, "plain", endpoint.address)], "", |_| {});
-    assert!(ask(scene.node.address, &message("a", "order", &[])).starts_with(b"HTTP/1.1 202 "));
-    let out = endpoint.next("");
-    let scene = scene.killed_and_restarted();
-    let told = scene.platform.next("POST ");
-    pages.add_bytes("undeliverable, after a kill", &told.bytes);
-    told.answer_with(204, "", "");
-    drop(out);
+    assert!(exchange(scene.node.address, &message("a", "order", &[])).starts_with(b"HTTP/1.1 202 "));
+    let interrupted = endpoint.next("");
+    let scene = scene.kill_and_restart();
+    let notification = scene.platform.next("POST ");
+    sections.add_bytes("undeliverable, after a kill", &notification.bytes);
+    notification.respond_with(204, "", "");
+    drop(interrupted);
 }
--- a/crates/golden/src/wire/settings.rs
+++ b/crates/golden/src/wire/settings.rs
@@ -1,7 +1,7 @@
-//! The keys and words of the simulator's settings, and of a sender's configuration.
+//! Keys and words of the simulator's settings and of a sender's configuration.
 //!
-//! What a key is worth does not show in bytes; that it is known does: with a value of the wrong type it is an error, and an
-//! unknown key is passed over. So each key is given such a value in turn, and each that is needed is left out.
+//! The effect of a key does not show in bytes, but it shows whether the key is known: a value of the wrong type is an error for a
+//! known key, while an unknown key is ignored. So each key gets a value of the wrong type in turn, and each key is left out in turn.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read};
@@ -10,9 +10,9 @@
 use serde_json::{Value, json};
 
 use super::programs;
-use super::scripted::normal;
+use super::scripted::normalize;
 
-/// Settings with every key.
+/// Settings that contain every key.
 pub const FULL: &str = r#"{
   "classes": [
     {"name": "note", "effect": "by_key", "group": "all", "dedup_window_us": 9000000, "on_time_us": 2000000,
@@ -32,64 +32,64 @@
   "period_us": 5000, "later": {"unknown": 1}
 }"#;
 
-/// The paths of all values below this one.
-fn paths(value: &Value, above: &str, all: &mut Vec<String>) {
-    let below: Vec<(String, &Value)> = match value {
+/// Collects the paths of all values inside this one.
+fn collect_paths(value: &Value, parent: &str, paths: &mut Vec<String>) {
+    let children: Vec<(String, &Value)> = match value {
         Value::Object(map) => map.iter().map(|(key, value)| (key.clone(), value)).collect(),
         Value::Array(list) => list.iter().enumerate().map(|(n, value)| (n.to_string(), value)).collect(),
         _ => vec![],
     };
-    for (key, value) in below {
-        let path = format!("{above}/{key}");
-        all.push(path.clone());
-        paths(value, &path, all);
+    for (key, value) in children {
+        let path = format!("{parent}/{key}");
+        paths.push(path.clone());
+        collect_paths(value, &path, paths);
     }
 }
 
-/// The same with a value of a wrong type at the path.
-fn wrong(full: &Value, path: &str) -> Value {
+/// Returns the settings with a value of the wrong type at the path.
+fn with_wrong_type(full: &Value, path: &str) -> Value {
     let mut changed = full.clone();
     *changed.pointer_mut(path).expect("it is there") = json!([[{"wrong": true}]]);
     changed
 }
 
-/// The same without what is at the path; none where that is no key.
+/// Returns the settings without the key at the path, or `None` if the path is not that of a key.
 fn without(full: &Value, path: &str) -> Option<Value> {
     let mut changed = full.clone();
-    let (above, key) = path.rsplit_once('/')?;
-    changed.pointer_mut(above)?.as_object_mut()?.remove(key)?;
+    let (parent, key) = path.rsplit_once('/')?;
+    changed.pointer_mut(parent)?.as_object_mut()?.remove(key)?;
     Some(changed)
 }
 
 fn read(value: &Value) -> Result<String, String> {
-    // Compared only with other settings of the same run.
+    // The debug output is only compared with that of other settings in the same run.
     simulator_adapter::settings(value.to_string().as_bytes())
         .map(|read| format!("{read:?}"))
         .map_err(|e| e.to_string())
 }
 
-/// The text of this kind.
+/// Returns the text of the kind `settings`.
 pub fn text() -> String {
     let full: Value = serde_json::from_str(FULL).expect("it is JSON");
-    let mut all = Vec::new();
-    paths(&full, "", &mut all);
-    let as_is = read(&full).expect("it is read");
+    let mut paths = Vec::new();
+    collect_paths(&full, "", &mut paths);
+    let unchanged = read(&full).expect("it is read");
     let mut text = "Settings\n".to_owned();
-    for path in &all {
-        let said = match read(&wrong(&full, path)) {
+    for path in &paths {
+        let result = match read(&with_wrong_type(&full, path)) {
             Err(error) => error,
-            Ok(read) if read == as_is => "passed over".to_owned(),
+            Ok(read) if read == unchanged => "passed over".to_owned(),
             Ok(_) => "taken otherwise".to_owned(),
         };
-        let _ = writeln!(text, "{path} of a wrong type: {said}");
+        let _ = writeln!(text, "{path} of a wrong type: {result}");
     }
-    for (path, removed) in all.iter().filter_map(|path| Some((path, without(&full, path)?))) {
-        let said = match read(&removed) {
+    for (path, removed) in paths.iter().filter_map(|path| Some((path, without(&full, path)?))) {
+        let result = match read(&removed) {
             Err(error) => error,
-            Ok(read) if read == as_is => "no difference".to_owned(),
+            Ok(read) if read == unchanged => "no difference".to_owned(),
             Ok(_) => "a default takes its place".to_owned(),
         };
-        let _ = writeln!(text, "without {path}: {said}");
+        let _ = writeln!(text, "without {path}: {result}");
     }
     text += "Words\n";
     for (path, words) in [
@@ -99,26 +99,26 @@
         ("/weights", ["nominal", "rough", "none", "other"]),
         ("/discovery", ["ask", "watch", "poll", "other"]),
     ] {
-        let mut seen: Vec<(String, &str)> = Vec::new();
+        let mut earlier_results: Vec<(String, &str)> = Vec::new();
         for word in words {
             let mut changed = full.clone();
             *changed.pointer_mut(path).expect("it is there") = json!(word);
             let read = read(&changed);
-            let said = match &read {
+            let result = match &read {
                 Err(error) => error.clone(),
-                Ok(read) => match seen.iter().find(|(before, _)| before == read) {
+                Ok(read) => match earlier_results.iter().find(|(before, _)| before == read) {
                     Some((_, word)) => format!("as {word:?}"),
                     None => "of its own".to_owned(),
                 },
             };
-            seen.extend(read.ok().map(|read| (read, word)));
-            let _ = writeln!(text, "{path} {word:?}: {said}");
+            earlier_results.extend(read.ok().map(|read| (read, word)));
+            let _ = writeln!(text, "{path} {word:?}: {result}");
         }
     }
     text + &configuration()
 }
 
-/// What the sender says of its configuration with each key wrong or left out.
+/// Returns the sender's errors for its configuration with each key of the wrong type or left out.
 fn configuration() -> String {
     let mut full = json!({
         "name": "n1", "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "discovery": "127.0.0.1:9",
@@ -127,35 +127,35 @@
         "known": {"index": 1, "snapshot": true, "endpoints": [
             {"name": "e1", "address": "127.0.0.1:9", "zone": "a", "type": "p", "group": 7, "status": "leaving",
              "weight": 50.0}]}});
-    let mut all = Vec::new();
-    paths(&full, "", &mut all);
+    let mut paths = Vec::new();
+    collect_paths(&full, "", &mut paths);
     full["settings"] = serde_json::from_str(FULL).expect("it is JSON");
-    all.push("/settings".to_owned());
+    paths.push("/settings".to_owned());
     let mut text = "Configuration\n".to_owned();
-    for path in &all {
-        let _ = writeln!(text, "{path} of a wrong type: {}", start(&wrong(&full, path)));
+    for path in &paths {
+        let _ = writeln!(text, "{path} of a wrong type: {}", start_result(&with_wrong_type(&full, path)));
     }
-    for (path, removed) in all.iter().filter_map(|path| Some((path, without(&full, path)?))) {
-        let _ = writeln!(text, "without {path}: {}", start(&removed));
+    for (path, removed) in paths.iter().filter_map(|path| Some((path, without(&full, path)?))) {
+        let _ = writeln!(text, "without {path}: {}", start_result(&removed));
     }
     for (path, value) in [("/seed", "xyz"), ("/listen", "here"), ("/settings/classes/0/name", "")] {
         let mut changed = full.clone();
         *changed.pointer_mut(path).expect("it is there") = json!(value);
-        let _ = writeln!(text, "{path} {value:?}: {}", start(&changed));
+        let _ = writeln!(text, "{path} {value:?}: {}", start_result(&changed));
     }
     text
 }
 
-/// Starts a sender with that configuration: what it says at its end, or that it starts.
-fn start(config: &Value) -> String {
+/// Starts a sender with this configuration. Returns its error message, or `starts`.
+fn start_result(config: &Value) -> String {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("config.json");
-    std::fs::write(&file, config.to_string()).expect("it is written");
+    std::fs::write(&file, config.to_string()).expect("the file is written");
     let mut command = programs::sender().command(folder.path());
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the sender starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped"));
     let mut first = String::new();
-    let said = loop {
+    let result = loop {
         first.clear();
         if log.read_line(&mut first).unwrap_or(0) == 0 {
             break "ends without a word".to_owned();
@@ -165,11 +165,11 @@
         }
         if let Some(error) = first.strip_prefix("myrtleyard: ") {
             let shown = error.trim_end().replace(&*folder.path().to_string_lossy(), "FOLDER");
-            break normal(&shown);
+            break normalize(&shown);
         }
     };
     let _ = child.kill();
     let _ = log.read_to_end(&mut Vec::new());
     let _ = child.wait();
-    said
+    result
 }
--- a/crates/golden/src/wire/simulator.rs
+++ b/crates/golden/src/wire/simulator.rs
@@ -1,4 +1,4 @@
-//! One session of the simulator's adapter, and every action as bytes.
+//! Bytes of a session with the simulator's adapter, and of each action.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -13,16 +13,19 @@
 use super::scripted::hex;
 use super::settings::FULL;
 
-const RECORD: usize = 48;
-const ENTRY: usize = 24;
+/// Size of an event record, in bytes.
+const RECORD_BYTES: usize = 48;
+/// Size of an entry of the endpoint list and of an action record, in bytes.
+const ENTRY_BYTES: usize = 24;
+/// Number of the sender instance in the session.
 const INSTANCE: u16 = 3;
-/// What an outcome is called on the wire; each has a destination of its own.
-const OUTCOMES: u16 = 8;
-/// The draining endpoint, beside one for each outcome.
-const DRAINING: u16 = OUTCOMES;
+/// Number of outcome codes on the wire; each outcome has a destination of its own.
+const OUTCOME_COUNT: u16 = 8;
+/// Number of the draining endpoint, which follows those of the outcomes.
+const DRAINING_ENDPOINT: u16 = OUTCOME_COUNT;
 
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
-    let mut record = vec![0; RECORD];
+    let mut record = vec![0; RECORD_BYTES];
     record[0] = code;
     record[1..3].copy_from_slice(&INSTANCE.to_le_bytes());
     for (at, bytes) in fields {
@@ -33,7 +36,7 @@
 
 fn frame(now: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let mut frame = Vec::new();
-    frame.extend(((records.len() * RECORD + tail.len()) as u32).to_le_bytes());
+    frame.extend(((records.len() * RECORD_BYTES + tail.len()) as u32).to_le_bytes());
     frame.extend((records.len() as u32).to_le_bytes());
     frame.extend(now.to_le_bytes());
     records.iter().for_each(|record| frame.extend(record));
@@ -46,9 +49,9 @@
     [low + 1, high, 3, 4, 5, 6]
 }
 
-/// An entry of the endpoint list.
+/// Returns an entry of the endpoint list.
 fn entry(number: u16, kind: u8, destination: u16, status: u8) -> Vec<u8> {
-    let mut entry = vec![0; ENTRY];
+    let mut entry = vec![0; ENTRY_BYTES];
     entry[2] = kind;
     entry[3..7].copy_from_slice(&50f32.to_le_bytes());
     entry[7..13].copy_from_slice(&endpoint(number));
@@ -74,8 +77,8 @@
     )
 }
 
-/// How an attempt ended, with a load report of two values.
-fn ended(message: u32, outcome: u16, attempt: u16, endpoint: &[u8]) -> Vec<u8> {
+/// Returns the record of an attempt's outcome, with a load report of two values.
+fn attempt_completed(message: u32, outcome: u16, attempt: u16, endpoint: &[u8]) -> Vec<u8> {
     let mut report = vec![2];
     report.extend(40f32.to_le_bytes());
     report.extend(0.5f32.to_le_bytes());
@@ -95,18 +98,18 @@
     )
 }
 
-/// One process of the adapter, which is answered as it asks.
+/// A session with one adapter process, whose actions the session answers.
 struct Session {
     child: Child,
     stdin: ChildStdin,
     now: u64,
     text: String,
-    /// Attempts of each message so far.
+    /// Number of attempts of each message so far.
     attempts: BTreeMap<u32, u16>,
-    /// Attempts that are out: message, attempt and endpoint.
-    out: Vec<(u32, u16, Vec<u8>)>,
-    /// Reminders that were asked for: when, and the token.
-    reminders: BTreeSet<(u64, u64)>,
+    /// Attempts in flight: message, attempt and endpoint.
+    in_flight: Vec<(u32, u16, Vec<u8>)>,
+    /// Timers that the adapter has set: time and token.
+    timers: BTreeSet<(u64, u64)>,
 }
 
 impl Session {
@@ -115,13 +118,13 @@
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = command.spawn().expect("the adapter starts");
         let stdin = child.stdin.take().expect("piped");
-        let (attempts, out, reminders) = (BTreeMap::new(), Vec::new(), BTreeSet::new());
-        Self { child, stdin, now: 1_000_000, text: String::new(), attempts, out, reminders }
+        let (attempts, in_flight, timers) = (BTreeMap::new(), Vec::new(), BTreeSet::new());
+        Self { child, stdin, now: 1_000_000, text: String::new(), attempts, in_flight, timers }
     }
 
-    /// Writes a frame so much later, reads the reply, and writes down what it says if it says anything.
-    fn step(&mut self, title: &str, records: &[Vec<u8>], tail: &[u8], later: u64) {
-        self.now += later;
+    /// Advances the time, writes a frame, reads the reply, and records it if the frame has a title or the reply is not empty.
+    fn step(&mut self, title: &str, records: &[Vec<u8>], tail: &[u8], elapsed: u64) {
+        self.now += elapsed;
         self.stdin.write_all(&frame(self.now, records, tail)).expect("the adapter reads");
         self.stdin.flush().expect("the adapter reads");
         let stdout = self.child.stdout.as_mut().expect("piped");
@@ -130,41 +133,42 @@
         let length = u32::from_le_bytes(output[..4].try_into().expect("four bytes")) as usize;
         output.resize(8 + length, 0);
         stdout.read_exact(&mut output[8..]).expect("the adapter answers");
-        self.hear(&output);
+        self.process_actions(&output);
         if !title.is_empty() || length > 0 {
             let _ = write!(self.text, "{} {title}\n{}", self.now, reply(&output));
         }
     }
 
-    /// Goes on for so many steps: attempts end as their first one's destination has it, retries well, reminders come.
-    fn go_on(&mut self, steps: usize, later: u64) {
+    /// Advances by this number of steps. First attempts end with the outcome of their destination and retries are delivered; timers
+    /// expire at their time.
+    fn advance(&mut self, steps: usize, elapsed: u64) {
         for _ in 0..steps {
-            let then = self.now + later;
+            let next_time = self.now + elapsed;
             let mut records = Vec::new();
-            for (message, attempt, endpoint) in std::mem::take(&mut self.out) {
-                let outcome = if attempt == 1 { (u16::from(endpoint[0]) - 1) % OUTCOMES } else { 0 };
-                records.push(ended(message, outcome, attempt, &endpoint));
+            for (message, attempt, endpoint) in std::mem::take(&mut self.in_flight) {
+                let outcome = if attempt == 1 { (u16::from(endpoint[0]) - 1) % OUTCOME_COUNT } else { 0 };
+                records.push(attempt_completed(message, outcome, attempt, &endpoint));
             }
-            while let Some((_, token)) = self.reminders.first().copied().filter(|(at, _)| *at <= then) {
-                self.reminders.pop_first();
+            while let Some((_, token)) = self.timers.first().copied().filter(|(at, _)| *at <= next_time) {
+                self.timers.pop_first();
                 records.push(record(10, &[(3, &token.to_le_bytes())]));
             }
-            self.step("", &records, b"", later);
+            self.step("", &records, b"", elapsed);
         }
     }
 
-    fn hear(&mut self, output: &[u8]) {
+    fn process_actions(&mut self, output: &[u8]) {
         let count = u32::from_le_bytes(output[4..8].try_into().expect("four bytes")) as usize;
-        for action in output[8..8 + count * ENTRY].chunks(ENTRY) {
+        for action in output[8..8 + count * ENTRY_BYTES].chunks(ENTRY_BYTES) {
             let long = |at: usize| u64::from_le_bytes(action[at..at + 8].try_into().expect("eight bytes"));
             match action[0] {
                 65 => {
                     let message = u32::from_le_bytes(action[3..7].try_into().expect("four bytes"));
                     let attempt = self.attempts.entry(message).or_default();
                     *attempt += 1;
-                    self.out.push((message, *attempt, action[7..13].to_vec()));
+                    self.in_flight.push((message, *attempt, action[7..13].to_vec()));
                 }
-                69 => drop(self.reminders.insert((long(3), long(11)))),
+                69 => drop(self.timers.insert((long(3), long(11)))),
                 _ => {}
             }
         }
@@ -174,12 +178,12 @@
         let Self { child, stdin, text, .. } = self;
         drop(stdin);
         let output = child.wait_with_output().expect("the adapter ends");
-        let (well, log) = (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned());
-        format!("{text}ends well: {well}, {} bytes beyond, log {log:?}\n", output.stdout.len())
+        let (success, log) = (output.status.success(), String::from_utf8_lossy(&output.stderr).into_owned());
+        format!("{text}ends well: {success}, {} bytes beyond, log {log:?}\n", output.stdout.len())
     }
 }
 
-/// The frames of the session, each with what it is for.
+/// Runs a session and returns its replies, each with the title of its frame.
 fn session() -> String {
     let mut session = Session::new();
     session.step("nothing", &[], b"", 0);
@@ -189,19 +193,19 @@
     let list = |id: u32, start: u32, entries: u32| {
         record(4, &[(1, &id.to_le_bytes()), (5, &start.to_le_bytes()), (9, &entries.to_le_bytes())])
     };
-    let news = |kind: u8, id: u32| record(6, &[(3, &[kind]), (4, &id.to_le_bytes())]);
-    let mut entries: Vec<u8> = (0..OUTCOMES).flat_map(|n| entry(n, (n % 2) as u8, 10 + n, 1)).collect();
-    entries.extend(entry(DRAINING, 0, 10, 2));
-    session.step("a list", &[list(0, 0, u32::from(OUTCOMES) + 1), news(2, 0)], &entries, 5_000);
-    session.step("no list", &[news(1, 0)], b"", 5_000);
+    let list_news = |kind: u8, id: u32| record(6, &[(3, &[kind]), (4, &id.to_le_bytes())]);
+    let mut entries: Vec<u8> = (0..OUTCOME_COUNT).flat_map(|n| entry(n, (n % 2) as u8, 10 + n, 1)).collect();
+    entries.extend(entry(DRAINING_ENDPOINT, 0, 10, 2));
+    session.step("a list", &[list(0, 0, u32::from(OUTCOME_COUNT) + 1), list_news(2, 0)], &entries, 5_000);
+    session.step("no list", &[list_news(1, 0)], b"", 5_000);
     // Each outcome for each class.
-    for n in 0..3 * OUTCOMES {
+    for n in 0..3 * OUTCOME_COUNT {
         let (message, class, destination) = (u32::from(n) + 1, n % 3, 10 + n / 3);
         let title = format!("message {message} of class {class} to {destination}");
         session.step(&title, &[accepted(message, class, destination)], b"", 5_000);
-        session.go_on(6, 100_000);
+        session.advance(6, 100_000);
     }
-    session.go_on(60, 100_000);
+    session.advance(60, 100_000);
     let burst: Vec<_> = (100..116).map(|m| accepted(m, (m % 3) as u16, 10 + (m % 2) as u16)).collect();
     session.step("a burst", &burst, b"", 5_000);
     let streaming = record(2, &[(3, &100u32.to_le_bytes())]);
@@ -211,33 +215,33 @@
     session.step("a gossip message", &[note], b"gsip", 5_000);
     let probed = record(11, &[(3, &endpoint(0)), (13, &0u16.to_le_bytes()), (15, &[1, 0, 0, 128, 63])]);
     session.step("a health check", &[probed], b"", 5_000);
-    session.go_on(20, 100_000);
-    session.step("changes of the list", &[list(1, 0, 1), news(0, 1)], &entry(0, 0, 10, 0), 5_000);
-    session.step("a whole list again", &[news(3, 0)], b"", 5_000);
-    session.go_on(20, 500_000);
+    session.advance(20, 100_000);
+    session.step("changes of the list", &[list(1, 0, 1), list_news(0, 1)], &entry(0, 0, 10, 0), 5_000);
+    session.step("a whole list again", &[list_news(3, 0)], b"", 5_000);
+    session.advance(20, 500_000);
     session.step("an end and a new start", &[record(9, &[]), boot], FULL.as_bytes(), 5_000);
     session.finish()
 }
 
-/// Writes what goes in, and gives the log and whether it ended well.
+/// Runs the adapter with this input. Returns its log, and whether it exited successfully.
 fn run(input: Vec<u8>) -> (String, bool) {
     let mut command = programs::adapter();
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = command.spawn().expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // It may end before it has read all.
+    // The adapter may exit before it has read all of the input.
     let writing = thread::spawn(move || stdin.write_all(&input));
     let output = child.wait_with_output().expect("the adapter ends");
     let _ = writing.join();
     (String::from_utf8_lossy(&output.stderr).into_owned(), output.status.success())
 }
 
-/// A reply's head, its records, one a line, and its tail.
+/// Returns a reply as text: its head, its records, one per line, and its tail.
 fn reply(output: &[u8]) -> String {
     let count = u32::from_le_bytes(output[4..8].try_into().expect("four bytes")) as usize;
-    let (records, tail) = output[8..].split_at(count * ENTRY);
+    let (records, tail) = output[8..].split_at(count * ENTRY_BYTES);
     let mut text = format!("  {}\n", hex(&output[..8]));
-    for record in records.chunks(ENTRY) {
+    for record in records.chunks(ENTRY_BYTES) {
         let end = record.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
         let _ = writeln!(text, "  {}", hex(&record[..end]));
     }
@@ -247,7 +251,7 @@
     text
 }
 
-/// The text of a session: each frame that is answered, with the reply's bytes.
+/// Returns the text of the kind `simulator`: the replies of a session in bytes, and the errors for invalid records.
 pub fn text() -> String {
     let mut text = session();
     let length = (FULL.len() as u32).to_le_bytes();
@@ -263,16 +267,16 @@
         ("destination", record(3, &[(29, &0.5f32.to_le_bytes())])),
         ("unknown instance", record(10, &[(1, &[4])])),
     ] {
-        let whole = boot.len();
+        let valid_length = boot.len();
         boot.extend(frame(2, &[bad], b""));
-        let (log, well) = run(boot.clone());
-        boot.truncate(whole);
-        let _ = write!(text, "{title}: ends well: {well}, {log}");
+        let (log, success) = run(boot.clone());
+        boot.truncate(valid_length);
+        let _ = write!(text, "{title}: ends well: {success}, {log}");
     }
     text
 }
 
-/// The bytes of each action.
+/// Returns the text of the kind `actions`: the bytes of each action.
 pub fn actions() -> String {
     let (endpoint, message) = (EndpointId([1, 2, 3, 4, 5, 6]), MessageId(0x5d3a_91c4));
     let attempt = Action::Attempt {
--- a/crates/golden/tests/handover.rs
+++ b/crates/golden/tests/handover.rs
@@ -1,4 +1,4 @@
-//! The state and the messages of a hand-over, against those that were recorded.
+//! Compares the state and the messages of a hand-over with the recorded ones.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,12 +12,12 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Paths that are at their default in all that is recorded, each with the reason.
-const DEFAULTS: [(&str, &str); 2] = [
-    ("parcel.endpoints[][].gone", "an endpoint as in policy.endpoints.all, where it is set"),
+/// Paths with their default value in all recorded files, each with the reason.
+const UNCOVERED_PATHS: [(&str, &str); 2] = [
+    ("parcel.endpoints[][].gone", "the same type as in policy.endpoints.all, where the field is set"),
     (
         "policy.endpoints.whole",
-        "set within a batch alone: each list is seen to its end in the batch that brings it",
+        "set only during a batch: each list is processed completely in the batch in which it arrives",
     ),
 ];
 
@@ -29,47 +29,50 @@
         .collect()
 }
 
-/// What the code of today writes.
-fn today() -> &'static BTreeMap<String, Vec<u8>> {
-    static TODAY: OnceLock<BTreeMap<String, Vec<u8>>> = OnceLock::new();
-    TODAY.get_or_init(|| files().unwrap())
+/// Returns the files that the current code writes.
+fn current_files() -> &'static BTreeMap<String, Vec<u8>> {
+    static CURRENT_FILES: OnceLock<BTreeMap<String, Vec<u8>>> = OnceLock::new();
+    CURRENT_FILES.get_or_init(|| files().unwrap())
 }
 
-fn is_written_again<T: Serialize + DeserializeOwned>(file: &str, bytes: &[u8]) {
+fn assert_round_trip<T: Serialize + DeserializeOwned>(file: &str, bytes: &[u8]) {
     let value: T = rmp_serde::from_slice(bytes).unwrap_or_else(|e| panic!("{file}: {e}"));
     let again = canonical(&rmp_serde::to_vec_named(&value).unwrap()).unwrap();
-    assert!(again == bytes, "{file}: what was read is written as other bytes");
+    assert!(again == bytes, "{file}: writing the value that was read gives other bytes");
 }
 
-fn frames_are_written_again<T: Serialize + DeserializeOwned>(file: &str, bytes: &[u8]) {
+fn assert_frames_round_trip<T: Serialize + DeserializeOwned>(file: &str, bytes: &[u8]) {
     let messages: Vec<T> =
         bodies(bytes).unwrap().into_iter().map(|body| frame::read(body).unwrap()).collect();
     let again: Vec<u8> = messages.iter().flat_map(|message| frame::write(message).unwrap()).collect();
-    assert!(!messages.is_empty() && again == bytes, "{file}: what was read is written as other bytes");
+    assert!(
+        !messages.is_empty() && again == bytes,
+        "{file}: writing the messages that were read gives other bytes"
+    );
 }
 
-/// Guards against a field that a new process drops, or calls by another name: what an earlier version wrote is read, and
-/// nothing of it is lost.
+/// Guards against a field that a successor of another version drops or renames: files of an earlier version are read without any
+/// loss.
 #[test]
-fn what_was_recorded_is_read_and_written_again_to_the_same_bytes() {
+fn recorded_files_round_trip_to_same_bytes() {
     let recorded = recorded();
     assert!(recorded.len() >= 6, "{:?}", recorded.keys());
     for (file, bytes) in &recorded {
         match file.as_str() {
-            "state.msgpack" => is_written_again::<HandoverState>(file, bytes),
-            "to_old.frames" => frames_are_written_again::<ToPredecessor>(file, bytes),
-            "to_new.frames" => frames_are_written_again::<ToSuccessor>(file, bytes),
+            "state.msgpack" => assert_round_trip::<HandoverState>(file, bytes),
+            "to_old.frames" => assert_frames_round_trip::<ToPredecessor>(file, bytes),
+            "to_new.frames" => assert_frames_round_trip::<ToSuccessor>(file, bytes),
             "names.txt" => {}
-            _ if file.starts_with("policy-") => is_written_again::<Policy>(file, bytes),
-            _ if file.starts_with("parcel-") => is_written_again::<MigratedState>(file, bytes),
-            _ => panic!("{file}: no test reads it"),
+            _ if file.starts_with("policy-") => assert_round_trip::<Policy>(file, bytes),
+            _ if file.starts_with("parcel-") => assert_round_trip::<MigratedState>(file, bytes),
+            _ => panic!("{file}: not covered by this test"),
         }
     }
 }
 
-/// The policy's state within a recorded hand-over is one that this version goes on with.
+/// Guards against a policy state of an earlier version from which the current code can't continue.
 #[test]
-fn a_recorded_state_is_taken_over() {
+fn policy_resumes_from_recorded_state() {
     let recorded = recorded();
     let state: HandoverState = rmp_serde::from_slice(&recorded["state.msgpack"]).unwrap();
     let settings = golden::handover::settings(1);
@@ -77,31 +80,32 @@
     assert!(!policy.messages().is_empty() && policy.calls_in_flight() > 0);
 }
 
-/// Guards names of fields and variants at every level, in what the code of today writes.
+/// Guards the names of fields and variants at every level in the files that the current code writes.
 #[test]
-fn the_names_that_are_written_are_those_that_were_recorded() {
-    let written = listing(&names(today()).unwrap());
+fn written_names_match_recorded_names() {
+    let written = listing(&names(current_files()).unwrap());
     let recorded = String::from_utf8(recorded().remove("names.txt").unwrap()).unwrap();
     let (written, recorded): (Vec<_>, Vec<_>) = (written.lines().collect(), recorded.lines().collect());
-    let new: Vec<_> = written.iter().filter(|name| !recorded.contains(name)).collect();
-    let gone: Vec<_> = recorded.iter().filter(|name| !written.contains(name)).collect();
-    assert!(new.is_empty() && gone.is_empty(), "new: {new:#?}, gone: {gone:#?}");
+    let added: Vec<_> = written.iter().filter(|name| !recorded.contains(name)).collect();
+    let removed: Vec<_> = recorded.iter().filter(|name| !written.contains(name)).collect();
+    assert!(added.is_empty() && removed.is_empty(), "added: {added:#?}, removed: {removed:#?}");
 }
 
-/// Guards what stands under a name, and its order: the same events lead to the same bytes.
+/// Guards the values and their order: the same events lead to the same bytes.
 #[test]
-fn the_same_days_are_recorded_as_the_same_bytes() {
-    let (written, recorded) = (today(), recorded());
+fn simulations_write_recorded_bytes() {
+    let (written, recorded) = (current_files(), recorded());
     assert_eq!(written.keys().collect::<Vec<_>>(), recorded.keys().collect::<Vec<_>>());
     for (file, bytes) in written {
-        assert!(*bytes == recorded[file], "{file}: other bytes are recorded today");
+        assert!(*bytes == recorded[file], "{file}: the current code writes other bytes");
     }
 }
 
-/// Guards the net itself: a field that is at its default in each recorded state would be dropped in silence.
+/// Guards against gaps in the recorded files: the loss of a field that has its default value in each recorded state would go
+/// unnoticed.
 #[test]
-fn no_recorded_field_is_at_its_default() {
+fn no_recorded_field_has_its_default_value() {
     let names = names(&recorded()).unwrap();
     let unset: Vec<_> = names.iter().filter(|name| !name.1).map(|name| name.0.as_str()).collect();
-    assert_eq!(unset, DEFAULTS.map(|(path, _)| path));
+    assert_eq!(unset, UNCOVERED_PATHS.map(|(path, _)| path));
 }
--- a/crates/golden/tests/stored.rs
+++ b/crates/golden/tests/stored.rs
@@ -1,4 +1,4 @@
-//! Folders as earlier versions left them, and what the code of today says of them.
+//! Compares state folders of earlier versions with the current code.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
     Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/data/stored")).to_owned()
 }
 
-/// A copy of a recorded folder, and what was said of it.
+/// Returns a copy of a recorded folder, and its recorded description.
 fn copy(case: &str) -> (TempDir, String) {
     let folder = tempfile::tempdir().unwrap();
     for (name, bytes) in contents(&data().join(case)).unwrap() {
@@ -20,17 +20,19 @@
     (folder, fs::read_to_string(data().join(format!("{case}.txt"))).unwrap())
 }
 
-/// Lines of messages and of remembered ends.
-fn owed(text: &str) -> Vec<&str> {
-    let of = |line: &&str| {
-        ["message ", "  attempt ", "  given up: ", "remembered "].iter().any(|of| line.starts_with(of))
+/// Returns the lines that describe messages and ledger entries.
+fn message_lines(text: &str) -> Vec<&str> {
+    let is_message_line = |line: &&str| {
+        ["message ", "  attempt ", "  given up: ", "remembered "]
+            .iter()
+            .any(|prefix| line.starts_with(prefix))
     };
-    text.lines().filter(of).collect()
+    text.lines().filter(is_message_line).collect()
 }
 
-/// Guards what an earlier version stored against a reader that takes it for something else.
+/// Guards against a change that makes the code misread the files of an earlier version.
 #[test]
-fn a_recorded_folder_says_what_was_recorded_of_it() {
+fn recorded_folder_matches_its_description() {
     for (case, _) in CASES {
         let (folder, recorded) = copy(case);
         assert!(recorded.lines().count() > 3, "{case}");
@@ -38,9 +40,10 @@
     }
 }
 
-/// The same once a sender has opened the journal and made it fit to be gone on with; and again when it is opened anew.
+/// Guards against a loss of messages or ledger entries when a sender opens a recorded journal, which repairs it for writing, and
+/// when it opens that journal once more.
 #[test]
-fn nothing_of_a_recorded_journal_is_lost_when_it_is_opened() {
+fn opening_recorded_journal_loses_nothing() {
     let mut messages = 0;
     for (case, _) in CASES {
         let (folder, recorded) = copy(case);
@@ -49,22 +52,22 @@
             assert!(report.damaged.is_empty() && report.suspected == 0, "{case}: {report}");
             messages += journal.live().len();
             drop(journal);
-            assert_eq!(owed(&describe(folder.path()).unwrap()), owed(&recorded), "{case}");
+            assert_eq!(message_lines(&describe(folder.path()).unwrap()), message_lines(&recorded), "{case}");
         }
     }
     assert!(messages > 20, "{messages}");
 }
 
-/// Guards magic, tags, order and names of files in what the code of today writes.
+/// Guards the magic numbers, tags, order and file names that the current code writes.
 #[test]
-fn the_same_scripts_write_the_same_bytes() {
+fn scripts_write_recorded_bytes() {
     for (case, script) in CASES {
         let folder = tempfile::tempdir().unwrap();
         script(folder.path()).unwrap();
         let (written, recorded) = (contents(folder.path()).unwrap(), contents(&data().join(case)).unwrap());
         assert_eq!(written.keys().collect::<Vec<_>>(), recorded.keys().collect::<Vec<_>>(), "{case}");
         for (name, bytes) in &written {
-            assert!(*bytes == recorded[name], "{case}/{name}: other bytes are written today");
+            assert!(*bytes == recorded[name], "{case}/{name}: the current code writes other bytes");
         }
     }
 }
--- a/crates/golden/tests/wire.rs
+++ b/crates/golden/tests/wire.rs
@@ -1,19 +1,22 @@
-//! What goes over sockets today is, byte for byte, what was recorded.
+//! Compares the bytes that the current code sends with the recorded ones.
 
 use std::path::Path;
 
-use golden::wire::{KINDS, today};
+use golden::wire::{KINDS, current_text};
 
-/// Guards peers of other versions, partners, clients, the platform and scripts against names that changed with the code's.
-fn unchanged(kind: &str) {
+/// Guards peers of other versions, partners, clients, the platform and operators' scripts against names on the wire that change
+/// together with names in the code.
+fn assert_unchanged(kind: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("data/wire").join(format!("{kind}.txt"));
-    let recorded = std::fs::read_to_string(path).expect("it was recorded");
-    let today = today(kind).expect("a kind that is known");
-    let mut lines = recorded.lines().zip(today.lines()).enumerate();
-    if let Some((n, (before, now))) = lines.find(|(_, (before, now))| before != now) {
-        panic!("{kind}.txt, line {}:\n  recorded {before}\n  today    {now}", n + 1);
+    let recorded = std::fs::read_to_string(path).expect("the recorded file exists");
+    let current_text = current_text(kind).expect("the kind exists");
+    let mut lines = recorded.lines().zip(current_text.lines()).enumerate();
+    if let Some((n, (recorded_line, current_line))) =
+        lines.find(|(_, (recorded_line, current_line))| recorded_line != current_line)
+    {
+        panic!("{kind}.txt, line {}:\n  recorded {recorded_line}\n  current  {current_line}", n + 1);
     }
-    assert_eq!(recorded, today, "{kind}.txt is of another length");
+    assert_eq!(recorded, current_text, "{kind}.txt has another length");
 }
 
 macro_rules! kinds {
@@ -21,12 +24,12 @@
         $(
             #[test]
             fn $kind() {
-                unchanged(stringify!($kind));
+                assert_unchanged(stringify!($kind));
             }
         )*
 
         #[test]
-        fn each_kind_has_its_test() {
+        fn each_kind_has_a_test() {
             assert_eq!(KINDS.map(|(name, _)| name).to_vec(), [$(stringify!($kind)),*]);
         }
     };
