--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -82,17 +82,17 @@
     _lock: Option<File>,
 }
 
-/// Name of the empty file that a process which writes to the folder keeps locked.
+/// Name of the empty file that a process keeps locked while it writes to the folder.
 pub const LOCK: &str = "lock";
 
 impl Folder {
-    /// Opens a folder for writing and creates it if it does not exist. `None` where another process has it open.
+    /// Opens a folder for writing and creates it if it does not exist. Returns `None` if another process has it open.
     ///
     /// # Errors
     /// Fails when the folder can't be created or locked.
     pub fn lock(path: &Path) -> io::Result<Option<Self>> {
         fs::create_dir_all(path)?;
-        // Guards against two processes that write to one journal. The system releases the lock when its process ends.
+        // Prevents two processes from writing to one journal. The system releases the lock when its process ends.
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))?;
         match lock.try_lock() {
             Ok(()) => Ok(Some(Self { path: path.to_owned(), open: None, _lock: Some(lock) })),
@@ -101,17 +101,17 @@
         }
     }
 
-    /// A folder that is only read, whichever process writes to it.
+    /// Opens a folder for reading, whether or not a process writes to it.
     pub fn reader(path: &Path) -> Self {
         Self { path: path.to_owned(), open: None, _lock: None }
     }
 
-    /// A folder that another part of this process has locked, to write other files in it.
+    /// Opens a folder that another part of this process has locked, to write other files to it.
     pub fn companion(path: &Path) -> Self {
         Self::reader(path)
     }
 
-    /// The file of this name, opened for appending.
+    /// Returns the file of this name, opened for appending.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if self.open.as_ref().is_none_or(|open| open.name != name) {
             let file = OpenOptions::new().append(true).open(self.path.join(name))?;
@@ -133,7 +133,7 @@
             let entry = entry?;
             let metadata = match entry.metadata() {
                 Ok(metadata) => metadata,
-                // The process that writes may remove files meanwhile.
+                // The process that writes to the folder may have removed the file since it was listed.
                 Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
                 Err(e) => return Err(e),
             };
--- a/crates/journal/src/error.rs
+++ b/crates/journal/src/error.rs
@@ -14,30 +14,31 @@
     /// of its own.
     #[error("another process writes to this folder: it must end first")]
     Locked,
-    /// The folder holds what a newer version of this program wrote. Start that version.
+    /// A newer version of this program wrote files in the folder. Start that version.
     #[error("{file} {}: a newer version of this program must read it", DescribeVersion(*version))]
     Newer {
         /// The file.
         file: String,
-        /// Its format's version; `None` where the header is of this version and a record is of an unknown kind.
+        /// Its format version; `None` if the header is of this version and a record is of an unknown kind.
         version: Option<u16>,
     },
-    /// A file is damaged, and the operators' file says not to start then. `myrtleyard journal verify` tells more;
-    /// `damage = "suspect"` starts and treats every message that may be affected as possibly applied.
+    /// A file is damaged, and the operator configuration refuses to start in this case. `myrtleyard journal verify`
+    /// shows details. With `damage = "suspect"` the sender starts and treats every message that may be affected as
+    /// possibly applied.
     #[error("{file} {}", DescribeDamage(*range))]
     Damaged {
         /// The first damaged file.
         file: String,
-        /// The first damaged range; `None` where the file is missing or its header is damaged.
+        /// The first damaged range; `None` if the file is missing or its header is damaged.
         range: Option<DamagedRange>,
     },
-    /// The ledger may occupy more than a quarter of the journal's limit. Make it smaller, or the limit larger.
-    #[error("the ledger's size is over a quarter of the journal's limit")]
+    /// The configured size of the ledger exceeds a quarter of the journal's limit. Reduce it or raise the limit.
+    #[error("the ledger's size exceeds a quarter of the journal's limit")]
     LedgerTooLarge,
     /// An operation on this file failed.
     #[error("{}{source}", FilePrefix(file))]
     Io {
-        /// The file, or nothing for the folder.
+        /// The file; empty for the folder.
         file: String,
         /// The system's error.
         source: io::Error,
@@ -45,24 +46,24 @@
 }
 
 impl OpenError {
-    /// Names the file that an operation failed on, or nothing for the folder.
+    /// Returns a function that adds the name of a file to the error of an operation on it; empty for the folder.
     pub(crate) fn io(file: &str) -> impl FnOnce(io::Error) -> Self {
         let file = file.to_owned();
         move |source| Self::Io { file, source }
     }
 }
 
-/// Why records could not be appended. None of them counts, and nothing may be acted on.
+/// Why records could not be appended. None of them is committed, and the caller must not act on any of them.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum AppendError {
     /// The limit is reached. Pending messages have to be completed first; space for that is reserved.
-    #[error("its limit is reached")]
+    #[error("the journal's limit is reached")]
     LimitReached,
     /// A record is longer than the format can hold.
-    #[error("a record is longer than the format has room for")]
+    #[error("a record is longer than the format can hold")]
     TooLong(#[from] RecordTooLong),
-    /// Another process has the journal since [`JournalPart::close`](crate::JournalPart::close).
+    /// The journal was released to another process by [`JournalPart::close`](crate::JournalPart::close).
     #[error(transparent)]
     Closed(#[from] JournalClosed),
     /// The system's error, a full disk for example. The next append retries.
@@ -70,7 +71,7 @@
     Io(#[from] io::Error),
 }
 
-/// Another process has the journal.
+/// The error of an operation on a journal that was released to another process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("another process has the journal")]
 pub struct JournalClosed;
@@ -81,7 +82,7 @@
     }
 }
 
-/// Completes the text of [`OpenError::Newer`].
+/// The part of the text of [`OpenError::Newer`] that describes the version.
 struct DescribeVersion(Option<u16>);
 
 impl fmt::Display for DescribeVersion {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Completes the text of [`OpenError::Damaged`].
+/// The part of the text of [`OpenError::Damaged`] that describes the damage.
 struct DescribeDamage(Option<DamagedRange>);
 
 impl fmt::Display for DescribeDamage {
@@ -102,12 +103,12 @@
             Some(range) => {
                 write!(f, "is damaged, {range}: not started, as [journal] damage = \"refuse\" says")
             }
-            None => f.write_str("is missing or has no head: not started"),
+            None => f.write_str("is missing or has no readable header: not started"),
         }
     }
 }
 
-/// A file's name and a colon, or nothing for the folder.
+/// Displays a file's name and a colon, or nothing for the folder.
 struct FilePrefix<'a>(&'a str);
 
 impl fmt::Display for FilePrefix<'_> {
--- a/crates/journal/src/format/frame.rs
+++ b/crates/journal/src/format/frame.rs
@@ -3,7 +3,7 @@
 use super::reader::FieldReader;
 use super::{FRAME_HEADER_SIZE, LogEntry, MAX_FRAME_BODY, checksum, tag};
 
-/// A frame whose checksum is right and whose body is not decoded yet.
+/// A frame whose checksum was verified and whose body is not decoded yet.
 #[derive(Debug, Clone, Copy)]
 pub struct Frame<'a> {
     /// Offset of the frame in the segment.
@@ -12,7 +12,7 @@
 }
 
 impl<'a> Frame<'a> {
-    /// A frame that [`frame_at`] verified before at this offset, with a body of this length.
+    /// Returns a frame that [`frame_at`] has already verified at this offset, with a body of this length.
     pub fn verified(bytes: &'a [u8], offset: usize, body_length: usize) -> Self {
         Self { offset, body: &bytes[offset + FRAME_HEADER_SIZE..][..body_length] }
     }
@@ -27,7 +27,7 @@
         self.offset + FRAME_HEADER_SIZE + self.body.len()
     }
 
-    /// The message that this frame introduces: an accepted or a relocated one.
+    /// The message that this frame introduces, either accepted or relocated.
     pub fn introduced_message(&self) -> Option<u32> {
         self.message_if(|tag| matches!(tag, tag::ACCEPTED | tag::RELOCATED))
     }
@@ -49,14 +49,14 @@
         self.body.first() == Some(&tag::FLOOR)
     }
 
-    /// Decodes the body; `None` where it is of a kind that this version does not know.
+    /// Decodes the body; `None` if it is of a kind that this version does not know.
     pub fn read(&self) -> Option<LogEntry> {
         let mut fields = FieldReader::new(self.body);
         let entry = fields.log_entry()?;
         fields.is_empty().then_some(entry)
     }
 
-    /// The message number behind the tag, where the tag is one of those wanted.
+    /// The message number after the tag, if `wanted` returns true for the tag.
     fn message_if(&self, wanted: impl Fn(u8) -> bool) -> Option<u32> {
         let (tag, fields) = self.body.split_first()?;
         if wanted(*tag) { FieldReader::new(fields).u32() } else { None }
@@ -68,7 +68,7 @@
     let mut fields = FieldReader::new(bytes.get(offset..)?);
     let length = fields.u32()? as usize;
     let expected = fields.u32()?;
-    // An empty body would let a stretch of zeros pass for frames where the checksum begins with 0.
+    // An empty body is rejected: in a segment whose checksum seed is 0, a run of zeros would otherwise be valid frames.
     if length == 0 || length > MAX_FRAME_BODY {
         return None;
     }
@@ -87,9 +87,9 @@
     pub durable_bytes: u32,
 }
 
-/// The intact batch starts from an offset on, whatever stands between them.
+/// The intact batch starts from an offset on, regardless of the bytes between them.
 pub fn batch_starts(segment: u64, bytes: &[u8], from: usize) -> impl Iterator<Item = BatchOffset> + '_ {
-    // The encoded body length of a batch start. Comparing it first spares most offsets a checksum.
+    // The encoded body length of a batch start. Comparing it first avoids computing a checksum at most offsets.
     const BODY_LENGTH: [u8; 4] = 17u32.to_le_bytes();
     let last = bytes.len().saturating_sub(FRAME_HEADER_SIZE);
     let candidates = (from..last).filter(|offset| bytes[*offset..].starts_with(&BODY_LENGTH));
--- a/crates/journal/src/format/header.rs
+++ b/crates/journal/src/format/header.rs
@@ -4,7 +4,7 @@
 use super::{HEADER_SIZE, MAGIC, VERSION};
 use crate::record::Micros;
 
-/// Offset of the first of the header's four numbers, behind magic, version and two zero bytes.
+/// Offset of the first of the header's four numbers, after magic, version and two zero bytes.
 const NUMBERS_OFFSET: usize = 12;
 /// Offset of the checksum, which covers all bytes before it.
 const CHECKSUM_OFFSET: usize = HEADER_SIZE - 4;
@@ -29,7 +29,7 @@
     Truncated,
     /// The magic or the checksum is wrong.
     Corrupt,
-    /// The header is intact and of this other format version.
+    /// The header is intact and has this unsupported format version.
     UnsupportedVersion(u16),
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The header and its version, if magic and checksum are right.
+    /// Returns the header and its version if magic and checksum are right.
     fn read_any_version(bytes: &[u8]) -> Option<(Self, u16)> {
         let mut fields = FieldReader::new(bytes);
         let magic = fields.bytes(MAGIC.len())?;
--- a/crates/journal/src/format/mod.rs
+++ b/crates/journal/src/format/mod.rs
@@ -9,10 +9,10 @@
 //! ```
 //!
 //! A frame's CRC-32 covers its body and is seeded with the segment's sequence number, so that bytes of one segment are
-//! no valid frames of another. Texts are prefixed with their length as `u16`, message bodies as `u32`.
+//! not valid frames in another. Texts are prefixed with their length as `u16`, message bodies as `u32`.
 //!
 //! Each append is one batch and begins with a [`LogEntry::BatchStart`], which states how many records precede it in the
-//! segment. That makes the records lost in a damaged stretch countable.
+//! segment. The records lost in a damaged range can therefore be counted.
 
 mod frame;
 mod header;
@@ -72,7 +72,8 @@
     pub const LEDGER_ENTRY: u8 = 9;
 }
 
-/// The byte that tells the variants of [`Abandonment`](crate::record::Abandonment) apart. Stored, never reassigned.
+/// The byte that identifies the variant of an [`Abandonment`](crate::record::Abandonment). The numbers are stored and
+/// never reassigned.
 mod abandonment_tag {
     pub const DEFERRED: u8 = 0;
     pub const UNDELIVERABLE: u8 = 1;
--- a/crates/journal/src/format/reader.rs
+++ b/crates/journal/src/format/reader.rs
@@ -7,7 +7,7 @@
 use super::{LogEntry, abandonment_tag, tag};
 use crate::record::{Abandonment, AcceptedMessage, Attempt, LedgerEntry, PendingMessage, Record};
 
-/// A cursor over encoded fields. Every method returns `None` where the bytes end early or hold no value of its type.
+/// A cursor over encoded fields. Every method returns `None` if the bytes end early or hold no value of its type.
 pub(super) struct FieldReader<'a>(&'a [u8]);
 
 impl<'a> FieldReader<'a> {
@@ -114,7 +114,7 @@
     fn pending_message(&mut self) -> Option<PendingMessage> {
         let message = self.accepted_message()?;
         let is_abandoned = self.flag()?;
-        // Written in any case, so that the size of a relocated message does not depend on it.
+        // Always written, so that the size of a relocated message does not depend on whether it is abandoned.
         let abandonment = self.abandonment()?;
         let mut pending = PendingMessage::new(message, 0);
         pending.abandoned = is_abandoned.then_some(abandonment);
--- a/crates/journal/src/format/writer.rs
+++ b/crates/journal/src/format/writer.rs
@@ -10,7 +10,7 @@
     frames: u32,
 }
 
-/// A text, a message body or a whole record is longer than the format can hold. Nothing of the record was written.
+/// A text, a message body or a whole record is longer than the format can hold. No part of the record was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a record is longer than the journal's format can hold")]
 pub struct RecordTooLong;
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Writes that segments with a lower sequence number are no longer part of the log.
+    /// Writes a floor: segments with a lower sequence number are no longer part of the log.
     pub fn floor(&mut self, segment: u64, floor: u64) {
         let written = self.frame(segment, |w| {
             w.u8(tag::FLOOR);
@@ -88,8 +88,8 @@
         debug_assert_eq!(written, Ok(()));
     }
 
-    /// Writes a frame whose body the closure encodes. `None` from it, or a body that is too long, leaves the buffer as
-    /// it was.
+    /// Writes a frame whose body the closure encodes. If the closure returns `None` or the body is too long, the buffer
+    /// is unchanged.
     #[inline]
     fn frame(
         &mut self,
@@ -201,7 +201,7 @@
         self.bytes.push(value.into());
     }
 
-    /// `None` where the text is longer than its length field can state.
+    /// Returns `None` if the text is too long for its length field.
     fn text(&mut self, text: &str) -> Option<()> {
         self.u16(u16::try_from(text.len()).ok()?);
         self.bytes.extend_from_slice(text.as_bytes());
--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -10,7 +10,7 @@
 use crate::replay::Successor;
 use crate::segment::Segment;
 
-/// How often the files are read anew when a running sender changes them meanwhile.
+/// How often the files are read at most if a running sender changes them in the meantime.
 const MAX_READS: usize = 10;
 
 /// A segment of the log.
@@ -18,11 +18,11 @@
 pub struct FileFigures {
     /// The file.
     pub file: String,
-    /// Its bytes, up to a torn write.
+    /// Its length in bytes, without a torn write at the end.
     pub bytes: u64,
-    /// Its records.
+    /// The number of its records.
     pub records: u32,
-    /// Pending messages that it holds.
+    /// The number of pending messages whose records it holds.
     pub live: usize,
 }
 
@@ -39,7 +39,7 @@
     pub damaged: Vec<DamagedFile>,
     /// Messages that the damage may affect.
     pub suspected: usize,
-    /// Bytes at the end that are no complete write: torn, or being written at that moment.
+    /// Bytes at the end that are not a complete write: torn, or still being written.
     pub torn: u64,
     /// The pending messages by number.
     pub live: BTreeMap<u32, PendingMessage>,
@@ -47,10 +47,10 @@
     pub ledger: Vec<LedgerEntry>,
 }
 
-/// Reads what a disk holds.
+/// Reads the journal on a disk.
 ///
 /// # Errors
-/// Fails when the system does, or a newer version wrote the files. Damage is no error here.
+/// Fails when the system does, or a newer version wrote the files. Damage is not an error here.
 pub fn inspect(disk: &mut dyn Disk) -> Result<Inspection, OpenError> {
     let loaded = load_stable(disk)?;
     Ok(Inspection {
@@ -65,8 +65,8 @@
     })
 }
 
-/// Loads the files, again where a running sender may have changed them meanwhile: it removed a file between listing and
-/// reading, or was writing a header that looked damaged.
+/// Loads the files, and loads them again if a running sender may have changed them in the meantime: it removed a file
+/// between listing and reading, or was writing a header that looked damaged.
 fn load_stable(disk: &mut dyn Disk) -> Result<Loaded, OpenError> {
     let mut reads = 0;
     loop {
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -1,7 +1,7 @@
 //! The file `journal` of versions before 0.2, which is read once and migrated.
 //!
-//! It is a single file of frames, each a record in postcard behind its length and its CRC-32 (both `u32`,
-//! little-endian).
+//! It is a single file of frames. Each holds a length and a CRC-32 (both `u32`, little-endian), followed by a record in
+//! postcard.
 
 use crate::record::Record;
 use crate::state::State;
@@ -14,7 +14,7 @@
 /// Size of a frame's length and checksum in bytes.
 const FRAME_HEADER_SIZE: usize = 8;
 
-/// Applies the file's records to a state, up to the first that can't be read, as the version that wrote it did.
+/// Applies the file's records to a state, up to the first that can't be read, as the versions that wrote it did.
 pub fn read(bytes: &[u8], state: &mut State) {
     let mut offset = 0;
     while let Some((record, size)) = bytes.get(offset..).and_then(read_frame) {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The record of the first frame, and the frame's size in bytes.
+/// Returns the record of the first frame and the frame's size in bytes.
 fn read_frame(bytes: &[u8]) -> Option<(Record, usize)> {
     let length = u32_at(bytes, 0)? as usize;
     let checksum = u32_at(bytes, 4)?;
--- a/crates/journal/src/load.rs
+++ b/crates/journal/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads a folder's files into a [`State`] and changes nothing.
+//! Reads a folder's files into a [`State`] without changing them.
 
 use std::collections::BTreeMap;
 
@@ -17,14 +17,14 @@
 pub struct DamagedFile {
     /// The file.
     pub file: String,
-    /// Where it is damaged; `None` where it is missing or its header is damaged.
+    /// Where it is damaged; `None` if it is missing or its header is damaged.
     pub range: Option<DamagedRange>,
 }
 
 /// What a folder holds.
 #[derive(Debug, Default)]
 pub struct Loaded {
-    /// What the records amount to.
+    /// The state that results from the records.
     pub(crate) state: State,
     /// The segments of the log, oldest first, as far as they can be read.
     pub(crate) segments: Vec<Segment>,
@@ -38,7 +38,7 @@
     pub damaged: Vec<DamagedFile>,
     /// Messages that the damage may affect, which count as possibly applied.
     pub suspected: usize,
-    /// Bytes of a torn write at the end of the last segment. Nobody was promised anything of them.
+    /// Bytes of a torn write at the end of the last segment. They belong to an append that never succeeded.
     pub torn: u64,
     /// Whether there is a file of a version before 0.2.
     pub(crate) legacy: bool,
@@ -47,10 +47,10 @@
 /// Reads a file without a limit on its length.
 pub const WHOLE_FILE: u64 = u64::MAX;
 
-/// Reads everything that a folder holds. `newest` states what may be missing behind the last segment.
+/// Reads everything that a folder holds. `newest` states which of the last segment's latest writes may be missing.
 ///
 /// # Errors
-/// Fails when the system does, or a newer version wrote the files. Damage is no error here.
+/// Fails when the system does, or a newer version wrote the files. Damage is not an error here.
 pub fn load(disk: &mut dyn Disk, newest: Successor) -> Result<Loaded, OpenError> {
     let mut loader = Loader::list(disk)?;
     let stated_floor = loader.find_newest_segment()?;
@@ -83,8 +83,8 @@
     /// Lists the folder's files.
     fn list(disk: &'a mut dyn Disk) -> Result<Self, OpenError> {
         let mut names = disk.names().map_err(OpenError::io(""))?;
-        // A damaged segment may have been renamed while it was still part of the log: it is found under either name,
-        // and its own name, which sorts last, wins.
+        // A damaged segment may have been renamed while it was still part of the log, so that it may have either name.
+        // If there are files of both names, the one without the prefix takes precedence, as it sorts last.
         names.sort();
         let mut loaded = Loaded::default();
         let mut files = BTreeMap::new();
@@ -100,8 +100,8 @@
         Ok(Self { disk, files, headers: BTreeMap::new(), buffer: Vec::new(), loaded })
     }
 
-    /// Finds the newest segment that was ever used and returns the floor that it states. Newer files, which a process
-    /// was creating when it ended, are retired.
+    /// Finds the newest segment that was ever used and returns the floor that it states. Retires newer files, which a
+    /// process was creating when it ended.
     fn find_newest_segment(&mut self) -> Result<Option<u64>, OpenError> {
         while let Some(newest) = self.files.last_entry() {
             let file = newest.get();
@@ -140,8 +140,8 @@
         Ok(())
     }
 
-    /// The sequence number of the log's first segment: as the newest segment states it, else the newest header that can
-    /// be read, else the first file.
+    /// Returns the sequence number of the log's first segment, from the newest segment if it states one, else from the
+    /// newest header that can be read, else from the name of the first file.
     fn floor(&self, stated: Option<u64>) -> u64 {
         let in_header = || self.headers.values().next_back().map(|header| header.floor);
         stated.or_else(in_header).or(self.files.keys().next().copied()).unwrap_or(0)
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    /// Lists each pending message and ledger entry with the segment that holds it.
+    /// Adds each pending message and ledger entry to the list of the segment that holds it.
     fn assign_to_segments(&mut self) {
         let Loaded { state, segments, .. } = &mut self.loaded;
         let index_of: BTreeMap<u64, usize> =
@@ -204,13 +204,13 @@
 }
 
 impl Loaded {
-    /// A file is missing, or its header can't be read.
+    /// Adds a file that is missing or whose header can't be read.
     fn add_unreadable(&mut self, file: String) {
         self.damaged.push(DamagedFile { file, range: None });
         self.suspected += self.state.mark_possibly_applied();
     }
 
-    /// Takes over what was found in a segment that could be read.
+    /// Adds the result of replaying a segment.
     fn add_replayed(&mut self, file: &str, segment: &mut Segment, found: &ReplayedSegment) {
         segment.length = found.length;
         segment.records = found.records;
--- a/crates/journal/src/migration.rs
+++ b/crates/journal/src/migration.rs
@@ -1,4 +1,4 @@
-//! Migration of an earlier version's file: all that it amounts to is written as the first segment.
+//! Migration of an earlier version's file: writes the state that results from it as the first segment.
 
 use std::io;
 
@@ -11,12 +11,12 @@
 
 /// Name of the new segment's file until it is complete.
 pub const FILE_NAME: &str = "journal.new";
-/// Bytes that are written at a time.
+/// Bytes of encoded frames after which they are written.
 const CHUNK_SIZE: usize = 1 << 20;
 /// Sequence number of the first segment.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// Writes a state as the first segment. `used` bytes of the limit are occupied already.
+/// Writes a state as the first segment. `used` bytes of the limit are already occupied.
 ///
 /// # Errors
 /// Fails when the segment does not fit within the limit, or the system fails. The segment does not exist then.
@@ -42,7 +42,7 @@
     output.complete(options.sync)
 }
 
-/// The new segment's file.
+/// The new segment's file while it is written.
 struct Output<'a> {
     disk: &'a mut dyn Disk,
     segment: Segment,
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Appends what the writer holds, and empties it.
+    /// Appends the writer's frames and clears it.
     fn write(&mut self, writer: &mut FrameWriter) -> io::Result<()> {
         self.segment.length += writer.length();
         self.segment.records += writer.frames();
--- a/crates/journal/src/open.rs
+++ b/crates/journal/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening a journal: the files of earlier processes are read and made fit to be appended to.
+//! Opening a journal: reads the files of earlier processes and prepares them for appending.
 
 use std::fmt;
 use std::path::Path;
@@ -14,30 +14,30 @@
 use crate::segment::{Segment, StoredFile, parse_sequence, size_on_disk};
 use crate::store::{Damage, Journal, Options};
 
-/// The ledger may occupy the limit divided by this at most.
+/// The ledger's size is at most the journal's limit divided by this.
 const MAX_LEDGER_SHARE: u64 = 4;
 
-/// What opening found that an operator should know.
+/// What an operator should know about the opening of a journal.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OpenReport {
     /// What is damaged. Each file is preserved under a name that begins with `damaged-` once its records are copied.
     pub damaged: Vec<DamagedFile>,
     /// Messages that the damage may affect, which count as possibly applied.
     pub suspected: usize,
-    /// Bytes of a torn last write, which are cut off. Nobody was promised anything of them.
+    /// Bytes of a torn last write, which are truncated. They belong to an append that never succeeded.
     pub torn: u64,
-    /// The file of an earlier version was migrated.
+    /// Whether the file of an earlier version was migrated.
     pub migrated: bool,
 }
 
 impl fmt::Display for OpenReport {
-    /// One line for each finding; nothing where there is none.
+    /// Writes one line for each finding, and nothing if there are none.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if self.migrated {
-            writeln!(f, "journal: the file of an earlier version is migrated")?;
+            writeln!(f, "journal: migrated the file of an earlier version")?;
         }
         if self.torn > 0 {
-            writeln!(f, "journal: {} bytes of a torn write are cut off", self.torn)?;
+            writeln!(f, "journal: truncated {} bytes of a torn write", self.torn)?;
         }
         for DamagedFile { file, range } in &self.damaged {
             match range {
@@ -58,14 +58,14 @@
     /// Opens the journal in a folder, which is created if it does not exist and locked against other processes.
     ///
     /// # Errors
-    /// Fails when the folder can't be written, another process or a newer version has it, or it is damaged and the
-    /// options refuse that.
+    /// Fails when the folder can't be written, another process has locked it, a newer version wrote it, or it is
+    /// damaged and the options refuse damage.
     pub fn open(folder: &Path, options: Options, now: Micros) -> Result<(Self, OpenReport), OpenError> {
         let disk = Folder::lock(folder).map_err(OpenError::io(""))?;
         Self::open_on(Box::new(disk.ok_or(OpenError::Locked)?), options, now)
     }
 
-    /// Opens the journal on a disk that nobody else writes to.
+    /// Opens the journal on a disk that nothing else writes to.
     ///
     /// # Errors
     /// As [`Journal::open`].
@@ -94,7 +94,7 @@
     }
 }
 
-/// Makes a loaded folder fit to be appended to. Every step leaves a folder that can be opened again.
+/// Prepares a loaded folder for appending. The folder can be opened again after every step.
 struct Recovery {
     disk: Box<dyn Disk>,
     options: Options,
@@ -124,7 +124,7 @@
         Ok(journal)
     }
 
-    /// Removes what a process left that ended while it migrated an earlier version's file.
+    /// Removes the incomplete file of a process that ended while it migrated an earlier version's file.
     fn remove_unfinished_migration(&mut self) -> Result<(), OpenError> {
         let names = self.disk.names().map_err(OpenError::io(""))?;
         if let Some((_, length)) = names.iter().find(|(name, _)| name == migration::FILE_NAME) {
@@ -134,13 +134,13 @@
         Ok(())
     }
 
-    /// Migrates an earlier version's file unless that was done before, and retires it.
+    /// Migrates an earlier version's file unless a previous process did so, and retires it.
     fn migrate_legacy(&mut self) -> Result<(), OpenError> {
         let names = self.disk.names().map_err(OpenError::io(""))?;
         let length =
             names.iter().find(|(name, _)| name == legacy::FILE_NAME).map_or(0, |(_, length)| *length);
         if self.loaded.segments.is_empty() {
-            // A segment that was created and never used would be in the way.
+            // A segment that was created and never used may have the name of the new one.
             for file in std::mem::take(&mut self.loaded.retired) {
                 self.remove(&file)?;
             }
@@ -157,7 +157,7 @@
         migration::write_first_segment(&mut *self.disk, &self.options, state, *used, self.now)
     }
 
-    /// Cuts off the torn write at the end of the last segment, if there is one.
+    /// Truncates the torn write at the end of the last segment, if there is one.
     fn truncate_torn_write(&mut self) -> Result<(), OpenError> {
         let torn = self.loaded.torn;
         let Some(last) = self.loaded.segments.last().filter(|_| torn > 0) else { return Ok(()) };
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    /// Removes segments that were created and never used: they are in the way of the next one.
+    /// Removes segments that were created and never used, because the next segment may need their names.
     fn remove_unused_segments(&mut self) -> Result<(), OpenError> {
         let last = self.loaded.segments.last().map_or(0, |last| last.sequence);
         let is_unused = |file: &StoredFile| parse_sequence(&file.name) > Some(last);
@@ -177,8 +177,8 @@
         Ok(())
     }
 
-    /// Syncs the last segment and returns how many of its bytes are durable. Guards what this process is going to act
-    /// on: the one before may have ended ahead of its sync.
+    /// Syncs the last segment and returns how many of its bytes are durable. The previous process may have ended before
+    /// its sync, and this process is going to act on the records.
     fn sync_last_segment(&mut self) -> Result<u64, OpenError> {
         let (true, Some(last)) = (self.options.sync, self.loaded.segments.last()) else {
             return Ok(HEADER_SIZE as u64);
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,4 +1,4 @@
-//! What the journal stores, as plain data.
+//! The data that the journal stores.
 
 use std::sync::Arc;
 
@@ -13,7 +13,8 @@
 /// Versions before 0.2 stored this type in postcard: no variant or field may move or change its type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The sender accepted the message and owes it an outcome. No other pending message has its number.
+    /// The sender accepted the message and is responsible for it until its outcome. No other pending message has its
+    /// number.
     #[serde(rename = "Taken")]
     Accepted(u32, Arc<AcceptedMessage>),
     /// An attempt is about to start.
@@ -83,20 +84,20 @@
 pub struct LedgerEntry {
     /// The message's `Req-Id`.
     pub id: String,
-    /// Whether it was delivered; otherwise it failed, and may have taken effect.
+    /// Whether it was delivered; otherwise it failed and may have taken effect.
     pub delivered: bool,
     /// When it reached its outcome.
     pub at: Micros,
 }
 
-/// An attempt as far as the journal knows it.
+/// An attempt as the journal has recorded it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
     /// Its number. The number of an attempt that could not be recorded, and so never started, is missing.
     pub number: u16,
-    /// The endpoint's name; empty for an attempt that damage may hide.
+    /// The endpoint's name; empty for an attempt that was added because damage may hide one.
     pub endpoint: Arc<str>,
-    /// When it started; 0 where that is unknown.
+    /// When it started; 0 if unknown.
     pub at: Micros,
     /// Whether it is known not to have run.
     pub never_ran: bool,
@@ -109,19 +110,19 @@
     pub message: Arc<AcceptedMessage>,
     /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
-    /// Its outcome, where only the notification of the platform is pending.
+    /// Its outcome, if only the notification of the platform is pending.
     pub abandoned: Option<Abandonment>,
     /// Sequence number of the segment in which its records begin.
     pub(crate) segment: u64,
 }
 
 impl PendingMessage {
-    /// A message without attempts whose records begin in that segment.
+    /// Creates a message without attempts whose records begin in `segment`.
     pub(crate) fn new(message: Arc<AcceptedMessage>, segment: u64) -> Self {
         Self { message, attempts: Vec::new(), abandoned: None, segment }
     }
 
-    /// Whether one of its attempts may have taken effect.
+    /// Returns whether one of its attempts may have taken effect.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.never_ran)
     }
--- a/crates/journal/src/replay.rs
+++ b/crates/journal/src/replay.rs
@@ -1,4 +1,4 @@
-//! Recovery of one segment: decodes its frames into a [`State`], and tells a torn write from damage. No I/O.
+//! Recovery of one segment: decodes its frames into a [`State`], and distinguishes a torn write from damage. No I/O.
 
 use crate::format::{
     BatchOffset, FRAME_HEADER_SIZE, Frame, HEADER_SIZE, HeaderError, LogEntry, MAX_FRAME_BODY, SegmentHeader,
@@ -7,31 +7,31 @@
 use crate::record::{PendingMessage, Record};
 use crate::state::{ByNumber, State};
 
-/// A range of a segment that was written and can't be read.
+/// A range of a segment that was written and can no longer be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DamagedRange {
     /// Sequence number of the segment.
     pub sequence: u64,
     /// Offset of the first damaged byte.
     pub from: u64,
-    /// Offset behind the last damaged byte.
+    /// Offset after the last damaged byte.
     pub to: u64,
-    /// How many records are lost, where that can be told.
+    /// The number of records lost, if they can be counted.
     pub records: Option<u64>,
 }
 
-/// What was found in a segment.
+/// The result of replaying a segment.
 #[derive(Debug, Default)]
 pub struct ReplayedSegment {
-    /// Bytes that count; a write may be appended behind them.
+    /// Length in bytes without a torn write at the end; the next write is appended there.
     pub length: u64,
-    /// Records up to there. Damaged ones are included as far as they can be counted.
+    /// Records within that length. Damaged ones are included as far as they can be counted.
     pub records: u32,
     /// Ranges that can't be read.
     pub damaged: Vec<DamagedRange>,
     /// Bytes of a torn last write.
     pub torn: u64,
-    /// Messages that were pending where a damaged range was met.
+    /// Messages that were pending at a damaged range.
     pub suspected: usize,
 }
 
@@ -44,7 +44,7 @@
     UnknownRecord,
 }
 
-/// What follows a segment. Only where nothing does may its last write be torn.
+/// What follows a segment. Only if nothing follows, its last write may be torn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Successor {
     /// Another segment, before which this many records were written.
@@ -52,9 +52,9 @@
         /// Records written to all segments before the successor.
         records_before: u64,
     },
-    /// Nothing, and the last writes are present in order up to some byte.
+    /// Nothing. The last writes are present in order up to some byte.
     NoneInOrder,
-    /// Nothing, and of the writes since the last sync any part may be present without the others.
+    /// Nothing. Any parts of the writes since the last sync may be present without the others.
     NoneUnordered,
 }
 
@@ -68,7 +68,7 @@
 #[derive(Default)]
 pub struct Replay {
     frames: Vec<FrameLocation>,
-    /// For each message that is completed in the frames at hand, the index of the last frame that does so.
+    /// For each message that is completed in `frames`, the index of the last frame that completes it.
     completions: ByNumber<usize>,
 }
 
@@ -107,7 +107,7 @@
             offset = next.offset;
         }
         if let Some(lost) = found.records_missing(&header, successor).filter(|lost| *lost > 0) {
-            // The segment was cut off between two records.
+            // The segment was truncated between two records.
             found.add_damage(header.sequence, bytes.len(), bytes.len(), Some(lost), state);
         }
         Ok(found)
@@ -127,8 +127,8 @@
             let frame = Frame::verified(bytes, location.offset, location.body_length as usize);
             found.records += 1;
             let is_completed_later = |message| self.completions.get(&message).is_some_and(|at| *at > index);
-            // Decoding can be skipped. A completed message's number may be used again, so that an earlier message of
-            // the same number, if there is one, is completed now.
+            // Decoding can be skipped. Numbers of completed messages are reused, so that an earlier message of the same
+            // number, if there is one, is completed now.
             if let Some(message) = frame.introduced_message().filter(|message| is_completed_later(*message)) {
                 state.apply(Record::Completed(message), segment);
                 continue;
@@ -141,7 +141,7 @@
         Ok(end)
     }
 
-    /// Finds the intact frames from an offset on and the messages that they complete. Returns the offset behind them.
+    /// Finds the intact frames from an offset on and the messages that they complete. Returns the offset after them.
     fn locate_frames(&mut self, segment: u64, bytes: &[u8], from: usize) -> usize {
         self.frames.clear();
         self.completions.clear();
@@ -158,13 +158,13 @@
 }
 
 impl ReplayedSegment {
-    /// Records that the successor counts and that were not found; `None` where that can't be told.
+    /// Records that the successor counts and that were not found; `None` if their number is unknown.
     fn records_missing(&self, header: &SegmentHeader, successor: Successor) -> Option<u64> {
         let Successor::Segment { records_before } = successor else { return None };
         records_before.checked_sub(header.records_before + u64::from(self.records))
     }
 
-    /// Counts the range up to the next intact batch as damaged.
+    /// Adds the range up to the next intact batch as damaged.
     fn skip_to(&mut self, sequence: u64, from: usize, next: BatchOffset, state: &mut State) {
         let lost = next.records_before.checked_sub(self.records).map(u64::from);
         self.add_damage(sequence, from, next.offset, lost, state);
@@ -192,28 +192,29 @@
     }
 }
 
-/// Whether what can't be read at an offset is a write that its process did not finish, rather than damage.
+/// Returns whether the unreadable bytes from an offset on are an incomplete write rather than damage.
 fn is_torn_write(segment: u64, bytes: &[u8], offset: usize, successor: Successor) -> bool {
     match successor {
         Successor::Segment { .. } => false,
-        Successor::NoneInOrder => !was_durable(segment, bytes, offset) && is_cut_short(&bytes[offset..]),
+        Successor::NoneInOrder => !was_durable(segment, bytes, offset) && is_partial_frame(&bytes[offset..]),
         Successor::NoneUnordered => !was_durable(segment, bytes, offset),
     }
 }
 
-/// Whether a batch behind an offset states that the bytes there were durable when it was written.
+/// Returns whether a batch after an offset states that the bytes there were durable when it was written.
 fn was_durable(segment: u64, bytes: &[u8], offset: usize) -> bool {
     batch_starts(segment, bytes, offset + 1).any(|batch| batch.durable_bytes as usize > offset)
 }
 
-/// Whether the bytes are the beginning of a frame whose rest is missing, as a write leaves them that was cut short.
-fn is_cut_short(bytes: &[u8]) -> bool {
+/// Returns whether the bytes are the beginning of a frame whose rest is missing, as after an interrupted write.
+fn is_partial_frame(bytes: &[u8]) -> bool {
     let Some(length) = bytes.first_chunk() else { return true };
     let length = u32::from_le_bytes(*length) as usize;
     length > 0 && length <= MAX_FRAME_BODY && bytes.len() < FRAME_HEADER_SIZE + length
 }
 
-/// The floor that the newest segment states: segments with a lower sequence number are no longer part of the log.
+/// Returns the floor that the newest segment states: segments with a lower sequence number are no longer part of the
+/// log.
 ///
 /// # Errors
 /// Fails when the header can't be read.
@@ -228,7 +229,7 @@
             }
             offset = frame.end();
         }
-        // A floor behind a torn write was never acted on.
+        // No file was removed because of a floor after a torn write.
         if !was_durable(header.sequence, bytes, offset) {
             return Ok(floor);
         }
--- a/crates/journal/src/segment.rs
+++ b/crates/journal/src/segment.rs
@@ -1,4 +1,4 @@
-//! A segment of the log as a file: its name, its length, and what the files count on the disk.
+//! A segment of the log as a file: its name, its length, and how its size counts towards the limit.
 
 /// Unit in which a file counts towards the limit, in bytes.
 pub const BLOCK_SIZE: u64 = 512;
@@ -26,17 +26,19 @@
     pub sequence: u64,
     /// The file's name.
     pub file: String,
-    /// Bytes that count, up to a torn write.
+    /// Length in bytes, without a torn write at the end.
     pub length: u64,
     /// Frames in the segment.
     pub records: u32,
-    /// Messages accepted in or relocated to this segment. Those that were completed or relocated since are skipped.
+    /// Messages accepted in or relocated to this segment. Compaction skips those that were completed or relocated
+    /// since.
     pub messages: Vec<u32>,
-    /// Numbers of ledger entries written to this segment, likewise.
+    /// Numbers of ledger entries written to this segment. Compaction skips those that expired, were replaced or
+    /// were copied since.
     pub ledger_entries: Vec<u64>,
-    /// A range of the segment can't be read.
+    /// Whether a range of the segment can't be read.
     pub damaged: bool,
-    /// The header can't be read, so that nothing may be appended.
+    /// Whether the header can't be read, so that nothing may be appended.
     pub header_unreadable: bool,
 }
 
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that a journal's records amount to: pending messages and the ledger of final outcomes. No I/O.
+//! The state that results from a journal's records: pending messages and the ledger of final outcomes. No I/O.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasherDefault, Hasher};
@@ -33,7 +33,7 @@
 /// batch starts before these.
 pub const LATER_RECORDS_SIZE: u64 = 768;
 
-/// Bytes that a message may come to need on the disk.
+/// Bytes on the disk that are reserved for a message until its outcome is recorded.
 pub fn reserved_size(message: &AcceptedMessage) -> u64 {
     relocated_size(message) + LATER_RECORDS_SIZE
 }
@@ -55,15 +55,15 @@
     pub segment: u64,
 }
 
-/// The state that all records amount to.
+/// The state that results from all records.
 ///
-/// Sums of sizes are kept along with each change, so that capacity is known without walking the tables.
+/// Sums of sizes are updated with each change, so that the capacity is known without iterating over the tables.
 #[derive(Debug, Clone, Default)]
 pub struct State {
     live: ByNumber<PendingMessage>,
     /// Sum of [`reserved_size`] over all pending messages.
     reserved_bytes: u64,
-    /// The ledger in the order in which its entries were made. The key is a number that is not stored.
+    /// The ledger in the order in which its entries were added. The key is a number that is not stored.
     ledger: BTreeMap<u64, StoredEntry>,
     /// The latest entry of each `Req-Id`.
     ledger_by_id: HashMap<String, u64>,
@@ -83,7 +83,7 @@
         &self.live
     }
 
-    /// Bytes that all pending messages may come to need.
+    /// Bytes reserved for all pending messages.
     pub fn reserved_bytes(&self) -> u64 {
         self.reserved_bytes
     }
@@ -93,12 +93,12 @@
         self.ledger_bytes
     }
 
-    /// Bytes that the ledger occupies once the pending messages have their entries.
+    /// Bytes that the ledger will occupy once all pending messages have their entries.
     pub fn ledger_reserved_bytes(&self) -> u64 {
         self.ledger_bytes + self.pending_ledger_bytes
     }
 
-    /// States which classes' outcomes go to the ledger.
+    /// Sets the classes whose outcomes go to the ledger.
     pub fn retain_classes(&mut self, classes: Vec<String>) {
         self.retained_classes = classes;
         self.pending_ledger_bytes =
@@ -110,7 +110,7 @@
         self.retained_classes.iter().any(|name| name == class)
     }
 
-    /// Bytes that a message's ledger entry will need; 0 where it will have none.
+    /// Bytes that a message's ledger entry will need; 0 if it will have none.
     pub fn ledger_size(&self, message: &AcceptedMessage) -> u64 {
         if self.retains(&message.class) { ledger_entry_size(&message.id) } else { 0 }
     }
@@ -130,7 +130,7 @@
         Some(&self.ledger.get(self.ledger_by_id.get(id)?)?.entry)
     }
 
-    /// Applies a record that is stored in `segment`, and returns the number of the ledger entry that it made, if any.
+    /// Applies a record that is stored in `segment`, and returns the number of the ledger entry that it added, if any.
     ///
     /// A record of a message that is not pending changes nothing: the message was completed, and the segment that held
     /// its acceptance is gone.
@@ -159,7 +159,7 @@
         None
     }
 
-    /// Inserts a message with all that is known of it, in place of one of the same number.
+    /// Inserts a message with its complete state, and replaces one of the same number.
     pub fn insert(&mut self, message: u32, pending: PendingMessage) {
         self.reserved_bytes += reserved_size(&pending.message);
         self.pending_ledger_bytes += self.ledger_size(&pending.message);
@@ -168,21 +168,22 @@
         }
     }
 
-    /// A message was copied to that segment.
+    /// Records that a message was copied to `segment`.
     pub fn set_segment(&mut self, message: u32, segment: u64) {
         if let Some(pending) = self.live.get_mut(&message) {
             pending.segment = segment;
         }
     }
 
-    /// A ledger entry was copied to that segment.
+    /// Records that a ledger entry was copied to `segment`.
     pub fn set_entry_segment(&mut self, number: u64, segment: u64) {
         if let Some(stored) = self.ledger.get_mut(&number) {
             stored.segment = segment;
         }
     }
 
-    /// Drops ledger entries that are older than `span`, `limit` at most. Entries keep their order when they are copied.
+    /// Drops at most `limit` ledger entries that are older than `span`, oldest first. Entries keep their order when
+    /// they are copied.
     pub fn expire_ledger(&mut self, now: Micros, span: Micros, limit: usize) {
         for _ in 0..limit {
             let Some((number, stored)) = self.ledger.first_key_value() else { return };
@@ -196,10 +197,10 @@
         }
     }
 
-    /// Guards against an effect that a damaged range hides: every pending message gets an attempt of unknown time and
-    /// endpoint that may have run. A later record that holds the message's complete state, or completes it, undoes that.
-    /// Messages that the damage does not concern are affected too: they are not sent any more. Returns how many
-    /// messages there are.
+    /// Adds an attempt of unknown time and endpoint that may have run to every pending message, because a damaged range
+    /// may have held the record of such an attempt. A later record that holds the message's complete state, or
+    /// completes it, removes the attempt again. Messages that the damage does not concern are marked too and are no
+    /// longer sent. Returns the number of messages.
     pub fn mark_possibly_applied(&mut self) -> usize {
         for pending in self.live.values_mut() {
             let number = pending.attempts.last().map_or(0, |last| last.number.wrapping_add(1));
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Returns what was reserved for a message.
+    /// Releases the bytes that were reserved for a message.
     fn release(&mut self, pending: &PendingMessage) {
         self.reserved_bytes -= reserved_size(&pending.message);
         self.pending_ledger_bytes -= self.ledger_size(&pending.message);
