--- a/crates/journal/src/shards.rs
+++ b/crates/journal/src/shards.rs
@@ -1,7 +1,7 @@
 //! One journal for several shards. Each appends its own batches and keeps the pending messages that it owns.
 //!
-//! A message that moves to another shard stays where it is stored in the log, so that a process that ends during the
-//! move leaves it exactly once. Batches that wait while another is written are written together after it, and synced
+//! A message that moves to another shard stays where it is stored in the log. If the process ends during the move, the
+//! log therefore holds it exactly once. Batches that are queued while another is written are then written and synced
 //! together (group commit).
 
 use std::fmt;
@@ -20,7 +20,7 @@
 /// Message numbers wrap around here.
 const NUMBER_COUNT: u64 = 1 << 32;
 
-/// A shard's batch that waits to be written.
+/// A shard's batch that is queued to be written.
 struct QueuedBatch {
     now: Micros,
     records: Vec<Record>,
@@ -39,7 +39,7 @@
     /// `None` while another process has the journal.
     journal: Mutex<Option<Journal>>,
     queue: Mutex<Vec<QueuedBatch>>,
-    /// As of the last append. Kept apart from the journal so that admission never waits for a sync.
+    /// As of the last append. Has its own lock, so that admission never waits for a sync.
     capacity: Mutex<Capacity>,
     /// The first message number that no shard has reserved, modulo [`NUMBER_COUNT`].
     next_number: AtomicU64,
@@ -61,14 +61,14 @@
     }
 }
 
-/// Locks a mutex. A panic while it was held has ended the process.
+/// Locks a mutex. Poisoning is ignored, because a panic while the mutex was locked has ended the process.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Journal {
-    /// Splits the journal into one part for each shard. `owner` tells a destination's shard; each part holds the pending
-    /// messages of its own destinations.
+    /// Splits the journal into one part for each shard. `owner` returns the shard of a destination; each part holds the
+    /// pending messages of its own destinations.
     pub fn share(self, shards: usize, owner: impl Fn(u16) -> usize) -> Vec<JournalPart> {
         let mut empty = State::default();
         empty.retain_classes(self.options.ledger_classes());
@@ -97,7 +97,7 @@
         self.state.live()
     }
 
-    /// A number that no pending message of any shard has.
+    /// Returns a number that no pending message of any shard has.
     ///
     /// # Errors
     /// Fails while another process has the journal.
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Reserves the next block of numbers, unless a message that is pending since before the numbers wrapped around has
-    /// one of them.
+    /// Reserves the next block of numbers. Skips it if one of them belongs to a message that has been pending since
+    /// before the numbers wrapped around.
     fn reserve_numbers(&mut self) -> Result<(), JournalClosed> {
         let journal = lock(&self.shared.journal);
         let live = journal.as_ref().ok_or(JournalClosed)?.live();
@@ -124,12 +124,12 @@
         Ok(())
     }
 
-    /// Numbers below `first` are not assigned from now on.
+    /// Raises the first unreserved message number to at least `first`, so that no lower number is assigned.
     pub fn number_from(&mut self, first: u32) {
         self.shared.next_number.fetch_max(first.into(), Ordering::Relaxed);
     }
 
-    /// No number from this one on was assigned since the numbers last wrapped around.
+    /// Returns the number from which on none has been assigned since the numbers last wrapped around.
     pub fn next_number(&self) -> u32 {
         (self.shared.next_number.load(Ordering::Relaxed) % NUMBER_COUNT) as u32
     }
@@ -146,7 +146,7 @@
         lock(&self.shared.queue).push(QueuedBatch { now, records: records.clone(), result: result.clone() });
         {
             let mut journal = lock(&self.shared.journal);
-            // Whichever shard held the lock before may have written this batch along with its own.
+            // The shard that held the lock before may have written this batch together with its own.
             if lock(&result).is_none() {
                 self.shared.write_queued(&mut journal);
             }
@@ -154,7 +154,7 @@
         let written = lock(&result).take();
         written.unwrap_or(Err(AppendError::Closed(JournalClosed)))?;
         for record in records.drain(..) {
-            // The ledger belongs to all shards: the journal keeps it.
+            // The ledger is common to all shards and kept in the journal's state.
             if !matches!(record, Record::LedgerEntry(_)) {
                 self.state.apply(record, 0);
             }
@@ -167,8 +167,8 @@
         reserved_size(message) + self.state.ledger_size(message)
     }
 
-    /// As [`Journal::has_capacity`] after the last append of any shard. What other shards promised since is not counted,
-    /// so that an append may still reach the limit.
+    /// As [`Journal::has_capacity`] as of the last append of any shard. Messages that other shards have admitted since
+    /// are not counted, so that an append may still reach the limit.
     pub fn has_capacity(&self, message: &AcceptedMessage, pending: u64) -> bool {
         let ledger_size = self.state.ledger_size(message);
         lock(&self.shared.capacity).admits(self.space_needed(message), ledger_size, pending)
@@ -184,7 +184,7 @@
         lock(&self.shared.journal).as_ref()?.ledger_entry(id, now).cloned()
     }
 
-    /// As [`Journal::compact_step`]. Does nothing while another shard uses the log: a later step makes up for it.
+    /// As [`Journal::compact_step`]. Does nothing while another shard uses the log; a later step catches up.
     ///
     /// # Errors
     /// As [`Journal::compact_step`].
@@ -218,13 +218,13 @@
         *lock(&self.shared.journal) = None;
     }
 
-    /// This process has the journal again, for all shards.
+    /// Makes the journal available to all shards again, after this process has opened it anew.
     pub fn reopen(&mut self, journal: Journal) {
         *lock(&self.shared.capacity) = journal.capacity();
         *lock(&self.shared.journal) = Some(journal);
     }
 
-    /// The number of batches that all shards wrote, and the number of writes that took.
+    /// The number of batches of all shards that were written, and the number of writes for them.
     pub fn written(&self) -> (u64, u64) {
         (self.shared.batches.load(Ordering::Relaxed), self.shared.writes.load(Ordering::Relaxed))
     }
@@ -246,8 +246,8 @@
     }
 }
 
-/// Writes batches together. Where that fails each is written by itself, so that one which reaches the limit does not
-/// fail the others.
+/// Writes batches together. If that fails, writes each separately, so that a batch that reaches the limit does not fail
+/// the others.
 fn write(journal: &mut Journal, mut batches: Vec<QueuedBatch>) {
     if batches.len() > 1 {
         let now = batches.iter().map(|batch| batch.now).max().unwrap_or(0);
--- a/crates/journal/src/sim/changes.rs
+++ b/crates/journal/src/sim/changes.rs
@@ -1,4 +1,4 @@
-//! Files of the simulated disk with their unsynced changes, and what a loss of power keeps of these.
+//! Files of the simulated disk with their unsynced changes, some of which a loss of power drops.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Applies what a loss of power keeps: any of a write's sectors, and a truncation or not.
+    /// Applies the part of the change that survives a loss of power: a random subset of a write's sectors, and a
+    /// truncation with a probability of one half.
     fn apply_partially(&self, to: &mut Vec<u8>, rng: &mut fastrand::Rng) {
         match self {
             Self::Write { offset, bytes } => {
@@ -52,9 +53,9 @@
 
 #[derive(Debug, Clone, Default)]
 pub(super) struct SimFile {
-    /// As processes see it.
+    /// The contents as processes see them.
     pub bytes: Vec<u8>,
-    /// As of the last sync.
+    /// The contents as of the last sync.
     synced: Vec<u8>,
     /// Changes since the last sync.
     unsynced: Vec<Change>,
@@ -85,7 +86,7 @@
         self.unsynced.push(change);
     }
 
-    /// Reverts to the last sync and applies what a loss of power keeps of the changes since.
+    /// Reverts to the last sync and applies the parts of later changes that survive a loss of power.
     pub fn lose_power(&mut self, rng: &mut fastrand::Rng) {
         for change in std::mem::take(&mut self.unsynced) {
             change.apply_partially(&mut self.synced, rng);
@@ -94,8 +95,7 @@
     }
 }
 
-/// A change of the folder's names. Files are given by their index.
-
+/// A change of the folder's names. Files are identified by their index.
 #[derive(Debug, Clone)]
 pub(super) enum NameChange {
     Create(String, usize),
--- a/crates/journal/src/sim/mod.rs
+++ b/crates/journal/src/sim/mod.rs
@@ -14,15 +14,15 @@
 
 use crate::disk::Disk;
 
-/// A fault of one operation.
+/// A fault that is injected into one operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The disk is full: a write keeps this many of its bytes at most, any other operation has no effect.
+    /// The disk is full: a write keeps at most this many of its bytes, any other operation has no effect.
     StorageFull(usize),
-    /// The device fails: a write keeps this many of its bytes at most, any other operation has no effect.
+    /// The device fails: a write keeps at most this many of its bytes, any other operation has no effect.
     Device(usize),
-    /// The process is killed: a write keeps this many of its bytes at most, any other operation takes effect unless this
-    /// is 0. All later operations fail too, until [`SimDisk::restart`].
+    /// The process is killed: a write keeps at most this many of its bytes, any other operation takes effect unless
+    /// this is 0. All later operations fail too, until [`SimDisk::restart`].
     Kill(usize),
 }
 
@@ -43,17 +43,17 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// All files that ever were, removed ones included.
+    /// All files that were ever created, including removed ones.
     files: Vec<SimFile>,
     /// Indices of files by name.
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
-    /// The number of operations so far that change something.
+    /// The number of modifying operations so far.
     operations: u64,
     /// Faults by the number of their operation.
     faults: BTreeMap<u64, Fault>,
-    /// Most bytes that all files may have together.
+    /// Most bytes that all files may have together; `None` without a limit.
     capacity: Option<usize>,
     killed: bool,
 }
@@ -67,12 +67,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An empty disk without faults.
+    /// Creates an empty disk without faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The number of operations so far that change something, failed ones included.
+    /// The number of modifying operations so far, including failed ones.
     pub fn operations(&self) -> u64 {
         self.inner().operations
     }
@@ -87,12 +87,12 @@
         self.inner().faults.clear();
     }
 
-    /// Limits the bytes that all files may have together, or lifts the limit.
+    /// Sets the most bytes that all files may have together; `None` removes the limit.
     pub fn set_capacity(&self, capacity: Option<usize>) {
         self.inner().capacity = capacity;
     }
 
-    /// Whether a process was killed and none was started since.
+    /// Returns whether the process was killed and no other has been started since.
     pub fn is_killed(&self) -> bool {
         self.inner().killed
     }
@@ -102,7 +102,7 @@
         self.inner().killed = false;
     }
 
-    /// The machine loses power, and the next process starts on what is kept.
+    /// Simulates a loss of power. The next process starts with the changes that survive.
     pub fn lose_power(&self, rng: &mut fastrand::Rng) {
         let inner = &mut *self.inner();
         for file in &mut inner.files {
@@ -123,7 +123,7 @@
         inner.names.get(name).map(|file| inner.files[*file].bytes.clone())
     }
 
-    /// Changes a file's bytes as damage to the medium would.
+    /// Changes a file's bytes as damage to the medium does.
     pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let inner = &mut *self.inner();
         if let Some(file) = inner.names.get(name).copied() {
@@ -151,7 +151,8 @@
     }
 }
 
-/// An operation other than a write. A killed process may not learn of its effect.
+/// The outcome of an operation other than a write. If the process is killed, the operation may take effect and still
+/// return an error.
 struct Operation {
     takes_effect: bool,
     result: io::Result<()>,
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Counts a write; returns how many of its bytes are kept at most, and its result.
+    /// Counts a write and returns how many of its bytes are kept at most, and its result.
     fn begin_write(&mut self, length: usize) -> io::Result<(usize, io::Result<()>)> {
         let fault = self.begin()?;
         let used: usize = self.names.values().map(|file| self.files[*file].bytes.len()).sum();
--- a/crates/journal/src/store/append.rs
+++ b/crates/journal/src/store/append.rs
@@ -13,7 +13,7 @@
     /// returns once they would survive a loss of power.
     ///
     /// # Errors
-    /// Fails when they could not be written. Then none of them counts, and all stay in `records`.
+    /// Fails when they could not be written. Then none of them is committed, and all stay in `records`.
     pub fn append(&mut self, now: Micros, records: &mut Vec<Record>) -> Result<(), AppendError> {
         if records.is_empty() {
             return Ok(());
@@ -53,17 +53,17 @@
         &self.segments[self.segments.len() - 1]
     }
 
-    /// Empties the writer and writes the frame that begins a batch.
+    /// Clears the writer and writes the frame that begins a batch to it.
     pub(super) fn begin_batch(&mut self, now: Micros) {
         let active = self.active();
-        // Without syncs everything written is durable as long as the machine is up.
+        // Without syncs everything written is durable as long as the machine runs.
         let durable_bytes = if self.options.sync { self.durable_bytes } else { active.length };
         let (sequence, records) = (active.sequence, active.records);
         self.writer.clear();
         self.writer.batch_start(sequence, now, records, durable_bytes as u32);
     }
 
-    /// Appends what the writer holds to the active segment. On failure the segment is as before, or is truncated before
+    /// Appends the writer's frames to the active segment. On failure the segment is unchanged, or is truncated before
     /// the next write.
     pub(super) fn write_batch(&mut self, sync: bool) -> io::Result<()> {
         let Some(active) = self.segments.back() else { return Err(io::ErrorKind::NotFound.into()) };
@@ -73,7 +73,7 @@
             written = self.disk.sync(&active.file);
         }
         if let Err(error) = written {
-            // Guards against a record behind a torn one: nothing is written before the torn one is cut off.
+            // Nothing may be written after a torn write. Where it can't be truncated now, the next write does so first.
             self.tail_torn = self.disk.truncate(&active.file, length).is_err();
             return Err(error);
         }
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Cuts off what a failed write left behind the active segment, where that failed at the time.
+    /// Truncates what a failed write left at the end of the active segment, if that truncation failed at the time.
     pub(crate) fn truncate_torn_tail(&mut self) -> io::Result<()> {
         if self.tail_torn {
             let Some(active) = self.segments.back() else { return Ok(()) };
@@ -100,20 +100,20 @@
         Ok(())
     }
 
-    /// Starts a new segment if the active one has its length.
+    /// Starts a new segment if the active one has reached the segment length.
     pub(super) fn roll_if_long(&mut self, now: Micros) -> io::Result<()> {
         if self.active().length < self.options.segment_length() {
             return Ok(());
         }
         match self.roll(now) {
-            // The length is no hard limit: where a header does not fit, a record still may.
+            // The segment length is not a hard limit: if no new header fits, a record may still fit the active segment.
             Err(error) if error.kind() == io::ErrorKind::StorageFull => Ok(()),
             rolled => rolled,
         }
     }
 
-    /// Starts a new segment, or the first one. If that fails, the unusable file is removed, now or when it is next in
-    /// the way.
+    /// Starts a new segment, or the first one. If that fails, the unusable file is removed, either at once or before
+    /// the next attempt to create it.
     pub(crate) fn roll(&mut self, now: Micros) -> io::Result<()> {
         let (sequence, records) = match self.segments.back() {
             Some(last) => (last.sequence + 1, u64::from(last.records)),
@@ -157,7 +157,7 @@
     }
 }
 
-/// Whether a record brings a pending message closer to its outcome. Such records may use the space reserved for
+/// Returns whether a record brings a pending message closer to its outcome. Such records may use the space reserved for
 /// outcomes; acceptances and new attempts may not.
 fn is_progress(record: &Record) -> bool {
     !matches!(record, Record::Accepted(..) | Record::AttemptStarted { .. })
--- a/crates/journal/src/store/capacity.rs
+++ b/crates/journal/src/store/capacity.rs
@@ -1,8 +1,8 @@
-//! Capacity accounting: what the journal occupies, and whether it can keep a further message to its outcome.
+//! Capacity accounting: what the journal occupies, and whether it can store a further message until its outcome.
 //!
-//! Pending messages and the ledger get half of the limit, so that compaction always has space to work with. A message is
-//! admitted only if every pending message could reach its outcome without any compaction. Outcomes can therefore always
-//! be written, and a compaction that falls behind causes rejections, never a lost outcome.
+//! Pending messages and the ledger may use half of the limit, so that compaction always has space to work with. A
+//! message is admitted only if every pending message could reach its outcome without any compaction. Outcomes can
+//! therefore always be written, and compaction that falls behind leads to rejections, never to a lost outcome.
 
 use super::{Journal, SLICE_BYTES};
 use crate::record::AcceptedMessage;
@@ -17,55 +17,55 @@
 pub struct Figures {
     /// Bytes of all files, in whole blocks.
     pub used: u64,
-    /// Bytes that pending messages may come to need, and the ledger's.
-    pub needs: u64,
+    /// Bytes reserved for pending messages, and those that the ledger occupies.
+    pub reserved: u64,
     /// The number of segments.
     pub segments: usize,
-    /// Length in bytes from which on a new segment is started.
+    /// Length in bytes at which a new segment is started.
     pub segment: u64,
     /// Bytes written since the journal was opened, those of compaction included.
     pub written: u64,
     /// Bytes written by compaction.
-    pub moved: u64,
+    pub relocated: u64,
     /// Segments that compaction has emptied.
     pub compacted: u64,
 }
 
-/// The capacity that a journal had for further messages at some moment. All values are in bytes.
+/// The capacity of a journal for further messages at a point in time. All values are in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Capacity {
     limit: u64,
-    /// What pending messages may come to need, and the ledger's share.
+    /// Bytes reserved for pending messages, and the ledger's share.
     reserved: u64,
-    /// What the files occupy, what pending messages may still write, and what compaction works with.
+    /// Bytes that the files occupy, that pending messages may still write, and that compaction needs.
     committed: u64,
-    /// What the ledger has free.
+    /// Free bytes of the ledger.
     ledger_free: u64,
 }
 
 impl Capacity {
-    /// Whether a message fits that needs `size` bytes, `ledger_size` of them for its ledger entry, given that `pending`
-    /// bytes are already promised to messages that are not appended yet.
+    /// Returns whether a message fits that needs `size` bytes, `ledger_size` of them for its ledger entry, given that
+    /// `pending` bytes are already reserved for messages that are not appended yet.
     pub fn admits(&self, size: u64, ledger_size: u64, pending: u64) -> bool {
         let reserved = self.reserved + pending + size;
         let committed = self.committed + pending + size;
-        // Guards against a ledger that drops entries early: each pending message of its classes has its entry's space
-        // reserved. At the limit new messages of these classes are rejected until older entries have expired.
+        // Reserves the space of the ledger entry for each pending message of the ledger's classes, so that no entry is
+        // dropped early. At the limit new messages of these classes are rejected until older entries have expired.
         let ledger_fits = ledger_size == 0 || ledger_size <= self.ledger_free;
         reserved <= self.limit / 2 && committed <= self.limit && ledger_fits
     }
 }
 
 impl Journal {
-    /// What the journal occupies.
+    /// What the journal occupies and how it is laid out.
     pub fn figures(&self) -> Figures {
         Figures {
             used: self.used_bytes,
-            needs: self.state.reserved_bytes() + self.state.ledger_bytes(),
+            reserved: self.state.reserved_bytes() + self.state.ledger_bytes(),
             segments: self.segments.len(),
             segment: self.options.segment_length(),
             written: self.written_bytes,
-            moved: self.relocated_bytes,
+            relocated: self.relocated_bytes,
             compacted: self.compacted_segments,
         }
     }
@@ -75,8 +75,8 @@
         reserved_size(message) + self.state.ledger_size(message)
     }
 
-    /// Whether a further message can be kept to its outcome, given that `pending` bytes are already promised to messages
-    /// that are not appended yet.
+    /// Returns whether a further message can be stored until its outcome, given that `pending` bytes are already
+    /// reserved for messages that are not appended yet.
     pub fn has_capacity(&self, message: &AcceptedMessage, pending: u64) -> bool {
         self.capacity().admits(self.space_needed(message), self.state.ledger_size(message), pending)
     }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// States how many bytes, in whole blocks, the files occupy whose names begin with
+    /// Sets how many bytes, in whole blocks, the files occupy whose names begin with
     /// [`SNAPSHOT_PREFIX`](crate::SNAPSHOT_PREFIX). An append that lacks this space fails with
     /// [`AppendError::LimitReached`](crate::AppendError::LimitReached) and should be retried once these files are
     /// removed. What [`Journal::has_capacity`] admits does not depend on them.
@@ -100,20 +100,20 @@
         self.snapshot_bytes = bytes;
     }
 
-    /// Bytes that the snapshot's files may occupy now without the journal needing them back soon.
+    /// Bytes that the snapshot's files may occupy now such that the journal is not going to need them soon.
     pub fn free_reserved_bytes(&self) -> u64 {
         let own = self.committed_bytes() + SLICE_BYTES.min(self.options.limit / 8);
         self.options.limit.saturating_sub(own)
     }
 
-    /// What the files occupy, what pending messages may still write, and what compaction works with.
+    /// Bytes that the files occupy, that pending messages may still write, and that compaction needs.
     pub(super) fn committed_bytes(&self) -> u64 {
         let later_records = self.live().len() as u64 * LATER_RECORDS_SIZE;
         let compaction_space = 2 * self.options.segment_length();
         self.used_bytes + later_records + compaction_space
     }
 
-    /// Bytes that the journal's own files may occupy, given the snapshot's.
+    /// Bytes that the journal's own files may occupy, given the size of the snapshot's files.
     pub(super) fn available_limit(&self) -> u64 {
         self.options.limit.saturating_sub(self.snapshot_bytes)
     }
@@ -129,7 +129,7 @@
         self.live().len() as u64 * OUTCOME_RESERVE
     }
 
-    /// Whether what the writer holds fits within the limit and leaves `reserve` bytes free.
+    /// Returns whether the writer's frames fit within the limit and leave `reserve` bytes free.
     pub(super) fn batch_fits(&self, reserve: u64) -> bool {
         self.used_after(self.writer.length()) + reserve <= self.available_limit()
     }
--- a/crates/journal/src/store/compaction.rs
+++ b/crates/journal/src/store/compaction.rs
@@ -1,5 +1,4 @@
-//! Compaction: the live records of the oldest segment are copied to the end of the log, in slices, and its file is
-//! removed.
+//! Compaction: copies the live records of the oldest segment to the end of the log, in slices, and removes its file.
 
 use std::io;
 
@@ -8,31 +7,31 @@
 use crate::record::{Micros, Record};
 use crate::segment::{BLOCK_SIZE, DAMAGED_PREFIX, StoredFile, size_on_disk};
 
-/// How far compaction has come with the oldest segment: positions in its lists of messages and ledger entries.
+/// Progress of compaction in the oldest segment: positions in its lists of messages and ledger entries.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Cursor {
     message: usize,
     ledger_entry: usize,
 }
 
-/// What one slice may still copy.
+/// How much one slice may copy and examine.
 struct SliceBudget {
     bytes: u64,
     examined: usize,
 }
 
 impl SliceBudget {
-    /// Counts one more record to examine; whether the slice may go on with it.
+    /// Counts one more record and returns whether the slice may examine it.
     fn admits(&mut self, writer: &FrameWriter) -> bool {
         self.examined += 1;
         self.examined <= SLICE_MESSAGES && writer.length() < self.bytes
     }
 }
 
-/// What one slice has encoded but not written yet.
+/// Records that one slice has encoded but not written yet.
 #[derive(Default)]
 struct Copies {
-    /// Behind the last record examined.
+    /// The position after the last record examined.
     cursor: Cursor,
     messages: Vec<u32>,
     ledger_entries: Vec<u64>,
@@ -45,12 +44,12 @@
 }
 
 impl Journal {
-    /// One slice of maintenance: expired ledger entries are dropped, retired files shrink and are removed, and live
-    /// records of the oldest segment are copied to the end of the log.
+    /// Runs one slice of maintenance: drops expired ledger entries, shrinks and removes retired files, and copies live
+    /// records of the oldest segment to the end of the log.
     ///
-    /// A slice writes [`SLICE_BYTES`] and one message at most and truncates a file by [`SLICE_CUT`] at most. Call it after
-    /// each batch, once the answers and calls that depend on the batch are out; the amount of work follows what was
-    /// appended since the last slice.
+    /// A slice writes at most [`SLICE_BYTES`] and one message, and truncates a file by at most [`SLICE_CUT`].
+    /// Call it after each batch, once the responses and calls that depend on the batch are sent; the amount of work
+    /// grows with the bytes appended since the last slice.
     ///
     /// # Errors
     /// Fails when the system does. No pending message is lost, and the next slice retries.
@@ -70,8 +69,8 @@
         }
     }
 
-    /// Cuts a slice off the first retired file, and removes the file with its last slice: a file system takes a while
-    /// to drop a long file.
+    /// Truncates the first retired file by one slice, and removes the file with its last slice, because a file system
+    /// takes long to remove a large file at once.
     fn shrink_retired_file(&mut self) -> io::Result<()> {
         let Some(file) = self.retired.front_mut() else { return Ok(()) };
         let remaining = file.length.saturating_sub(SLICE_CUT);
@@ -86,16 +85,21 @@
         Ok(())
     }
 
-    /// Whether the oldest segment should be emptied: with a quarter of the limit left for what may come before that is
-    /// done; where most of the bytes are dead, since reading them back takes time; where it is damaged; or where
-    /// emptying it has begun.
+    /// Returns whether to compact the oldest segment:
+    ///
+    /// - if less than a quarter of the limit is left, which is for the records that arrive until compaction is done;
+    /// - if most bytes are dead, because reading them at the next start takes time;
+    /// - if a segment other than the active one is damaged;
+    /// - if its compaction has begun.
+    ///
+    /// A single segment is compacted in the first case only.
     fn needs_compaction(&self) -> bool {
         let figures = self.figures();
-        let tight = self.committed_bytes() > self.options.limit / 4 * 3;
-        let mostly_dead = figures.used > (4 * figures.needs).max(8 * figures.segment);
+        let nearly_full = self.committed_bytes() > self.options.limit / 4 * 3;
+        let mostly_dead = figures.used > (4 * figures.reserved).max(8 * figures.segment);
         let damaged = self.segments.iter().rev().skip(1).any(|segment| segment.damaged);
         let begun = self.cursor.message + self.cursor.ledger_entry > 0;
-        (tight || mostly_dead || damaged || begun) && (self.segments.len() > 1 || tight)
+        (nearly_full || mostly_dead || damaged || begun) && (self.segments.len() > 1 || nearly_full)
     }
 
     /// Copies a slice of the oldest segment's live records, and retires the segment once all are copied.
@@ -114,12 +118,13 @@
         if self.oldest_is_empty() { self.retire_oldest(now) } else { Ok(()) }
     }
 
-    /// Live records need another segment to go to. A short segment has too little to reclaim.
+    /// Starts a second segment, to which live records can be copied, unless the only one is short and has little to
+    /// reclaim.
     fn roll_single_segment(&mut self, now: Micros) -> io::Result<()> {
         if self.active().length < self.options.segment_length() / 2 { Ok(()) } else { self.roll(now) }
     }
 
-    /// Whether compaction has examined all records of the oldest segment.
+    /// Returns whether compaction has examined all records of the oldest segment.
     fn oldest_is_empty(&self) -> bool {
         self.segments.front().is_some_and(|oldest| {
             self.cursor.message == oldest.messages.len()
@@ -156,7 +161,7 @@
         Ok(copies)
     }
 
-    /// Writes what [`Journal::encode_copies`] encoded. From then on the records belong to the active segment.
+    /// Writes the records that [`Journal::encode_copies`] encoded. From then on they belong to the active segment.
     fn write_copies(&mut self, copies: Copies) -> io::Result<()> {
         if !self.batch_fits(self.outcome_reserve()) {
             return Err(io::ErrorKind::StorageFull.into());
@@ -177,15 +182,16 @@
         Ok(())
     }
 
-    /// Takes the oldest segment out of the log. The log states that first, and where the machine may lose power, both
-    /// the copies and that statement are synced before the file goes. Guards against a message that reappears from a
-    /// segment whose later records are lost.
+    /// Removes the oldest segment from the log by appending a floor, and retires its file. With
+    /// [`Options::sync`](crate::Options::sync) the copies are synced before the floor is written, and the floor before
+    /// the file is removed. Otherwise a loss of power could drop later records of a message and keep the segment that
+    /// introduces it, so that a completed message reappears.
     fn retire_oldest(&mut self, now: Micros) -> io::Result<()> {
         let (Some(oldest), Some(next)) = (self.segments.front(), self.segments.get(1)) else { return Ok(()) };
         let floor = next.sequence;
         let file = StoredFile { name: oldest.file.clone(), length: oldest.length };
         if oldest.damaged {
-            // Should the process end here, the file is still read under its new name.
+            // If the process ends here, the file is still read under its new name.
             let _ = self.disk.rename(&file.name, &format!("{DAMAGED_PREFIX}{}", file.name));
         }
         if let (true, Some(last)) = (self.options.sync, self.segments.back()) {
@@ -201,7 +207,7 @@
         Ok(())
     }
 
-    /// Appends that segments before `floor` are no longer part of the log.
+    /// Appends a floor: segments with a lower sequence number are no longer part of the log.
     fn write_floor(&mut self, now: Micros, floor: u64) -> io::Result<()> {
         self.begin_batch(now);
         let segment = self.active().sequence;
--- a/crates/journal/src/store/mod.rs
+++ b/crates/journal/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The journal of one sender: a row of segments on a disk, and the state that their records amount to.
+//! The journal of one sender: a sequence of segments on a disk, and the state that results from their records.
 
 mod append;
 mod capacity;
@@ -23,7 +23,7 @@
 pub const SLICE_BYTES: u64 = 64 * 1024;
 /// Most records that a slice of compaction examines.
 pub const SLICE_MESSAGES: usize = 256;
-/// Most bytes that a slice of compaction cuts off a retired file.
+/// Most bytes by which a slice of compaction truncates a retired file.
 pub const SLICE_CUT: u64 = 1 << 20;
 
 /// The journal of one sender, and the state that it holds.
@@ -37,11 +37,11 @@
     pub(crate) retired: VecDeque<StoredFile>,
     /// Bytes of all files in the folder, in whole blocks, without the snapshot's.
     pub(crate) used_bytes: u64,
-    /// Bytes of the snapshot's files, which make way when the journal needs the space.
+    /// Bytes of the snapshot's files, which are removed when the journal needs the space.
     snapshot_bytes: u64,
     /// Records written to all segments before the active one since the journal was created.
     pub(crate) records_before_active: u64,
-    /// The active segment's file may be longer than the segment: a failed write could not be cut off.
+    /// Whether the active segment's file may be longer than the segment, because a failed write could not be truncated.
     tail_torn: bool,
     /// Bytes of the active segment that are durable; all earlier segments are.
     pub(crate) durable_bytes: u64,
@@ -102,7 +102,7 @@
         self.state.retains(class)
     }
 
-    /// The latest time that any record states. The clock was set back if it is later than now.
+    /// The latest time that any record states. If it is later than now, the clock was set back.
     pub fn latest(&self) -> Micros {
         self.state.latest_time
     }
--- a/crates/journal/src/store/options.rs
+++ b/crates/journal/src/store/options.rs
@@ -1,4 +1,4 @@
-//! How a journal is kept.
+//! The options of a journal.
 
 use crate::record::Micros;
 
@@ -23,19 +23,18 @@
     pub classes: Vec<String>,
 }
 
-/// How a journal is kept.
+/// The options of a journal.
 #[derive(Debug, Clone, Default)]
 pub struct Options {
     /// Most bytes that the folder's files may occupy, each counted in whole blocks of 512.
     pub limit: u64,
-    /// Whether each append is synced before it counts, and each step of compaction before the next.
+    /// Whether each append is synced before it returns, and each step of compaction before the next.
     pub sync: bool,
     /// The policy for damage.
     pub damage: Damage,
-    /// The ledger, if one is kept.
+    /// The ledger; `None` for no ledger.
     pub retain: Option<LedgerOptions>,
-    /// Length in bytes from which on a new segment is started. By default a sixteenth of the limit, between 4 KiB and
-    /// 16 MiB.
+    /// Length in bytes at which a new segment is started; by default a sixteenth of the limit, from 4 KiB to 16 MiB.
     pub segment: Option<u64>,
 }
 
@@ -44,7 +43,7 @@
     const MAX_SEGMENT_LENGTH: u64 = 16 << 20;
     const SEGMENTS_PER_LIMIT: u64 = 16;
 
-    /// Length in bytes from which on a new segment is started.
+    /// Length in bytes at which a new segment is started.
     pub(crate) fn segment_length(&self) -> u64 {
         self.segment.unwrap_or_else(|| {
             (self.limit / Self::SEGMENTS_PER_LIMIT).clamp(Self::MIN_SEGMENT_LENGTH, Self::MAX_SEGMENT_LENGTH)
