--- a/crates/journal/src/format/tests.rs
+++ b/crates/journal/src/format/tests.rs
@@ -71,7 +71,7 @@
     let writer = encoded(3, &entries());
     assert_eq!(read(3, writer.bytes()), (entries(), writer.bytes().len()));
     assert_eq!(writer.frames() as usize, entries().len());
-    assert_eq!(read(4, writer.bytes()).0, [], "the bytes of another segment are no frames of this one");
+    assert_eq!(read(4, writer.bytes()).0, [], "bytes of another segment are not valid frames");
 }
 
 #[test]
@@ -87,7 +87,7 @@
             assert!(frame_at(1, &changed, 0).is_none(), "bit {bit} of {entry:?}");
         }
     }
-    assert!(frame_at(0, &[0; 64], 0).is_none(), "zeros");
+    assert!(frame_at(0, &[0; 64], 0).is_none(), "zeros are not a frame");
 }
 
 #[test]
@@ -108,9 +108,10 @@
     assert_eq!(SegmentHeader::read(&other), Err(HeaderError::UnsupportedVersion(9)));
 }
 
-/// Guards against mistaking damage for a torn write, and the reverse.
+/// The intact batches after a damaged range are found, and nothing else. By them recovery distinguishes damage from a
+/// torn write.
 #[test]
-fn batches_after_a_damaged_stretch_are_found() {
+fn batches_after_a_damaged_range_are_found() {
     let first = encoded(1, &entries()).bytes().to_vec();
     let mut both = first.clone();
     both.extend(encoded(1, &entries()).bytes());
@@ -118,8 +119,8 @@
         |segment, from| batch_starts(segment, &both, from).map(|batch| batch.offset).collect::<Vec<_>>();
     assert_eq!(found(1, 0), [0, first.len()]);
     assert_eq!(found(1, 1), [first.len()]);
-    assert_eq!(found(1, first.len() + 1), [], "the rest of one batch");
-    assert_eq!(found(2, 0), [], "of another segment");
+    assert_eq!(found(1, first.len() + 1), [], "no batch starts within the last batch");
+    assert_eq!(found(2, 0), [], "batches of another segment are not found");
 }
 
 #[test]
--- a/crates/journal/src/legacy/tests.rs
+++ b/crates/journal/src/legacy/tests.rs
@@ -44,7 +44,8 @@
     (bytes, state)
 }
 
-/// Guards against an earlier version's file that is lost or applied twice, wherever the process ends during its migration.
+/// An earlier version's file is neither lost nor applied twice if the process is killed at any operation of its
+/// migration.
 #[test]
 fn a_legacy_file_is_migrated_once() {
     let (bytes, state) = legacy_file();
@@ -63,10 +64,10 @@
         assert_eq!(reopened.live(), journal.live());
         assert!(!report.migrated);
         for kill in 0..disk.operations() {
-            for left in [0, 1, 60] {
+            for kept in [0, 1, 60] {
                 let disk = SimDisk::new();
                 disk.put(FILE_NAME, &bytes);
-                disk.inject(kill, Fault::Kill(left));
+                disk.inject(kill, Fault::Kill(kept));
                 if let Ok((mut journal, _)) = Journal::open_on(Box::new(disk.clone()), options.clone(), 1) {
                     let _ = journal.append(1, &mut vec![Record::Abandoned(1, Abandonment::Undeliverable)]);
                     let _ = journal.compact_step(1);
@@ -74,9 +75,9 @@
                 disk.restart();
                 disk.clear_faults();
                 let (journal, report) = Journal::open_on(Box::new(disk), options.clone(), 1).unwrap();
-                assert!(report.damaged.is_empty(), "{kill}, {left}: {report}");
-                assert!(journal.live().len() == 2 && journal.live().contains_key(&1), "{kill}, {left}");
-                assert_eq!(journal.live()[&2], state.live()[&2], "{kill}, {left}");
+                assert!(report.damaged.is_empty(), "{kill}, {kept}: {report}");
+                assert!(journal.live().len() == 2 && journal.live().contains_key(&1), "{kill}, {kept}");
+                assert_eq!(journal.live()[&2], state.live()[&2], "{kill}, {kept}");
             }
         }
     }
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers that the journal's tests share.
+//! Shared helpers of the journal's tests.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -60,14 +60,14 @@
     journal.append(1, &mut records.into_iter().collect()).unwrap();
 }
 
-/// Numbers of the pending messages, in order.
+/// Numbers of the pending messages, in ascending order.
 pub fn pending_numbers(journal: &Journal) -> Vec<u32> {
     let mut numbers: Vec<_> = journal.live().keys().copied().collect();
     numbers.sort_unstable();
     numbers
 }
 
-/// The journal's files, oldest first.
+/// Names of the journal's segment files, oldest first.
 pub fn segments(disk: &SimDisk) -> Vec<String> {
     use journal::disk::Disk;
     let mut names: Vec<_> = disk.clone().names().unwrap().into_iter().map(|file| file.0).collect();
@@ -76,7 +76,8 @@
     names
 }
 
-/// Accepts and completes messages until compaction has emptied this many more segments.
+/// Accepts and completes messages, numbered from `from`, until compaction has emptied `compacted` more segments.
+/// Returns the next number.
 pub fn churn(journal: &mut Journal, from: u32, compacted: u64) -> u32 {
     let until = journal.figures().compacted + compacted;
     let mut n = from;
--- a/crates/journal/tests/model.rs
+++ b/crates/journal/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model test: the journal against a plain map, under any mix of appends, compaction, faults, kills and losses of power.
+//! Model test: compares the journal with a map, under random appends, compaction, faults, kills and losses of power.
 //! After each recovery no committed record is missing, and no attempt that may have run counts as never run. A record
-//! whose append failed may count or not: nothing was promised of it.
+//! whose append failed may be present or not, because the append did not return successfully.
 
 mod common;
 
@@ -11,20 +11,20 @@
 use journal::{Abandonment, Journal, Options, PendingMessage, Record};
 use proptest::prelude::*;
 
-/// A message as the model has it.
+/// A message in the model.
 #[derive(Debug, Clone, Default)]
 struct ModelMessage {
     id: String,
     size: usize,
-    /// Whether its acceptance was committed; otherwise the append failed, and may count.
+    /// Whether its acceptance was committed; otherwise the append failed, and the record may be present or not.
     committed: bool,
-    /// Whether its completion was committed, if one was appended; a failed append may count.
+    /// Whether its completion was committed, if one was appended. The record of a failed append may be present or not.
     completed: Option<bool>,
     attempts: Vec<ModelAttempt>,
     abandoned: bool,
 }
 
-/// An attempt as the model has it.
+/// An attempt in the model.
 #[derive(Debug, Clone, Copy)]
 struct ModelAttempt {
     /// Whether its start was committed.
@@ -41,9 +41,9 @@
     Abandon(usize),
     Complete(usize),
     Compact(u8),
-    /// Injects a fault into the operation this many operations later.
+    /// Injects a fault into an operation, which is counted from the next one (0) on.
     Fault(u64, Fault),
-    /// The same, and if it kills the process the machine loses power.
+    /// Injects a fault likewise. If it kills the process, the machine loses power too, with this seed.
     FaultAndPower(u64, Fault, u64),
     /// The process is restarted.
     Restart,
@@ -80,20 +80,21 @@
     model: BTreeMap<u32, ModelMessage>,
     next: u32,
     reopened: usize,
-    /// Seed of the loss of power that comes with the next kill.
-    power: Option<u64>,
+    /// Seed of the loss of power at the next kill, if there is one.
+    power_loss_seed: Option<u64>,
 }
 
 impl Run {
     fn new(options: Options) -> Self {
         let disk = SimDisk::new();
         let journal = Some(open(&disk, &options));
-        Self { disk, options, journal, model: BTreeMap::new(), next: 0, reopened: 0, power: None }
+        Self { disk, options, journal, model: BTreeMap::new(), next: 0, reopened: 0, power_loss_seed: None }
     }
 
     fn pick(&self, n: usize) -> Option<u32> {
-        let open: Vec<_> = self.model.iter().filter(|(_, m)| m.committed && m.completed.is_none()).collect();
-        (!open.is_empty()).then(|| *open[n % open.len()].0)
+        let pending: Vec<_> =
+            self.model.iter().filter(|(_, m)| m.committed && m.completed.is_none()).collect();
+        (!pending.is_empty()).then(|| *pending[n % pending.len()].0)
     }
 
     fn append(&mut self, record: Record) -> Option<bool> {
@@ -126,7 +127,7 @@
                 let Some(number) = self.model[&n].attempts.iter().rposition(|a| a.committed) else {
                     return Ok(());
                 };
-                // A failed record may count too: from then on it never ran, which is true.
+                // The record of a failed append may be present too. It is true in any case: the attempt never ran.
                 if self.append(ended(n, number as u16, never)).is_some() && never {
                     self.model.get_mut(&n).unwrap().attempts[number].never_ran = true;
                 }
@@ -150,7 +151,7 @@
             Step::Fault(later, fault) => self.disk.inject(self.disk.operations() + later, fault),
             Step::FaultAndPower(later, fault, seed) => {
                 self.disk.inject(self.disk.operations() + later, fault);
-                self.power = Some(seed);
+                self.power_loss_seed = Some(seed);
             }
             Step::Restart => self.reopen()?,
             Step::LosePower(seed) => {
@@ -163,7 +164,7 @@
         }
         if self.disk.is_killed() {
             self.journal = None;
-            if let Some(seed) = self.power.take().filter(|_| self.options.sync) {
+            if let Some(seed) = self.power_loss_seed.take().filter(|_| self.options.sync) {
                 self.disk.lose_power(&mut fastrand::Rng::with_seed(seed));
             }
             self.reopen()?;
@@ -174,7 +175,7 @@
 
     fn reopen(&mut self) -> Result<(), TestCaseError> {
         self.journal = None;
-        // Faults that are still to come hit recovery too: it is retried until none is left.
+        // Injected faults that have not occurred yet affect recovery too: it is retried until none is left.
         let mut tries = 0;
         let journal = loop {
             self.disk.restart();
@@ -200,7 +201,7 @@
                 prop_assert!(journal.live().contains_key(n), "{} is lost", n);
             }
         }
-        // Records in flight are settled now, one way or the other.
+        // After recovery it is known whether the records of failed appends are present.
         self.model.retain(|n, _| journal.live().contains_key(n));
         for (n, expected) in &mut self.model {
             let live = &journal.live()[n];
@@ -242,7 +243,7 @@
     Ok(run)
 }
 
-/// The same runs every time; another seed in MODEL_SEED gives others.
+/// Uses a fixed seed, so that every execution has the same runs. MODEL_SEED sets another seed.
 fn config() -> ProptestConfig {
     let seed = std::env::var("MODEL_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
     println!("MODEL_SEED={seed}");
@@ -264,7 +265,7 @@
     }
 }
 
-/// Guards against model runs that cover too little: they compact, restart and fail.
+/// The model runs compact, restart and fail often enough to cover these cases.
 #[test]
 fn the_model_runs_cover_compaction_and_recovery() {
     let mut rng = proptest::test_runner::TestRunner::deterministic();
@@ -280,7 +281,7 @@
     );
 }
 
-/// At whatever byte of a run the process ended, the records before it count, and no others.
+/// If the process ends at any byte of a run, the records before it are restored, and no others.
 #[test]
 fn a_run_truncated_at_every_offset() {
     let disk = SimDisk::new();
@@ -308,7 +309,7 @@
         truncated.put(&file, &complete[..cut]);
         let before = lengths.iter().rposition(|length| *length <= cut).unwrap();
         let live = open(&truncated, &options);
-        // A batch start may be present without its record.
+        // The start of a batch may be present without its record.
         assert!(*live.live() == states[before], "{cut}");
     }
 }
--- a/crates/journal/tests/store.rs
+++ b/crates/journal/tests/store.rs
@@ -25,7 +25,7 @@
     assert_eq!(pending_numbers(&reopened), [1, 3]);
 }
 
-/// Guards against a process that was killed within a write: earlier records are kept, and later appends can be read.
+/// The process is killed in the middle of a write: earlier records are kept, and later appends can be read.
 #[test]
 fn a_torn_write_is_truncated_at_every_offset() {
     for options in [options(LIMIT), synced(LIMIT)] {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Guards the limit over a long run, and messages that stay pending through many compactions.
+/// Files stay within the limit over a long run, and messages stay pending through many compactions.
 #[test]
 fn files_stay_within_the_limit_and_keep_pending_messages() {
     let (disk, options) = (SimDisk::new(), options(100_000));
@@ -72,7 +72,7 @@
     assert_eq!(pending_numbers(&reopened), live);
 }
 
-/// Guards an event loop iteration against an unbounded amount of compaction.
+/// The work of one compaction step is bounded, because it runs within an event loop iteration.
 #[test]
 fn a_compaction_step_is_bounded() {
     let (disk, options) = (SimDisk::new(), options(40_000_000));
@@ -97,14 +97,14 @@
     assert!(longest_write > 0 && longest_write <= journal::SLICE_BYTES + 61_000, "{longest_write}");
 }
 
-/// Guards against a compaction that can't keep up: the limit holds, messages are rejected in time, and outcomes fit.
+/// Compaction can't keep up: files stay within the limit, messages are rejected in time, and outcomes still fit.
 #[test]
 fn outcomes_fit_without_any_compaction() {
     for size in [0, 300, 3_000] {
         let (disk, options) = (SimDisk::new(), options(100_000));
         let mut journal = open(&disk, &options);
         let (mut n, mut oldest) = (0, 0);
-        // Without compaction messages come and go until dead records leave no capacity for another.
+        // Without compaction messages are accepted and completed until dead records leave no capacity for another.
         while journal.has_capacity(&message("id", size), 0) {
             append(&mut journal, [Record::Accepted(n, message("id", size)), started(n, 0)]);
             n += 1;
@@ -129,7 +129,7 @@
     }
 }
 
-/// Guards against a record that does not fit: the append fails, nothing is written, and outcomes still fit.
+/// A record does not fit: the append fails, nothing is written, and outcomes still fit.
 #[test]
 fn only_outcomes_are_appended_at_the_limit() {
     let (disk, options) = (SimDisk::new(), options(40_000));
@@ -153,12 +153,12 @@
     assert!(open(&disk, &options).live() == journal.live());
 }
 
-/// Guards against a message that reappears or is lost when the process is killed at any operation of appends and
-/// compaction, and several times again during recovery.
+/// No message reappears or is lost when the process is killed at any operation of appends and compaction, and several
+/// more times during recovery.
 #[test]
 fn a_kill_at_every_operation_and_during_recovery() {
     for options in [options(60_000), synced(60_000)] {
-        // Appends and compacts until the process is killed; returns how many messages were accepted and completed.
+        // Appends and compacts until the process is killed. Returns how many messages were accepted and completed.
         let run = |disk: &SimDisk| -> (u32, u32) {
             let Ok((mut journal, _)) = try_open(disk, &options) else { return (0, 0) };
             let mut accepted = 0;
@@ -181,16 +181,16 @@
             }
             (accepted, completed)
         };
-        let undisturbed = SimDisk::new();
-        assert_eq!(run(&undisturbed), (60, 55));
-        let operations = undisturbed.operations();
+        let without_faults = SimDisk::new();
+        assert_eq!(run(&without_faults), (60, 55));
+        let operations = without_faults.operations();
         assert!(operations > 100, "{operations}");
         for kill in 0..operations {
             for kept in [0, 1, 40] {
                 let disk = SimDisk::new();
                 disk.inject(kill, Fault::Kill(kept));
                 let (accepted, completed) = run(&disk);
-                // Then during recovery: at its first operation, then at its second, and so on.
+                // Then kills recovery at its first operation, at its second, and so on.
                 for operation in 0..4 {
                     disk.restart();
                     disk.clear_faults();
@@ -201,29 +201,29 @@
                 disk.clear_faults();
                 let mut journal = open(&disk, &options);
                 let live = pending_numbers(&journal);
-                // The last acceptance and the last completion were in flight: either may count or not.
+                // The last acceptance and the last completion were in progress: either may be committed or not.
                 let expected: Vec<_> = (completed..accepted).collect();
-                let expected_in_flight: Vec<_> = (completed + 1..accepted).collect();
-                let strict: Vec<_> = live.iter().copied().filter(|n| *n < accepted).collect();
+                let expected_after_completion: Vec<_> = (completed + 1..accepted).collect();
+                let acknowledged: Vec<_> = live.iter().copied().filter(|n| *n < accepted).collect();
                 assert!(
-                    strict == expected || strict == expected_in_flight,
+                    acknowledged == expected || acknowledged == expected_after_completion,
                     "{kill}, {kept}: {live:?}, not {expected:?}"
                 );
                 assert!(live.iter().all(|n| *n <= accepted), "{kill}, {kept}: {live:?}");
                 let started_once = |n: &u32| journal.live()[n].attempts.len() == 1;
-                assert!(strict.iter().all(started_once), "{kill}, {kept}");
+                assert!(acknowledged.iter().all(started_once), "{kill}, {kept}");
                 churn(&mut journal, 1_000, 20);
                 assert!(
                     open(&disk, &options).live() == journal.live(),
-                    "{kill}, {kept}: it can be appended to"
+                    "{kill}, {kept}: appends after recovery are restored"
                 );
             }
         }
     }
 }
 
-/// Guards against a floor that survives a loss of power without the copies it depends on: power is lost with a kill at any
-/// operation, and any subset of the unsynced sectors is kept.
+/// No floor survives a loss of power without the copies that it depends on. Power is lost with a kill at any operation,
+/// and any subset of the unsynced sectors is kept.
 #[test]
 fn power_loss_during_compaction_loses_no_message() {
     let options = synced(60_000);
@@ -251,8 +251,8 @@
     }
 }
 
-/// Guards against a full disk or a failing device at any operation of a compaction: accepted messages are kept, failures
-/// are reported, and the journal recovers with the disk.
+/// The disk is full or the device fails at any operation of a compaction: accepted messages are kept, failures are
+/// reported, and the journal works again once the disk does.
 #[test]
 fn a_fault_at_every_operation_of_a_compaction() {
     let options = options(60_000);
@@ -292,14 +292,14 @@
     }
 }
 
-/// Guards against a torn write that could not be truncated: nothing may follow it.
+/// A torn write could not be truncated: nothing is appended until it is.
 #[test]
-fn nothing_is_appended_behind_a_torn_write() {
+fn nothing_is_appended_after_a_torn_write() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
     let mut journal = open(&disk, &options);
     append(&mut journal, [Record::Accepted(1, message("a", 3))]);
     for operation in 0..3 {
-        // The write fails half-way, the truncation fails, and so does the one before the next write.
+        // The write fails in the middle, then its truncation fails, and then the truncation before the next write.
         disk.inject(disk.operations() + operation, Fault::Device(20));
     }
     assert!(journal.append(1, &mut vec![Record::Accepted(2, message("b", 3))]).is_err());
@@ -310,7 +310,7 @@
     assert_eq!(pending_numbers(&reopened), [1, 3]);
 }
 
-/// A relocated message that is completed later, a number that is used again, a relocated message with attempts.
+/// Relocated messages keep their attempts, can be completed later, and their numbers can be reused.
 #[test]
 fn relocated_messages_keep_their_history() {
     let (disk, options) = (SimDisk::new(), options(60_000));
@@ -341,7 +341,7 @@
     assert!(open(&disk, &options).live().is_empty());
 }
 
-/// Changes one byte in the middle of the only file, behind the first append.
+/// Returns a disk with one changed byte in the middle of its only file, after the first append.
 fn damaged(options: &Options) -> (SimDisk, String) {
     let disk = SimDisk::new();
     let mut journal = open(&disk, options);
@@ -357,8 +357,7 @@
     (disk, file)
 }
 
-/// Guards against unnoticed damage: it is reported with file, range and count, and the messages that it may concern count
-/// as possibly applied.
+/// Damage is reported with file, range and count, and the messages that it may affect are treated as possibly applied.
 #[test]
 fn damage_is_reported_and_marks_messages_possibly_applied() {
     for options in [options(LIMIT), synced(LIMIT)] {
@@ -369,7 +368,7 @@
         assert_eq!(
             report.damaged[0].range.unwrap().records,
             Some(3),
-            "of the batch's four records its start was intact"
+            "three of the batch's four records are lost; its start is intact"
         );
         assert_eq!(report.suspected, 2);
         let text = report.to_string();
@@ -381,7 +380,7 @@
             pending_numbers(&journal).into_iter().map(|n| (n, journal.live()[&n].may_have_run())).collect();
         assert_eq!(may_have_run, [(1, true), (2, true), (4, false)], "later messages are not affected");
         assert_eq!(journal.live()[&1].attempts[0].at, 0, "the time is unknown");
-        // The file is part of the log until its records are copied, and is preserved then.
+        // The file is part of the log until its records are copied, and is then preserved under another name.
         append(&mut journal, [Record::Completed(2)]);
         churn(&mut journal, 10, 8);
         assert!(disk.bytes(&format!("damaged-{file}")).is_some());
@@ -393,7 +392,7 @@
     }
 }
 
-/// Guards against a damaged file that stays part of the log of a sender with little to do.
+/// A damaged file does not stay part of the log for long, even if the sender has little load.
 #[test]
 fn a_damaged_file_is_soon_preserved() {
     let (disk, options) = (SimDisk::new(), options(60_000));
@@ -415,7 +414,7 @@
 }
 
 #[test]
-fn damage_can_be_refused() {
+fn damaged_files_can_be_refused() {
     let options = Options { damage: Damage::Refuse, ..options(LIMIT) };
     let (disk, file) = damaged(&options);
     let before = disk.bytes(&file);
@@ -426,8 +425,8 @@
     assert_eq!(disk.bytes(&file), before, "nothing is changed");
 }
 
-/// Guards against damage other than changed records: a file is missing, truncated between two records, or its header is
-/// corrupt; and against a damaged record that is the last one.
+/// Damage other than changed records in the middle: a file is missing, truncated between two records, or its header is
+/// corrupt, or the last record is damaged.
 #[test]
 fn missing_data_counts_as_damage() {
     let options = options(60_000);
@@ -447,26 +446,26 @@
     let cases: [(&str, Corruption); 5] = [
         ("missing", Box::new(|disk| journal::disk::Disk::remove(&mut disk.clone(), &middle).unwrap())),
         ("empty", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes.clear()))),
-        ("cut off", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes.truncate(48)))),
-        ("head", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes[0] ^= 1))),
-        ("last head", Box::new(|disk| disk.corrupt(&last, |bytes| bytes[0] ^= 1))),
+        ("truncated", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes.truncate(48)))),
+        ("header", Box::new(|disk| disk.corrupt(&middle, |bytes| bytes[0] ^= 1))),
+        ("last header", Box::new(|disk| disk.corrupt(&last, |bytes| bytes[0] ^= 1))),
     ];
-    for (what, corrupt) in cases {
+    for (case, corrupt) in cases {
         let disk = intact();
         corrupt(&disk);
         let (mut journal, report) = try_open(&disk, &options).unwrap();
-        assert!(!report.damaged.is_empty() && report.suspected > 0, "{what}: {report:?}");
-        assert!(journal.live()[&0].may_have_run(), "{what}");
-        // It can be appended to, and opened again.
+        assert!(!report.damaged.is_empty() && report.suspected > 0, "{case}: {report:?}");
+        assert!(journal.live()[&0].may_have_run(), "{case}");
+        // Appends still work, and the journal can be opened again.
         append(&mut journal, [Record::Accepted(99, message("new", 3))]);
         let (reopened, _) = try_open(&disk, &options).unwrap();
-        assert!(reopened.live().contains_key(&99), "{what}");
-        assert!(!reopened.live()[&99].may_have_run(), "{what}");
+        assert!(reopened.live().contains_key(&99), "{case}");
+        assert!(!reopened.live()[&99].may_have_run(), "{case}");
     }
     let disk = intact();
     disk.corrupt(&last, |bytes| *bytes.last_mut().unwrap() ^= 1);
     let (_, report) = try_open(&disk, &options).unwrap();
-    assert_eq!(report.damaged.len(), 1, "without syncs all that was written is present in order");
+    assert_eq!(report.damaged.len(), 1, "no torn write: without syncs all writes are present in order");
 }
 
 #[test]
@@ -485,8 +484,8 @@
     assert_eq!(disk.bytes(&file), before);
 }
 
-/// Guards the ledger: an outcome is kept for its span, through compactions and restarts, and no longer; at its limit
-/// messages are rejected and no entry is dropped early.
+/// The ledger keeps an outcome for its span and no longer, through compactions and restarts. At its limit messages are
+/// rejected and no entry is dropped early.
 #[test]
 fn the_ledger_keeps_entries_for_its_span_and_rejects_at_its_limit() {
     let (disk, options) = (SimDisk::new(), with_ledger(60_000, 1_000, 1_000));
@@ -494,15 +493,15 @@
     let mut n = 0;
     while journal.has_capacity(&message(&format!("m{n:03}"), 0), 0) {
         append(&mut journal, [Record::Accepted(n, message(&format!("m{n:03}"), 0))]);
-        let end = ledger_entry_record(&format!("m{n:03}"), u64::from(n));
-        journal.append(u64::from(n), &mut vec![end, Record::Completed(n)]).unwrap();
+        let entry = ledger_entry_record(&format!("m{n:03}"), u64::from(n));
+        journal.append(u64::from(n), &mut vec![entry, Record::Completed(n)]).unwrap();
         n += 1;
         assert!(n < 1_000);
     }
     assert!(n > 20, "{n}");
     let mut other = message("other", 0);
     std::sync::Arc::make_mut(&mut other).class = "note".into();
-    assert!(journal.has_capacity(&other, 0), "classes without ledger are still admitted");
+    assert!(journal.has_capacity(&other, 0), "classes that the ledger does not keep are still admitted");
     for m in 5_000..5_400 {
         append(&mut journal, [Record::Accepted(m, other.clone()), started(m, 0)]);
         append(&mut journal, [Record::Completed(m)]);
@@ -511,7 +510,7 @@
     assert!(journal.figures().compacted > 2, "{:?}", journal.figures());
     let mut journal = open(&disk, &options);
     for m in 0..n {
-        assert!(journal.ledger_entry(&format!("m{m:03}"), 999).is_some_and(|end| end.delivered), "{m}");
+        assert!(journal.ledger_entry(&format!("m{m:03}"), 999).is_some_and(|entry| entry.delivered), "{m}");
     }
     assert!(journal.ledger_entry("m000", 1_000).is_none(), "the entry has expired");
     assert!(!journal.has_capacity(&message("next", 0), 0));
@@ -522,7 +521,7 @@
     assert!(matches!(try_open(&disk, &with_ledger(1_000, 251, 1)), Err(OpenError::LedgerTooLarge)));
 }
 
-/// Guards against a pending message whose outcome does not fit in the ledger.
+/// The outcome of every pending message fits in the ledger.
 #[test]
 fn pending_messages_reserve_their_ledger_entries() {
     let (disk, options) = (SimDisk::new(), with_ledger(100_000, 300, 1_000));
@@ -535,7 +534,7 @@
     assert!((5..20).contains(&n), "{n}");
 }
 
-/// Guards against ages computed from a clock that was set back: the latest time is known after a restart.
+/// The latest time is known after a restart, so that no age is computed from a clock that was set back.
 #[test]
 fn the_latest_time_survives_a_restart() {
     let (disk, options) = (SimDisk::new(), options(LIMIT));
@@ -546,7 +545,7 @@
     assert_eq!(open(&disk, &options).latest(), 77);
 }
 
-/// An inspection sees what the sender sees.
+/// An inspection reads the same state as the sender and does not modify the disk.
 #[test]
 fn inspection_changes_nothing() {
     let (disk, options) = (SimDisk::new(), options(60_000));
@@ -554,19 +553,19 @@
     append(&mut journal, [Record::Accepted(0, message("kept", 10)), started(0, 0)]);
     churn(&mut journal, 1, 3);
     let operations = disk.operations();
-    let seen = inspect(&mut disk.clone()).unwrap();
+    let inspection = inspect(&mut disk.clone()).unwrap();
     assert!(
-        seen.live.len() == journal.live().len()
-            && seen.live.iter().all(|(n, live)| journal.live()[n] == *live)
+        inspection.live.len() == journal.live().len()
+            && inspection.live.iter().all(|(n, live)| journal.live()[n] == *live)
     );
-    assert_eq!(seen.used, disk.used());
-    assert_eq!(seen.files.len(), segments(&disk).len() - seen.dying);
-    assert_eq!(seen.files.iter().map(|file| file.live).sum::<usize>(), 1);
-    assert!(seen.damaged.is_empty());
+    assert_eq!(inspection.used, disk.used());
+    assert_eq!(inspection.files.len(), segments(&disk).len() - inspection.dying);
+    assert_eq!(inspection.files.iter().map(|file| file.live).sum::<usize>(), 1);
+    assert!(inspection.damaged.is_empty());
     assert_eq!(disk.operations(), operations);
 }
 
-/// Of two processes on one folder the second fails. On a real disk the same records are restored.
+/// A second process that opens the same folder fails. On a real disk the same records are restored.
 #[test]
 fn a_real_folder_is_locked_and_read_back() {
     let folder = tempfile::tempdir().unwrap();
@@ -576,10 +575,10 @@
     churn(&mut journal, 1, 20);
     let second = Journal::open(folder.path(), options.clone(), 1);
     assert!(matches!(second, Err(OpenError::Locked)));
-    let seen = inspect(&mut journal::disk::Folder::reader(folder.path())).unwrap();
+    let inspection = inspect(&mut journal::disk::Folder::reader(folder.path())).unwrap();
     assert!(
-        seen.live.len() == journal.live().len()
-            && seen.live.iter().all(|(n, live)| journal.live()[n] == *live)
+        inspection.live.len() == journal.live().len()
+            && inspection.live.iter().all(|(n, live)| journal.live()[n] == *live)
     );
     let live = journal.live().clone();
     drop(journal);
