--- a/crates/journal/src/shards.rs
+++ b/crates/journal/src/shards.rs
@@ -125,7 +125,7 @@
     }
 
     /// Raises the first unreserved message number to at least `first`, so that no lower number is assigned.
-    pub fn number_from(&mut self, first: u32) {
+    pub fn skip_numbers_below(&mut self, first: u32) {
         self.shared.next_number.fetch_max(first.into(), Ordering::Relaxed);
     }
 
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -33,7 +33,7 @@
         self.directory.restore(endpoints, ids.into_iter().map(Into::into).collect(), assigned);
         (self.list_version, self.next_message) = (index, next_message);
         if let JournalStore::Sharded(journal_part) = &mut self.journal {
-            journal_part.number_from(next_message);
+            journal_part.skip_numbers_below(next_message);
         }
         for AttemptInFlight { message, attempt, endpoint } in in_flight {
             if let (Some(shard), Some(destination)) = (&mut self.shard, self.directory.destination(endpoint))
