--- a/crates/journal/src/store/mod.rs
+++ b/crates/journal/src/store/mod.rs
@@ -103,7 +103,7 @@
     }
 
     /// The latest time that any record states. If it is later than now, the clock was set back.
-    pub fn latest(&self) -> Micros {
+    pub fn latest_time(&self) -> Micros {
         self.state.latest_time
     }
 }
--- a/crates/journal/tests/store.rs
+++ b/crates/journal/tests/store.rs
@@ -541,8 +541,8 @@
     let mut journal = open(&disk, &options);
     journal.append(77, &mut vec![Record::Accepted(1, message("a", 3))]).unwrap();
     journal.append(60, &mut vec![Record::Completed(1)]).unwrap();
-    assert_eq!(journal.latest(), 77);
-    assert_eq!(open(&disk, &options).latest(), 77);
+    assert_eq!(journal.latest_time(), 77);
+    assert_eq!(open(&disk, &options).latest_time(), 77);
 }
 
 /// An inspection reads the same state as the sender and does not modify the disk.
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -396,7 +396,7 @@
     snapshot: Option<&(SnapshotStore, Snapshot)>,
 ) -> (Clock, bool) {
     let snapshot_at = snapshot.map_or(0, |(_, snapshot)| snapshot.timestamp.wall);
-    let latest = predecessor.map_or(0, |state| state.stopped_at).max(journal.latest()).max(snapshot_at);
+    let latest = predecessor.map_or(0, |state| state.stopped_at).max(journal.latest_time()).max(snapshot_at);
     let (clock, set_back) = Clock::after(latest);
     if set_back {
         eprintln!(
