--- a/crates/journal/src/store/compaction.rs
+++ b/crates/journal/src/store/compaction.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use super::{Journal, SLICE_BYTES, SLICE_CUT, SLICE_MESSAGES};
+use super::{Journal, SLICE_BYTES, SLICE_MESSAGES, SLICE_TRUNCATION};
 use crate::format::FrameWriter;
 use crate::record::{Micros, Record};
 use crate::segment::{BLOCK_SIZE, DAMAGED_PREFIX, StoredFile, size_on_disk};
@@ -47,7 +47,7 @@
     /// Runs one slice of maintenance: drops expired ledger entries, shrinks and removes retired files, and copies live
     /// records of the oldest segment to the end of the log.
     ///
-    /// A slice writes at most [`SLICE_BYTES`] and one message, and truncates a file by at most [`SLICE_CUT`].
+    /// A slice writes at most [`SLICE_BYTES`] and one message, and truncates a file by at most [`SLICE_TRUNCATION`].
     /// Call it after each batch, once the responses and calls that depend on the batch are sent; the amount of work
     /// grows with the bytes appended since the last slice.
     ///
@@ -73,7 +73,7 @@
     /// takes long to remove a large file at once.
     fn shrink_retired_file(&mut self) -> io::Result<()> {
         let Some(file) = self.retired.front_mut() else { return Ok(()) };
-        let remaining = file.length.saturating_sub(SLICE_CUT);
+        let remaining = file.length.saturating_sub(SLICE_TRUNCATION);
         if remaining > 0 {
             self.disk.truncate(&file.name, remaining)?;
         } else {
--- a/crates/journal/src/store/mod.rs
+++ b/crates/journal/src/store/mod.rs
@@ -24,7 +24,7 @@
 /// Most records that a slice of compaction examines.
 pub const SLICE_MESSAGES: usize = 256;
 /// Most bytes by which a slice of compaction truncates a retired file.
-pub const SLICE_CUT: u64 = 1 << 20;
+pub const SLICE_TRUNCATION: u64 = 1 << 20;
 
 /// The journal of one sender, and the state that it holds.
 pub struct Journal {
--- a/crates/journal/tests/store.rs
+++ b/crates/journal/tests/store.rs
@@ -89,7 +89,7 @@
         journal.compact_step(1).unwrap();
         let after = journal.figures();
         longest_write = longest_write.max(after.written - before.written);
-        assert!(before.used.saturating_sub(after.used) <= journal::SLICE_CUT + 512);
+        assert!(before.used.saturating_sub(after.used) <= journal::SLICE_TRUNCATION + 512);
         // The copies, the header of a new segment, the floor, and one truncation.
         assert!(disk.operations() - operations <= 4);
     }
