--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -109,7 +109,7 @@
     }
     write_line(
         &mut text,
-        format_args!("torn {}, dying {}, used {}", content.torn, content.dying, content.used),
+        format_args!("torn {}, dying {}, used {}", content.torn, content.retired, content.used),
     );
     write_line(&mut text, format_args!("damaged {}, suspected {}", content.damaged.len(), content.suspected));
     for (number, live) in &content.live {
--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -32,7 +32,7 @@
     /// The segments of the log, oldest first.
     pub files: Vec<FileFigures>,
     /// The number of files that are no longer part of the log and not removed yet.
-    pub dying: usize,
+    pub retired: usize,
     /// Bytes of all files in the folder, in whole blocks of 512.
     pub used: u64,
     /// What is damaged.
@@ -55,7 +55,7 @@
     let loaded = load_stable(disk)?;
     Ok(Inspection {
         files: loaded.segments.iter().map(figures).collect(),
-        dying: loaded.retired.len(),
+        retired: loaded.retired.len(),
         used: loaded.used,
         damaged: loaded.damaged,
         suspected: loaded.suspected,
--- a/crates/journal/tests/store.rs
+++ b/crates/journal/tests/store.rs
@@ -559,7 +559,7 @@
             && inspection.live.iter().all(|(n, live)| journal.live()[n] == *live)
     );
     assert_eq!(inspection.used, disk.used());
-    assert_eq!(inspection.files.len(), segments(&disk).len() - inspection.dying);
+    assert_eq!(inspection.files.len(), segments(&disk).len() - inspection.retired);
     assert_eq!(inspection.files.iter().map(|file| file.live).sum::<usize>(), 1);
     assert!(inspection.damaged.is_empty());
     assert_eq!(disk.operations(), operations);
--- a/crates/sender/src/cli/journal.rs
+++ b/crates/sender/src/cli/journal.rs
@@ -78,7 +78,7 @@
         inspection.live.len(),
         inspection.ledger.len(),
         inspection.used,
-        inspection.dying,
+        inspection.retired,
     )])?;
     if inspection.damaged.is_empty() {
         Ok(())
