--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -16,7 +16,7 @@
 use health_snapshot::{
     DestinationRecord, EndpointStatus, ListVersion, ListedEndpoint, RouteKey, RouteRecord,
 };
-use journal::disk::{Folder, LOCK};
+use journal::disk::{Folder, LOCK_FILE};
 use journal::{
     Abandonment, AcceptedMessage, Journal, LedgerEntry, LedgerOptions, Micros, Options, Record, inspect,
 };
@@ -59,8 +59,8 @@
         fs::create_dir_all(&folder)?;
         script(&folder)?;
         // The lock file is empty, and each process that opens the folder creates it.
-        if folder.join(LOCK).exists() {
-            fs::remove_file(folder.join(LOCK))?;
+        if folder.join(LOCK_FILE).exists() {
+            fs::remove_file(folder.join(LOCK_FILE))?;
         }
         fs::write(stored.join(format!("{name}.txt")), describe(&folder)?)?;
     }
@@ -87,7 +87,7 @@
     for file in fs::read_dir(folder)? {
         let file = file?;
         let name = file.file_name().to_string_lossy().into_owned();
-        if name != LOCK {
+        if name != LOCK_FILE {
             files.insert(name, fs::read(file.path())?);
         }
     }
--- a/crates/journal/src/disk.rs
+++ b/crates/journal/src/disk.rs
@@ -83,7 +83,7 @@
 }
 
 /// Name of the empty file that a process keeps locked while it writes to the folder.
-pub const LOCK: &str = "lock";
+pub const LOCK_FILE: &str = "lock";
 
 impl Folder {
     /// Opens a folder for writing and creates it if it does not exist. Returns `None` if another process has it open.
@@ -93,7 +93,7 @@
     pub fn lock(path: &Path) -> io::Result<Option<Self>> {
         fs::create_dir_all(path)?;
         // Prevents two processes from writing to one journal. The system releases the lock when its process ends.
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK))?;
+        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK_FILE))?;
         match lock.try_lock() {
             Ok(()) => Ok(Some(Self { path: path.to_owned(), open: None, _lock: Some(lock) })),
             Err(TryLockError::WouldBlock) => Ok(None),
