--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -67,8 +67,8 @@
         idempotency == Idempotency::NonIdempotent && self.reuse_loss_rate > REUSE_LOSS_LIMIT
     }
 
-    /// Opens the breaker of each route on which at least [`MAX_SILENT_CALLS`] calls in flight are silent, that
-    /// is, past their usual latency with no answer to any call since they were sent.
+    /// Opens the breaker of each route on which at least [`MAX_SILENT_CALLS`] calls in flight are silent,
+    /// that is, past their usual latency with no answer to any call since they were sent.
     pub(super) fn open_silent(&mut self) {
         let (now, latency_objective) = (self.now, self.settings.shortest_latency_objective());
         let mut silent: BTreeMap<RouteId, u32> = BTreeMap::new();
