--- a/crates/health-snapshot/src/format/entry.rs
+++ b/crates/health-snapshot/src/format/entry.rs
@@ -9,9 +9,9 @@
 /// A frame's content.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Entry {
-    /// An append begins.
+    /// The first frame of an append.
     Timestamp(Timestamp),
-    /// An active Retry-After.
+    /// An active wait: a Retry-After, or the sender's own backoff.
     Wait {
         /// The route that it is for.
         route: RouteKey,
@@ -22,7 +22,7 @@
     Routes {
         /// The destination.
         destination: u16,
-        /// They replace the routes that precede them.
+        /// Whether they replace the routes that precede them.
         first: bool,
         /// The routes.
         routes: Vec<RouteRecord>,
@@ -31,26 +31,26 @@
     Endpoints {
         /// The destination.
         destination: u16,
-        /// They replace the endpoints that precede them.
+        /// Whether they replace the endpoints that precede them.
         first: bool,
         /// The endpoints.
         listed: Vec<ListedEndpoint>,
     },
-    /// All endpoints of the list up to this version precede it.
+    /// The list's version; all endpoints of the list up to it precede this frame.
     List(ListVersion),
-    /// All destinations are in this generation.
+    /// The baseline is complete: this generation has a record of each destination except the omitted ones.
     BaselineComplete {
-        /// But for so many, for which there was no space.
+        /// Destinations for which there was no space.
         omitted: u32,
     },
     /// A destination has no record any more.
     Removed(u16),
-    /// Of a kind that this version can't read.
+    /// A frame that this version can't decode.
     Unknown,
 }
 
 impl Frame<'_> {
-    /// Decodes the frame, of a generation of that version, after a timestamp of `base`.
+    /// Decodes the frame. `version` is the generation's format version, `base` the wall time of the timestamp before the frame.
     pub fn read(&self, version: u16, base: Micros) -> Entry {
         self.decode(version, base).unwrap_or(Entry::Unknown)
     }
--- a/crates/health-snapshot/src/format/frame.rs
+++ b/crates/health-snapshot/src/format/frame.rs
@@ -7,18 +7,18 @@
 pub struct Frame<'a> {
     pub(super) kind: u8,
     pub(super) payload: &'a [u8],
-    /// Where the next one begins.
+    /// Where the next frame begins.
     pub end: usize,
 }
 
-/// The checksum of a frame's body, which differs between generations.
+/// Returns the checksum of a frame's body. It is seeded with the sequence, so that it differs between generations.
 pub(super) fn checksum(sequence: u64, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new_with_initial(sequence as u32);
     hasher.update(body);
     hasher.finalize()
 }
 
-/// The frame at that position; none where it is truncated or damaged.
+/// Returns the frame at that position, or none if it is truncated or damaged.
 pub fn frame_at(sequence: u64, bytes: &[u8], at: usize) -> Option<Frame<'_>> {
     let length = u32::from_le_bytes(*bytes.get(at..)?.first_chunk()?) as usize;
     if length == 0 || length > MAX_FRAME_BYTES {
@@ -31,7 +31,7 @@
     valid.then(|| Frame { kind: body[0], payload: &body[1..], end: start + length })
 }
 
-/// The next timestamp from there on, behind a damaged range.
+/// Returns the position of the next timestamp at or after `from`, where reading can resume after a damaged range.
 pub fn next_timestamp(sequence: u64, bytes: &[u8], from: usize) -> Option<usize> {
     let length = (1 + TIMESTAMP_BYTES as u32).to_le_bytes();
     let mut at = from;
@@ -45,7 +45,7 @@
     None
 }
 
-/// Whether these are the first bytes of a frame, as an interrupted write leaves them.
+/// Returns whether these are only the first bytes of a frame, as an interrupted write leaves them.
 pub fn is_truncated(bytes: &[u8]) -> bool {
     let Some(length) = bytes.first_chunk() else { return true };
     let length = u32::from_le_bytes(*length) as usize;
--- a/crates/health-snapshot/src/format/head.rs
+++ b/crates/health-snapshot/src/format/head.rs
@@ -16,16 +16,16 @@
 pub struct Head {
     /// The format's version.
     pub version: u16,
-    /// The generation's number, each one more than the previous.
+    /// The generation's number, one more than that of the previous generation.
     pub sequence: u64,
-    /// What is added to times of earlier generations.
+    /// The difference that is added to the times of earlier generations.
     pub shift: i64,
-    /// The sender that wrote it.
+    /// The name of the sender that wrote it.
     pub owner: String,
 }
 
 impl Head {
-    /// The encoded head, with the owner's name truncated to [`MAX_TEXT_BYTES`].
+    /// Returns the encoded head, with the owner's name truncated to [`MAX_TEXT_BYTES`].
     pub fn bytes(&self) -> Vec<u8> {
         let mut owner = self.owner.clone();
         while owner.len() > MAX_TEXT_BYTES {
@@ -42,7 +42,7 @@
         bytes
     }
 
-    /// Decodes a head, and returns where the frames begin; none where it is truncated or damaged.
+    /// Decodes a head. Returns it with the position where the frames begin, or none if it is truncated or damaged.
     pub fn read(bytes: &[u8]) -> Option<(Self, usize)> {
         let u16_at = |at: usize| bytes.get(at..at + 2)?.try_into().ok().map(u16::from_le_bytes);
         let u64_at = |at: usize| bytes.get(at..at + 8)?.try_into().ok().map(u64::from_le_bytes);
--- a/crates/health-snapshot/src/format/route.rs
+++ b/crates/health-snapshot/src/format/route.rs
@@ -70,13 +70,13 @@
     }
 }
 
-/// A time relative to the base, saturating.
+/// Returns a time relative to the base, saturating.
 fn distance(at: Micros, base: Micros) -> i64 {
     let distance = i128::from(at) - i128::from(base);
     distance.clamp(i64::MIN.into(), i64::MAX.into()) as i64
 }
 
-/// A positive number; 0, which stands for unknown, in place of anything else.
+/// Returns a positive number as it is, and 0, which stands for unknown, in place of any other.
 fn positive(number: f32) -> f64 {
     if number.is_finite() && number > 0.0 { f64::from(number) } else { 0.0 }
 }
--- a/crates/health-snapshot/src/format/writer.rs
+++ b/crates/health-snapshot/src/format/writer.rs
@@ -8,14 +8,14 @@
 use crate::timestamp::{Boot, Timestamp};
 use crate::{DestinationRecord, ListVersion, ListedEndpoint, Micros};
 
-/// Routes or endpoints in one frame at most.
+/// Maximum number of routes or endpoints in one frame.
 const CHUNK_ITEMS: usize = 32;
 
 /// Encodes the frames of one append.
 #[derive(Debug, Default)]
 pub struct Writer {
     sequence: u64,
-    /// What times are encoded relative to.
+    /// The time that other times are encoded relative to.
     base: Micros,
     bytes: Vec<u8>,
 }
@@ -30,22 +30,22 @@
         self.frame(kind::TIMESTAMP, &[&wall, &id, &at]);
     }
 
-    /// The append so far.
+    /// Returns the frames encoded so far.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Discards what is beyond that length.
+    /// Discards the bytes beyond that length.
     pub fn truncate(&mut self, length: usize) {
         self.bytes.truncate(length);
     }
 
-    /// Whether there is nothing but the timestamp.
+    /// Returns whether there is no frame besides the timestamp.
     pub fn is_empty(&self) -> bool {
         self.bytes.len() <= FRAME_HEADER_BYTES + 1 + TIMESTAMP_BYTES
     }
 
-    /// Adds a frame; nothing where it would be too long.
+    /// Adds a frame, unless it would be longer than [`MAX_FRAME_BYTES`].
     fn frame(&mut self, kind: u8, parts: &[&[u8]]) {
         let start = self.bytes.len();
         self.bytes.extend_from_slice(&[0; FRAME_HEADER_BYTES]);
@@ -62,7 +62,7 @@
         self.bytes[start + 4..body].copy_from_slice(&crc.to_le_bytes());
     }
 
-    /// Adds frames with the items of a destination.
+    /// Adds the items of a destination, in as many frames as they need.
     fn chunks<T: Serialize>(&mut self, kind: u8, destination: u16, items: &[T]) {
         let mut first = true;
         for items in items.chunks(CHUNK_ITEMS) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Adds a destination's record. Active Retry-After are separate frames, in the layout that every version reads.
+    /// Adds a destination's record. Each active wait is a frame of its own, in the layout that every version reads.
     pub fn destination(&mut self, destination: u16, record: &DestinationRecord) {
         self.waits(destination, record);
         let named = record.routes.iter().filter(|route| route.endpoint.as_deref().is_none_or(fits));
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Adds the list's version, of which all endpoints precede it.
+    /// Adds the list's version. The frames of all its endpoints must precede it.
     pub fn list(&mut self, list: ListVersion) {
         self.frame(kind::LIST, &[&list.index.to_le_bytes(), &list.confirmed_at.to_le_bytes()]);
     }
@@ -106,7 +106,7 @@
         self.frame(kind::BASELINE, &[&omitted.to_le_bytes()]);
     }
 
-    /// Adds that a destination has no record any more.
+    /// Adds a frame which states that a destination has no record any more.
     pub fn removed(&mut self, destination: u16) {
         self.frame(kind::REMOVED, &[&destination.to_le_bytes()]);
     }
--- a/crates/health-snapshot/src/lib.rs
+++ b/crates/health-snapshot/src/lib.rs
@@ -1,11 +1,12 @@
 //! A snapshot of what a sender has observed of its partners' health, in files beside its journal, and what of it a restarted
 //! process trusts.
 //!
-//! What is owed to messages is in the journal; the snapshot is owed to nobody, and may be lost at any time. So it is written in
-//! slices after the answers and calls of an event loop iteration are out, its disk space is what the journal leaves and is
-//! released to the journal first, and what is restored may make a sender more careful than one without a snapshot, never bolder.
-//! The one rule for that is [`restore`]; what is worth writing, and when, is decided in [`schedule`]; both are without I/O and
-//! clock, as are [`timestamp`], [`mod@format`] and [`replay`]. [`store`] accesses files through [`journal::disk::Disk`] alone.
+//! The journal stores what accepted messages depend on. Nothing depends on the snapshot, which may be lost at any time. So it
+//! is written in slices after the answers and calls of an event loop iteration are sent, it uses only disk space that the
+//! journal leaves and releases it as soon as the journal needs it, and what is restored may make a sender more careful than one
+//! without a snapshot, never bolder. [`restore`] alone decides what is restored, [`schedule`] what is worth writing, and when;
+//! both do no I/O and read no clock, nor do [`timestamp`], [`mod@format`] and [`replay`]. [`store`] accesses files through
+//! [`journal::disk::Disk`] alone.
 //!
 //! The package must not access sockets, decide on messages, or delay one. `docs/health-snapshot.md` explains the design.
 #![forbid(unsafe_code)]
--- a/crates/health-snapshot/src/record.rs
+++ b/crates/health-snapshot/src/record.rs
@@ -18,12 +18,12 @@
     Removed,
 }
 
-/// An endpoint as the list has it, with the list's own texts. Encoded by position.
+/// An entry of the endpoint list, with the list's own texts. Encoded by position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedEndpoint {
-    /// The same at every sender.
+    /// Its name, which is the same at every sender.
     pub name: String,
-    /// Where this sender connects to; empty where that could not be read.
+    /// The address that this sender connects to; empty if the list has none that it can use.
     pub address: String,
     /// Its zone.
     pub zone: String,
@@ -47,7 +47,7 @@
 /// What is recorded of one destination.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DestinationRecord {
-    /// When it was written, on its writer's clock.
+    /// When the record was written, on the writer's clock.
     pub at: Micros,
     /// Its endpoints.
     pub listed: Vec<ListedEndpoint>,
@@ -73,7 +73,7 @@
     pub confirmed_at: Micros,
 }
 
-/// Whether anything was observed of a route beyond that calls succeeded.
+/// Returns whether anything but the time of the last success was observed of a route.
 pub fn has_observations(snapshot: &RouteSnapshot) -> bool {
     RouteSnapshot { last_success_at: 0, ..*snapshot } != RouteSnapshot::default()
 }
--- a/crates/health-snapshot/src/replay.rs
+++ b/crates/health-snapshot/src/replay.rs
@@ -13,7 +13,7 @@
 
 pub use fault::ReplayFault;
 
-/// A shorter file than this, and the owner's name, holds no complete head.
+/// A file shorter than this plus the owner's name has no complete head.
 const MIN_HEAD_BYTES: usize = 32;
 
 /// A file of a generation, in memory.
@@ -25,32 +25,32 @@
     pub bytes: Vec<u8>,
 }
 
-/// All that could be read.
+/// All that could be read of an owner's files.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Snapshot {
-    /// When something was written last.
+    /// When the last append was written.
     pub timestamp: Timestamp,
-    /// The list's version of which all endpoints are included.
+    /// The list's version, if all of its endpoints are included.
     pub list: Option<ListVersion>,
-    /// By destination.
+    /// The records, by destination.
     pub destinations: BTreeMap<u16, DestinationRecord>,
-    /// The ends of Retry-After.
+    /// The ends of waits (a Retry-After, or the sender's own backoff).
     pub waits: BTreeMap<RouteKey, Micros>,
     /// Destinations that there was no space for.
     pub omitted: u32,
-    /// A generation was found, complete or not.
+    /// Whether a generation was found, complete or not.
     pub found: bool,
-    /// What went wrong.
+    /// Faults that were found.
     pub faults: Vec<ReplayFault>,
 }
 
 impl Snapshot {
-    /// Whether something that was recorded may be lost.
+    /// Returns whether records may be lost.
     pub fn is_incomplete(&self) -> bool {
         self.faults.iter().any(ReplayFault::loses_records)
     }
 
-    /// Moves all times to another clock.
+    /// Converts all times to another clock.
     fn shift(&mut self, by: i64) {
         if by == 0 {
             return;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Extends the end of a Retry-After.
+    /// Adds a wait, or extends it: the later end counts.
     fn add_wait(&mut self, route: RouteKey, until: Micros) {
         let wait = self.waits.entry(route).or_default();
         *wait = until.max(*wait);
@@ -104,13 +104,13 @@
             }
             Entry::List(list) => self.list = Some(list),
             Entry::BaselineComplete { omitted } => self.omitted = omitted,
-            // Its Retry-After stays active.
+            // Its waits stay active.
             Entry::Removed(destination) => drop(self.destinations.remove(&destination)),
             Entry::Unknown => {}
         }
     }
 
-    /// Adds what a newer, incomplete generation has.
+    /// Adds the content of a newer, incomplete generation.
     fn merge(&mut self, newer: Self) {
         for (route, until) in newer.waits {
             self.add_wait(route, until);
@@ -143,7 +143,7 @@
     snapshot
 }
 
-/// A file without a valid head: its process may have ended while it was created.
+/// Returns the fault of a file without a valid head. The process may have ended while it created the file.
 fn missing_head(owner: &str, file: &GenerationFile) -> ReplayFault {
     let (name, bytes) = (file.name.clone(), file.bytes.len());
     if bytes < MIN_HEAD_BYTES + owner.len() {
@@ -153,7 +153,7 @@
     }
 }
 
-/// Reads a generation on top of the earlier ones. Once it is complete they are obsolete, with their faults.
+/// Reads a generation on top of the earlier ones. If it is complete they are obsolete, as are their faults.
 fn read_generation(file: &GenerationFile, head: &Head, start: usize, earlier: Snapshot) -> Snapshot {
     let GenerationFile { name, bytes } = file;
     let mut own = Snapshot { found: true, ..Snapshot::default() };
--- a/crates/health-snapshot/src/replay/fault.rs
+++ b/crates/health-snapshot/src/replay/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong when generations are read.
+//! Faults that are found when generations are read.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 /// A fault in a file, or in the set of files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplayFault {
-    /// The last write was not completed, which is no error.
+    /// The last write was interrupted, which loses no completed write.
     Torn {
         /// The file.
         file: String,
@@ -21,7 +21,7 @@
         /// Where the range begins.
         at: usize,
     },
-    /// It was written by another version: only Retry-After can be read.
+    /// It was written by another version: only waits can be read.
     OtherVersion {
         /// The file.
         file: String,
@@ -40,7 +40,7 @@
 }
 
 impl ReplayFault {
-    /// Whether records may be lost by it.
+    /// Returns whether records may be lost by it.
     pub fn loses_records(&self) -> bool {
         matches!(self, Self::Damaged { .. } | Self::OtherVersion { .. } | Self::SpaceReleased)
     }
@@ -50,21 +50,21 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Torn { file, bytes } => {
-                write!(f, "{file}: {bytes} bytes of a write that was not finished are passed over")
+                write!(f, "{file}: {bytes} bytes of an interrupted write are ignored")
             }
             Self::Damaged { file, at } => {
                 write!(f, "{file} is damaged from byte {at} on: every partner begins with one call")
             }
             Self::OtherVersion { file, version } => write!(
                 f,
-                "{file} has format version {version}, where {VERSION} is known: its waits count, and every partner begins \
-                 with one call"
+                "{file} has format version {version} instead of {VERSION}: only its waits can be read, and every partner \
+                 begins with one call"
             ),
             Self::Foreign { file, owner } => {
-                write!(f, "{file} is another sender's, {owner:?}, and is used for nothing")
+                write!(f, "{file} belongs to another sender, {owner:?}, and is ignored")
             }
             Self::SpaceReleased => f.write_str(
-                "the room for what is known was given back to the journal: every partner begins with one call",
+                "the disk space of the health snapshot was released to the journal: every partner begins with one call",
             ),
         }
     }
--- a/crates/health-snapshot/src/restore.rs
+++ b/crates/health-snapshot/src/restore.rs
@@ -13,9 +13,10 @@
 //!   [`MAX_OBSERVED_LIMIT_GROWTH`] times what it was.
 //! - The **success rate**, by which a slow start is measured, halves every [`SUCCESS_RATE_HALVING`].
 //! - **Latency** counts for the configured span where it is longer than what an unknown destination's is assumed to be.
-//! - Where something is **lost** (damage, another version, released space), or the clocks are unreliable, each destination
-//!   starts with one call, its trial; limits are bounds alone.
-//! - The **list** counts where its version is newer than the configuration's; of what is lost or too old only draining counts.
+//! - Where records may be **lost** (damage, another version, released space), or the clocks are unreliable, each destination
+//!   starts with one call, its trial; limits apply as upper bounds alone.
+//! - The **list** counts if its version is newer than the configuration's; of one that may be incomplete or is too old only
+//!   the draining endpoints count.
 
 mod list;
 mod reason;
@@ -51,11 +52,11 @@
     pub destination: u16,
     /// The endpoint, where each has a route of its own.
     pub endpoint: Option<String>,
-    /// What the decision module receives, on the clock of the restarted process.
+    /// The observations for the decision module, on the clock of the restarted process.
     pub snapshot: RouteSnapshot,
-    /// How old it is at most; none where that is unknown.
+    /// Their maximum age; none if it is unknown.
     pub age: Option<Micros>,
-    /// Why.
+    /// Why these are trusted, and others are not.
     pub reasons: Vec<Reason>,
 }
 
@@ -71,35 +72,35 @@
 /// What is trusted of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RestoredList {
-    /// The whole list, where it is newer than the configuration's.
+    /// The whole list, if it is newer than the configuration's.
     pub newer: Option<NewerList>,
-    /// Names of endpoints that were draining or removed: they get nothing new until discovery says otherwise.
+    /// Names of endpoints that were draining or removed: they get no new messages until discovery lists them as active.
     pub drains: Vec<String>,
-    /// For how long discovery need not be polled.
+    /// How long discovery need not be polled.
     pub good_for: Micros,
 }
 
-/// All that is trusted.
+/// All that is trusted of a snapshot.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RestoredState {
     /// By destination and endpoint.
     pub routes: Vec<RestoredRoute>,
-    /// Something is lost: a destination that is not among the routes may be unhealthy.
+    /// Records may be lost: a destination that is not among the routes may be unhealthy.
     pub incomplete: bool,
     /// The endpoint list.
     pub list: RestoredList,
     /// How far this process's clock is ahead of the writer's.
     pub shift: i64,
-    /// What operators should know.
+    /// Warnings for operators.
     pub warnings: Vec<String>,
 }
 
 /// The clocks of the restarted process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RestoreTime {
-    /// Its own, which is never earlier than what was written last.
+    /// Its own clock, which is never behind the time of the last write.
     pub now: Micros,
-    /// The system's.
+    /// The system's clocks.
     pub timestamp: Timestamp,
 }
 
@@ -148,7 +149,7 @@
     routes
 }
 
-/// A Retry-After of a route that has no record any more.
+/// Returns the wait of a route that has no record any more, if it is still active.
 fn restore_wait(key: RouteKey, until: Micros, time: &TimeMapping) -> Option<RestoredRoute> {
     let wait_until = time.restriction(until);
     let remaining = wait_until.checked_sub(time.now).filter(|remaining| *remaining > 0)?;
--- a/crates/health-snapshot/src/restore/list.rs
+++ b/crates/health-snapshot/src/restore/list.rs
@@ -5,8 +5,8 @@
 use crate::replay::Snapshot;
 use crate::{EndpointStatus, ListVersion, Micros};
 
-/// How long the list is trusted after discovery last confirmed it: well within the time after which an update of it counts as
-/// delivered.
+/// How long the list is trusted after discovery last confirmed it: well within the time in which each sender must know of a
+/// change, such as a drain.
 pub const LIST_TRUST_SPAN: Micros = 4_000_000;
 
 pub(super) fn restore(
@@ -33,14 +33,14 @@
     }
 }
 
-/// The whole list of the snapshot.
+/// Returns the whole list of the snapshot.
 fn newer(index: u64, snapshot: &Snapshot) -> NewerList {
     let destinations = snapshot.destinations.iter();
     let listed = destinations.map(|(destination, record)| (*destination, record.listed.clone()));
     NewerList { index, destinations: listed.collect() }
 }
 
-/// Endpoints that were draining or removed.
+/// Returns the names of the endpoints that were draining or removed.
 fn drains(snapshot: &Snapshot) -> Vec<String> {
     let endpoints = snapshot.destinations.values().flat_map(|record| &record.listed);
     let drains = endpoints.filter(|listed| listed.status != EndpointStatus::Active);
--- a/crates/health-snapshot/src/restore/route.rs
+++ b/crates/health-snapshot/src/restore/route.rs
@@ -8,11 +8,11 @@
 
 /// A limit observed by rejections doubles after this time.
 pub const OBSERVED_LIMIT_DOUBLING: Micros = 30_000_000;
-/// At so many times what was observed the limit does not count any more.
+/// A limit that has grown to this many times what was observed does not count any more.
 pub const MAX_OBSERVED_LIMIT_GROWTH: f64 = 64.0;
-/// The rate of successful calls counts for half after this time.
+/// The rate of successful calls halves after this time.
 pub const SUCCESS_RATE_HALVING: Micros = 600_000_000;
-/// A response is expected within the mean latency and so many deviations.
+/// A response is expected within the mean latency and this many mean deviations.
 const LATENCY_DEVIATIONS: f64 = 5.0;
 
 /// What the rule depends on besides the observations.
@@ -20,12 +20,12 @@
     pub(super) time: &'a TimeMapping,
     /// When the observations were written.
     pub(super) written_at: Micros,
-    /// Something is lost, or the clocks are unreliable.
+    /// Records may be lost, or the clocks are unreliable.
     pub(super) careful: bool,
     pub(super) config: &'a Config,
 }
 
-/// What is trusted of the observations, and why.
+/// Returns what is trusted of the observations, and why.
 pub(super) fn restore(observed: &RouteSnapshot, context: &Context) -> (RouteSnapshot, Vec<Reason>) {
     let mut restoring =
         Restoring { observed, context, restored: RouteSnapshot::default(), reasons: Vec::new() };
@@ -58,7 +58,7 @@
         self.observed.condition == Condition::Failing || self.observed.trial.is_some()
     }
 
-    /// Whether the observations are older than the configured span, or of unknown age.
+    /// Returns whether the observations are older than the configured span, or of unknown age.
     fn is_expired(&self) -> bool {
         let age = self.context.time.age(self.context.written_at);
         age.is_none_or(|age| age > self.context.config.span)
@@ -92,9 +92,9 @@
         self.restored.failures = self.observed.failures;
     }
 
-    /// The trial is due no later than a breaker's first one, and the backoff continues as after that: the outage may have ended
-    /// while no process was running, and those with a snapshot must not be the last to find out. Guards against implausible
-    /// times, too.
+    /// Restores an outage. The trial is due no later than a breaker's first one, and the backoff continues as after that: the
+    /// outage may have ended while no process was running, and a sender with a snapshot must not find out later than one
+    /// without. The limit also bounds implausible times.
     fn outage(&mut self) {
         let (time, now) = (self.context.time, self.now());
         self.restored.unhealthy_since = self.observed.unhealthy_since.map(|at| time.past_restriction(at));
@@ -156,7 +156,7 @@
         let age = time.age(self.context.written_at);
         let success_rate = self.observed.success_rate;
         self.restored.success_rate = age.map_or(0.0, |age| success_rate * decay(SUCCESS_RATE_HALVING, age));
-        // Guards calls against being taken for lost sooner than those to an unknown destination would be.
+        // A shorter latency is not restored, so that no call counts as lost sooner than one to an unknown destination.
         let assumed = self.context.config.latency_objective as f64 / 2.0;
         let is_slow = |(mean, deviation): &(f64, f64)| mean + LATENCY_DEVIATIONS * deviation > assumed;
         let is_expired = self.is_expired();
@@ -165,7 +165,7 @@
     }
 }
 
-/// What is left after that time of something that halves in each `half_life`.
+/// Returns the share that is left after that time of a quantity that halves in each `half_life`.
 fn decay(half_life: Micros, after: Micros) -> f64 {
     (-(after as f64) / half_life as f64).exp2()
 }
--- a/crates/health-snapshot/src/schedule.rs
+++ b/crates/health-snapshot/src/schedule.rs
@@ -1,8 +1,9 @@
-//! What is worth writing, and when. No I/O and no clock.
+//! Decides what is worth writing, and when. No I/O and no clock.
 //!
-//! After a baseline, records that have changed enough are written again, destination by destination: restrictions at once, what
-//! a restarted process would lose calls without soon, the others now and then. The next generation replaces both once these
-//! increments have grown to twice the baseline; its baseline is written in slices, while increments continue.
+//! After a baseline, records that have changed enough are written again, destination by destination: a longer wait or a changed
+//! endpoint at once, other restrictions, without which a restarted process would lose calls, within [`SOON`], the rest within
+//! [`LATE`]. The next generation replaces the baseline and these increments once the increments have grown to twice the
+//! baseline; its baseline is written in slices, while increments continue.
 
 mod baseline;
 mod digest;
@@ -17,25 +18,26 @@
 
 /// A destination is examined again after this time, unless a Retry-After or the list makes it urgent.
 pub const EXAMINATION_INTERVAL: Micros = 100_000;
-/// [`Urgency::Soon`] is written within this time.
+/// A change of [`Urgency::Soon`] is written within this time.
 pub const SOON: Micros = 250_000;
-/// [`Urgency::Late`] is.
+/// A change of [`Urgency::Late`] is written within this time.
 pub const LATE: Micros = 5_000_000;
-/// Destinations that are examined in one slice at most.
+/// Maximum number of destinations that are examined in one slice.
 pub const SLICE_DESTINATIONS: usize = 256;
-/// The next generation is started when the increments come to so many times the baseline's bytes ...
+/// The next generation is started when the increments exceed this many times the baseline's bytes and
+/// [`MIN_INCREMENT_BYTES`].
 const INCREMENT_RATIO: u64 = 2;
-/// ... and to at least so many bytes.
+/// Increments below this many bytes never start the next generation.
 const MIN_INCREMENT_BYTES: u64 = 16 << 10;
-/// Times of the last examination are retained for so many destinations before old ones are dropped.
+/// Number of destinations whose time of the last examination is retained before old ones are dropped.
 const MAX_EXAMINED: usize = 4 * SLICE_DESTINATIONS;
 
-/// What is to be done with a destination that was examined.
+/// The result of an examination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Write it.
     Write,
-    /// Write it if there is space; it is not restrictive.
+    /// Write it if there is enough space; it is not restrictive.
     WriteIfSpace,
     /// Skip it.
     Skip,
@@ -46,18 +48,18 @@
 pub struct Scheduled {
     /// The destination.
     pub destination: u16,
-    /// It is examined for the baseline rather than for a change.
+    /// Whether it is examined for the baseline rather than for a change.
     pub for_baseline: bool,
 }
 
-/// What was written of each destination, and what is to be written next.
+/// Tracks what was written of each destination, and what is to be written next.
 #[derive(Debug, Default)]
 pub struct WriteScheduler {
     written: HashMap<u16, Digest>,
-    /// When each is to be examined, and the same by destination.
+    /// When each is to be examined, in order of time; `due_at` is the same by destination.
     due: BTreeSet<(Micros, u16)>,
     due_at: HashMap<u16, Micros>,
-    /// When each was examined last, of those that change often.
+    /// When each was examined last, of those that were examined recently.
     examined: BTreeMap<u16, Micros>,
     /// Destinations whose endpoints are to be written before the list's version may be.
     unlisted: BTreeSet<u16>,
@@ -74,14 +76,14 @@
         (self.baseline_bytes, self.increment_bytes) = (0, 0);
     }
 
-    /// The observations of a destination may have changed.
+    /// Schedules the examination of a destination whose observations may have changed.
     pub fn mark_changed(&mut self, destination: u16, now: Micros) {
         let examined = self.examined.get(&destination);
         let earliest = examined.map_or(now, |at| (at + EXAMINATION_INTERVAL).max(now));
         self.schedule(destination, earliest);
     }
 
-    /// A Retry-After was received or, if `listed`, the list has changed: the destination is examined in the next slice.
+    /// Schedules a destination for the next slice: a Retry-After was received or, if `listed`, its endpoints have changed.
     pub fn mark_urgent(&mut self, destination: u16, listed: bool, now: Micros) {
         if listed {
             self.unlisted.insert(destination);
@@ -89,7 +91,7 @@
         self.schedule(destination, now);
     }
 
-    /// Whether all endpoints of the list are written.
+    /// Returns whether all endpoints of the list are written.
     pub fn has_list(&self) -> bool {
         self.unlisted.is_empty() && self.baseline.is_none()
     }
@@ -107,12 +109,12 @@
         self.due_at.insert(destination, at);
     }
 
-    /// When something is due; at once while a baseline is being written.
+    /// Returns when the next examination is due; at once while a baseline is being written.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         if self.baseline.is_some() { Some(now) } else { self.due.first().map(|due| due.0) }
     }
 
-    /// The next destination to examine: what has changed first, then the baseline.
+    /// Returns the next destination to examine: changed ones first, then the baseline.
     pub fn next(&mut self, now: Micros) -> Option<Scheduled> {
         if let Some(destination) = self.next_changed(now) {
             return Some(Scheduled { destination, for_baseline: false });
@@ -137,7 +139,7 @@
         }
     }
 
-    /// What is not urgent, and was written recently, is examined again later.
+    /// Examines a record for a change. One that is not urgent, and was written recently, is examined again later.
     fn examine_change(&mut self, destination: u16, record: &DestinationRecord, now: Micros) -> Step {
         self.examined.insert(destination, now);
         if self.examined.len() > MAX_EXAMINED {
@@ -172,52 +174,52 @@
         }
     }
 
-    /// There was no space for a destination of the baseline: a restarted process has no record of it.
+    /// Counts a destination of the baseline for which there was no space: a restarted process has no record of it.
     pub fn omit(&mut self) {
         if let Some(baseline) = &mut self.baseline {
             baseline.omitted += 1;
         }
     }
 
-    /// Whether all of the baseline was examined, with the number of omitted destinations.
+    /// Returns the number of omitted destinations once all of the baseline was examined.
     pub fn completed_baseline(&self) -> Option<u32> {
         let baseline = self.baseline.as_ref()?;
         baseline.is_complete().then_some(baseline.omitted)
     }
 
-    /// A record was written.
+    /// Notes that a record was written.
     pub fn mark_written(&mut self, destination: u16, record: &DestinationRecord) {
         self.written.insert(destination, Digest::of(record));
         self.unlisted.remove(&destination);
     }
 
-    /// A destination has no record any more. Returns whether that is to be written.
+    /// Removes a destination that has no record any more. Returns whether its removal is to be written.
     pub fn remove(&mut self, destination: u16) -> bool {
         self.unlisted.remove(&destination);
         self.examined.remove(&destination);
         self.written.remove(&destination).is_some()
     }
 
-    /// Bytes were appended.
+    /// Adds appended bytes to the size of the baseline or of the increments.
     pub fn appended(&mut self, bytes: u64) {
         let counter =
             if self.baseline.is_some() { &mut self.baseline_bytes } else { &mut self.increment_bytes };
         *counter += bytes;
     }
 
-    /// The baseline was written completely.
+    /// Notes that the baseline was written completely.
     pub fn baseline_written(&mut self) {
         self.baseline = None;
     }
 
-    /// Whether the next generation is to be started.
+    /// Returns whether the next generation is to be started.
     pub fn needs_generation(&self) -> bool {
         let limit = (INCREMENT_RATIO * self.baseline_bytes).max(MIN_INCREMENT_BYTES);
         self.baseline.is_none() && self.increment_bytes > limit
     }
 }
 
-/// How urgent it would be to write one record in place of another.
+/// Returns how urgent it would be to write one record in place of another.
 pub fn urgency(before: &DestinationRecord, now: &DestinationRecord) -> Urgency {
     Digest::of(now).urgency(&Digest::of(before))
 }
--- a/crates/health-snapshot/src/schedule/baseline.rs
+++ b/crates/health-snapshot/src/schedule/baseline.rs
@@ -5,7 +5,7 @@
 /// Destinations of the baseline that are still to be written.
 #[derive(Debug, Default)]
 pub(super) struct Baseline {
-    /// Destinations of this pass.
+    /// Destinations that this pass has not reached yet.
     remaining: VecDeque<u16>,
     /// Destinations that the first pass leaves to the second.
     deferred: Vec<u16>,
@@ -19,7 +19,7 @@
         Self { remaining: destinations.into_iter().collect(), ..Self::default() }
     }
 
-    /// The next destination, if any is left.
+    /// Returns the next destination, if any is left.
     pub(super) fn next(&mut self) -> Option<u16> {
         if self.remaining.is_empty() && !std::mem::replace(&mut self.is_second_pass, true) {
             self.remaining = std::mem::take(&mut self.deferred).into();
--- a/crates/health-snapshot/src/schedule/digest.rs
+++ b/crates/health-snapshot/src/schedule/digest.rs
@@ -5,7 +5,7 @@
 use super::{LATE, SOON};
 use crate::{DestinationRecord, Micros, RouteRecord};
 
-/// Relative changes from which on a record is written again.
+/// Relative changes above which a record is written again.
 const LIMIT_CHANGE: f32 = 0.05;
 const SEND_RATE_CHANGE: f32 = 0.1;
 const SUCCESS_RATE_CHANGE: f32 = 0.25;
@@ -14,23 +14,23 @@
 /// How urgent it is to write a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// What is written is current.
+    /// What was written is still current.
     None,
     /// It is written within [`LATE`].
     Late,
     /// It is written within [`SOON`]: a restarted process would lose calls without it.
     Soon,
-    /// It is written at once: a restriction depends on it.
+    /// It is written at once: a wait or the endpoint list depends on it.
     Now,
 }
 
-/// What was last written of a destination, as far as it matters for what is written next.
+/// Summary of a destination's record, by which a change is detected.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct Digest {
-    /// When it was written.
+    /// When the record was written.
     pub(super) at: Micros,
     wait_until: Micros,
-    /// Flags by route, modulo the bits.
+    /// Sums of one flag per route, at the bit of its position modulo 32; the same for the two that follow.
     unhealthy: u32,
     failing: u32,
     rejecting: u32,
@@ -54,8 +54,8 @@
         digest
     }
 
-    /// Adds a route. Destinations with routes of their own for endpoints are few, and their order is stable, so that weighted
-    /// sums show most changes.
+    /// Adds a route. Few destinations have a route for each endpoint, and the order of the routes is stable, so that sums
+    /// weighted by position show most changes.
     fn add(&mut self, position: usize, route: &RouteRecord) {
         let snapshot: &RouteSnapshot = &route.snapshot;
         let weight = (position + 1) as f32;
@@ -75,7 +75,7 @@
         self.last_success_at = self.last_success_at.max(snapshot.last_success_at);
     }
 
-    /// How urgent it is to write this in place of what was written.
+    /// Returns how urgent it is to write this in place of what was written.
     pub(super) fn urgency(&self, written: &Self) -> Urgency {
         if self.wait_until > written.wait_until || self.endpoints != written.endpoints {
             Urgency::Now
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether a restarted process would be too bold without it.
+    /// Returns whether a restarted process would make too many calls without this.
     fn changed_restriction(&self, written: &Self) -> bool {
         let is_cold = self.unhealthy != 0 || self.cold_since != 0;
         self.unhealthy != written.unhealthy
@@ -107,18 +107,18 @@
             || self.last_success_at > written.last_success_at + LATE
     }
 
-    /// Whether it restricts a restarted process, so that it is written before others.
+    /// Returns whether it restricts a restarted process, so that it is written before others.
     pub(super) fn is_restrictive(&self) -> bool {
         self.wait_until > 0 || self.unhealthy != 0 || self.cold_since != 0
     }
 }
 
-/// Whether two figures differ by more than a share of the larger one.
+/// Returns whether two figures differ by more than a share of the larger one.
 fn differs(share: f32, a: f32, b: f32) -> bool {
     (a - b).abs() > share * a.max(b)
 }
 
-/// A checksum of the destination's endpoints.
+/// Returns a checksum of the destination's endpoints.
 fn endpoints(record: &DestinationRecord) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for listed in &record.listed {
--- a/crates/health-snapshot/src/store.rs
+++ b/crates/health-snapshot/src/store.rs
@@ -1,8 +1,9 @@
 //! Generations of the snapshot on a disk: written in slices, and removed when the journal needs their space.
 //!
 //! A generation is a file `known-000000000001` and so on: a head, a baseline of all records, and increments. The next one is
-//! started when the increments have grown; until its baseline is complete the previous one counts for what it does not have yet,
-//! then it is removed. Nothing is ever appended to a failed write: the file is truncated, or the next generation is started.
+//! started when the increments have grown. Until its baseline is complete the previous one counts for what the new one does not
+//! have yet; then the previous one is removed. Nothing is ever appended to a failed write: the file is truncated, or the next
+//! generation is started.
 
 mod files;
 mod slice;
@@ -20,7 +21,7 @@
 
 pub use files::{RELEASED_MARKER, load, owner};
 
-/// A slice appends so many bytes at most, and one destination more.
+/// A slice ends with the destination that exceeds this many bytes.
 pub const SLICE_BYTES: usize = 16 << 10;
 /// With less space than this nothing is written.
 pub const MIN_SPACE: u64 = 4 << 10;
@@ -28,7 +29,7 @@
 const BACKOFF: Micros = 2_000_000;
 /// The longest backoff.
 const MAX_BACKOFF: Micros = 60_000_000;
-/// The backoff doubles so often at most.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// How the snapshot is stored.
@@ -36,28 +37,28 @@
 pub struct Options {
     /// Bytes that the files may occupy, in whole blocks.
     pub size: u64,
-    /// Whether restrictions are synced.
+    /// Whether restrictions, complete baselines and the names of files are synced to the disk.
     pub sync: bool,
 }
 
 /// What a slice wrote.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SliceResult {
-    /// Destinations.
+    /// Destinations written.
     pub destinations: usize,
     /// Bytes appended.
     pub bytes: u64,
 }
 
-/// Where the records come from.
+/// Provides the records to write.
 pub trait Source {
-    /// All destinations that have a record.
+    /// Returns all destinations that have a record.
     fn destinations(&self) -> Vec<u16>;
 
-    /// The record of one destination.
+    /// Returns the record of one destination, if it has one.
     fn record(&self, destination: u16) -> Option<DestinationRecord>;
 
-    /// The endpoint list's version.
+    /// Returns the endpoint list's version.
     fn list(&self) -> ListVersion;
 }
 
@@ -72,11 +73,11 @@
     earlier: Vec<File>,
     active: Option<File>,
     next_sequence: u64,
-    /// What is to be added to the times of earlier generations.
+    /// The difference that is to be added to the times of earlier generations.
     shift: i64,
-    /// Nothing is written before that.
+    /// Nothing is written before this time.
     backoff_until: Micros,
-    /// Backoffs in a row.
+    /// Consecutive backoffs.
     backoffs: u32,
     has_marker: bool,
     /// The list's version that was written last.
@@ -91,10 +92,10 @@
 }
 
 impl Store {
-    /// Opens the files, and reads what is in them. Requires the journal's lock.
+    /// Opens the files, and reads them. Requires the journal's lock.
     ///
     /// # Errors
-    /// Fails where the disk does; the sender can work without a snapshot.
+    /// Fails if the disk does; the sender can work without a snapshot.
     pub fn open(mut disk: Box<dyn Disk>, owner: &str, options: Options) -> io::Result<(Self, Snapshot)> {
         let snapshot = load(&mut *disk, owner)?;
         let directory = Directory::read(&mut *disk)?;
@@ -122,37 +123,37 @@
         self.shift = shift;
     }
 
-    /// Bytes that the files occupy, in whole blocks.
+    /// Returns the bytes that the files occupy, in whole blocks.
     pub fn used(&self) -> u64 {
         self.earlier.iter().chain(&self.active).map(File::occupied).sum()
     }
 
-    /// Bytes appended since the store was opened.
+    /// Returns the bytes appended since the store was opened.
     pub fn written(&self) -> u64 {
         self.written_bytes
     }
 
-    /// The observations of a destination may have changed.
+    /// Schedules the examination of a destination whose observations may have changed.
     pub fn mark_changed(&mut self, destination: u16, now: Micros) {
         self.scheduler.mark_changed(destination, now);
     }
 
-    /// A Retry-After was received from a destination or, if `listed`, its endpoints have changed.
+    /// Schedules a destination for the next slice: a Retry-After was received or, if `listed`, its endpoints have changed.
     pub fn mark_urgent(&mut self, destination: u16, listed: bool, now: Micros) {
         self.scheduler.mark_urgent(destination, listed, now);
     }
 
-    /// When there is something to write.
+    /// Returns when a slice is due.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         let due = if self.active.is_none() { Some(now) } else { self.scheduler.next_due(now) };
         due.map(|due| due.max(self.backoff_until))
     }
 
-    /// Writes one slice, once the answers and calls of an event loop iteration are out. `space` is what the files may occupy
-    /// now, besides the journal's.
+    /// Writes one slice. Called after the answers and calls of an event loop iteration are sent. `space` is how many bytes the
+    /// files may occupy now, besides the journal's.
     ///
     /// # Errors
-    /// Fails where the disk does: no promise is broken by that, and it is attempted again later.
+    /// Fails if the disk does: no accepted message depends on the slice, and it is attempted again later.
     pub fn write_slice(
         &mut self,
         timestamp: &Timestamp,
@@ -172,7 +173,7 @@
         match &result {
             Ok(_) => self.backoffs = 0,
             Err(_) => {
-                // The file may end in a partial write, which nothing may follow.
+                // The file may end in a partial write, after which nothing may be appended.
                 self.active = None;
                 self.reread_directory();
                 self.back_off(now);
@@ -181,7 +182,7 @@
         result
     }
 
-    /// Finds out what is on the disk after a failure.
+    /// Reads the directory again, as a failure may have left other files than expected.
     fn reread_directory(&mut self) {
         if let Ok(directory) = Directory::read(&mut *self.disk) {
             let next_sequence = directory.next_sequence().unwrap_or(self.next_sequence);
@@ -235,7 +236,7 @@
         Ok(())
     }
 
-    /// Removes all generations. The marker is created first: a process that starts meanwhile knows that records are lost.
+    /// Removes all generations. The marker is created first, so that a process that starts meanwhile detects the lost records.
     fn remove_all(&mut self) -> io::Result<()> {
         if !self.has_marker {
             self.disk.create(RELEASED_MARKER)?;
@@ -251,10 +252,10 @@
         Ok(())
     }
 
-    /// Releases all space to the journal. A process that starts before a new generation is complete knows that records are lost.
+    /// Releases all space to the journal. A process that starts before a new generation is complete detects the lost records.
     ///
     /// # Errors
-    /// Fails where the disk does; files that could not be removed still count as used.
+    /// Fails if the disk does; files that could not be removed still count as used.
     pub fn release(&mut self, now: Micros) -> io::Result<()> {
         self.back_off(now);
         let result = self.remove_all();
--- a/crates/health-snapshot/src/store/files.rs
+++ b/crates/health-snapshot/src/store/files.rs
@@ -1,4 +1,4 @@
-//! The files of generations, and reading them.
+//! Names and reading of the generations' files.
 
 use std::io;
 
@@ -8,13 +8,13 @@
 use crate::format::Head;
 use crate::replay::{GenerationFile, ReplayFault, Snapshot, read};
 
-/// An empty file that marks that records existed, and that their space was released.
+/// Name of an empty file: it shows that records existed, and that their space was released.
 pub const RELEASED_MARKER: &str = "known-given-back";
-/// Each file occupies whole blocks of so many bytes.
+/// Each file occupies whole blocks of this many bytes.
 pub(super) const BLOCK_BYTES: u64 = 512;
 /// Digits of the sequence in a file's name.
 const SEQUENCE_DIGITS: usize = 12;
-/// A file's head is within so many bytes.
+/// A file's head is within this many bytes.
 const HEAD_READ_BYTES: u64 = 4 << 10;
 
 /// A file on the disk.
@@ -25,7 +25,7 @@
 }
 
 impl File {
-    /// Bytes that it occupies.
+    /// Returns the bytes that it occupies.
     pub(super) fn occupied(&self) -> u64 {
         self.length.next_multiple_of(BLOCK_BYTES)
     }
@@ -43,7 +43,7 @@
 pub(super) struct Directory {
     /// In the order of their sequence.
     pub(super) generations: Vec<Generation>,
-    /// [`RELEASED_MARKER`] exists.
+    /// Whether [`RELEASED_MARKER`] exists.
     pub(super) has_marker: bool,
 }
 
@@ -59,13 +59,13 @@
         Ok(Self { generations, has_marker })
     }
 
-    /// The number after the newest generation's, if there is one.
+    /// Returns the number after the newest generation's, if there is one.
     pub(super) fn next_sequence(&self) -> Option<u64> {
         self.generations.last().map(|generation| generation.sequence + 1)
     }
 }
 
-/// The name of a generation's file.
+/// Returns the name of a generation's file.
 pub(super) fn name(sequence: u64) -> String {
     format!("{PREFIX}{sequence:0SEQUENCE_DIGITS$}")
 }
@@ -79,14 +79,14 @@
 /// Reads the snapshot of an owner, and changes nothing.
 ///
 /// # Errors
-/// Fails where the disk does.
+/// Fails if the disk does.
 pub fn load(disk: &mut dyn Disk, owner: &str) -> io::Result<Snapshot> {
     let directory = Directory::read(disk)?;
     let mut files = Vec::new();
     for Generation { file, .. } in directory.generations {
         let mut bytes = Vec::new();
         match disk.read(&file.name, u64::MAX, &mut bytes) {
-            // The sender that is running removed it meanwhile.
+            // A running sender removed it meanwhile.
             Err(e) if e.kind() == io::ErrorKind::NotFound => continue,
             result => result?,
         }
@@ -99,10 +99,10 @@
     Ok(snapshot)
 }
 
-/// The owner of the newest generation that can be read.
+/// Returns the owner of the newest generation that can be read.
 ///
 /// # Errors
-/// Fails where the disk does.
+/// Fails if the disk does.
 pub fn owner(disk: &mut dyn Disk) -> io::Result<Option<String>> {
     let directory = Directory::read(disk)?;
     for Generation { file, .. } in directory.generations.iter().rev() {
--- a/crates/health-snapshot/src/store/slice.rs
+++ b/crates/health-snapshot/src/store/slice.rs
@@ -1,4 +1,4 @@
-//! One slice: the records that are due, the list's version, and the end of a baseline.
+//! Writes one slice: the records that are due, the list's version, and the end of a baseline.
 
 use std::io;
 
@@ -8,19 +8,19 @@
 use crate::timestamp::Timestamp;
 use crate::{DestinationRecord, Micros};
 
-/// A list version that has not changed is confirmed at this interval.
+/// A list version that has not changed is written again, with its latest confirmation, at this interval.
 const LIST_CONFIRMATION_INTERVAL: Micros = 1_000_000;
 
-/// What a slice has encoded.
+/// Summary of the records that a slice has encoded.
 #[derive(Debug, Default)]
 struct Encoded {
     destinations: usize,
-    /// A record among them restricts a restarted process, and is to be synced.
+    /// Whether a record among them restricts a restarted process, and is to be synced.
     is_restrictive: bool,
 }
 
 impl Store {
-    /// Writes what is due into that space.
+    /// Writes what is due; the files may occupy `space` bytes.
     pub(super) fn write_due(
         &mut self,
         timestamp: &Timestamp,
@@ -52,7 +52,7 @@
         Ok(result)
     }
 
-    /// Starts a generation where one is needed. The previous one is removed first where there is no space for both.
+    /// Starts a generation if one is needed. Earlier ones are removed first if there is no space for both.
     fn ensure_generation(&mut self, space: u64, source: &dyn Source) -> io::Result<()> {
         if self.active.is_some() && !self.scheduler.needs_generation() {
             return Ok(());
@@ -109,7 +109,7 @@
         true
     }
 
-    /// Encodes the list's version where all of its endpoints precede it.
+    /// Encodes the list's version if all of its endpoints precede it.
     fn encode_list(&mut self, is_baseline_complete: bool, source: &dyn Source) {
         let list = source.list();
         let is_newer = list.index != self.written_list.index;
@@ -124,7 +124,7 @@
         let Some(active) = &mut self.active else { return Ok(0) };
         let bytes = self.writer.bytes();
         if let Err(e) = self.disk.append(&active.name, bytes) {
-            // Guards later appends against following a partial write.
+            // Removes a partial write, so that no later append follows it.
             let _ = self.disk.truncate(&active.name, active.length);
             return Err(e);
         }
--- a/crates/health-snapshot/src/timestamp.rs
+++ b/crates/health-snapshot/src/timestamp.rs
@@ -7,16 +7,16 @@
 #[cfg(test)]
 mod tests;
 
-/// The machine's monotonic clock, which nobody sets.
+/// A reading of the machine's monotonic clock, which can't be set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Boot {
-    /// Identifies the start of the machine.
+    /// Identifies this boot of the machine.
     pub id: u128,
-    /// Time since then.
+    /// Time since the boot.
     pub at: Micros,
 }
 
-/// A moment on the wall clock, and on the machine's monotonic clock where that is read.
+/// A moment on the wall clock, and on the machine's monotonic clock if that is read.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timestamp {
     /// Unix time.
@@ -53,15 +53,15 @@
     pub wall: WallClock,
 }
 
-/// Two clocks may differ by this much, and by [`DRIFT_DIVISOR`] of the time.
+/// Difference between two clocks that is tolerated, besides their drift ([`DRIFT_DIVISOR`]).
 const TOLERANCE: Micros = 250_000;
-/// Two clocks drift apart by at most one part in so many.
+/// Two clocks drift apart by at most one part in this many.
 const DRIFT_DIVISOR: Micros = 1_000;
 
-/// How much time passed from one moment to another. Guards Retry-After and slow start against a wall clock that is set forward,
-/// and everything against one that is set back: where the clocks disagree the monotonic one counts; where neither is reliable,
-/// no time has passed for restrictions and any time for successes. Across a restart of the machine only the time since is
-/// certain, so that a Retry-After is extended by the time that the machine was off.
+/// Returns how much time passed from one moment to another, so that a wall clock that was set forward ends no Retry-After or
+/// slow start early, and one that was set back makes no success look recent. Where the clocks disagree the monotonic one counts.
+/// Where neither is reliable, restrictions count as if no time had passed, and the age of successes is unknown. Across a restart
+/// of the machine only the time since is certain, so that a Retry-After is extended by the time that the machine was off.
 pub fn elapsed(then: &Timestamp, now: &Timestamp) -> Elapsed {
     let wall = i128::from(now.wall) - i128::from(then.wall);
     match (then.boot, now.boot) {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Without a restart of the machine: by its monotonic clock.
+/// Returns the time that passed without a restart of the machine, by its monotonic clock.
 fn since_same_boot(then: Boot, now: Boot, wall: i128) -> Elapsed {
     let Some(real) = now.at.checked_sub(then.at) else {
         return Elapsed { least: 0, most: None, wall: WallClock::Impossible };
@@ -89,7 +89,7 @@
     Elapsed { least: real, most: Some(real), wall }
 }
 
-/// Across a restart of the machine: at least the time since, at most what the wall clock shows.
+/// Returns the time that passed across a restart of the machine: at least the time since, at most what the wall clock shows.
 fn since_restart(now: Boot, wall: i128) -> Elapsed {
     let least = now.at;
     let missing = i128::from(least) - wall;
--- a/crates/health-snapshot/src/timestamp/tests.rs
+++ b/crates/health-snapshot/src/timestamp/tests.rs
@@ -1,4 +1,4 @@
-//! The time that passed, by two clocks of which one or both may be wrong.
+//! Tests of the elapsed time, by two clocks of which one or both may be wrong.
 
 use super::*;
 
@@ -26,16 +26,16 @@
 }
 
 #[test]
-fn across_a_restart_of_the_machine_only_the_time_since_is_certain() {
+fn after_a_restart_of_the_machine_only_the_time_since_is_certain() {
     let then = timestamp(100 * HOUR, 1, 50 * HOUR);
-    let night = elapsed(&then, &timestamp(108 * HOUR, 2, 1_000_000));
-    assert_eq!(night, Elapsed { least: 1_000_000, most: Some(8 * HOUR), wall: WallClock::Restarted });
+    let overnight = elapsed(&then, &timestamp(108 * HOUR, 2, 1_000_000));
+    assert_eq!(overnight, Elapsed { least: 1_000_000, most: Some(8 * HOUR), wall: WallClock::Restarted });
     let back = elapsed(&then, &timestamp(99 * HOUR, 2, 1_000_000));
     assert_eq!((back.least, back.most), (1_000_000, None));
 }
 
 #[test]
-fn without_it_only_a_wall_clock_that_runs_backwards_is_detected() {
+fn without_the_monotonic_clock_only_a_wall_clock_that_was_set_back_is_detected() {
     let wall = |wall| Timestamp { wall, boot: None };
     let forward = elapsed(&wall(5), &wall(HOUR + 5));
     assert_eq!(forward, Elapsed { least: HOUR, most: Some(HOUR), wall: WallClock::Unchecked });
--- a/crates/health-snapshot/tests/restore.rs
+++ b/crates/health-snapshot/tests/restore.rs
@@ -1,4 +1,4 @@
-//! The rule of restoring: a snapshot may make a sender more careful, never bolder, whatever the clocks show.
+//! Tests of the rule for restoring: a snapshot may make a sender more careful, never bolder, whatever the clocks show.
 
 use decision::interface::{Condition, RouteSnapshot};
 use health_snapshot::replay::{ReplayFault, Snapshot};
@@ -43,14 +43,15 @@
     }
 }
 
-/// A start that long after the snapshot by the monotonic clock, with a wall clock that is ahead of it.
+/// A start `after` the snapshot by the monotonic clock, with a wall clock that is `ahead` of it.
 fn start(after: Micros, ahead: i64) -> RestoreTime {
     let wall = (START + after).saturating_add_signed(ahead);
     let timestamp = Timestamp { wall, boot: Some(Boot { id: 1, at: 100 * HOUR + after }) };
     RestoreTime { now: wall.max(START), timestamp }
 }
 
-fn after(observed: RouteSnapshot, span: Micros) -> (RouteSnapshot, Vec<Reason>) {
+/// Returns what is restored of a route after that time.
+fn restored_after(observed: RouteSnapshot, span: Micros) -> (RouteSnapshot, Vec<Reason>) {
     let restored = restore(&snapshot_of(observed), &start(span, 0), 0, &CONFIG);
     (restored.routes[0].snapshot, restored.routes[0].reasons.clone())
 }
@@ -58,9 +59,9 @@
 #[test]
 fn an_observed_limit_doubles_and_expires() {
     let observed = RouteSnapshot { send_rate: 3.0, ..RouteSnapshot::default() };
-    assert!((after(observed, OBSERVED_LIMIT_DOUBLING).0.send_rate - 6.0).abs() < 1e-6);
-    assert!((after(observed, 3 * OBSERVED_LIMIT_DOUBLING).0.send_rate - 24.0).abs() < 1e-6);
-    let (expired, reasons) = after(observed, 6 * OBSERVED_LIMIT_DOUBLING);
+    assert!((restored_after(observed, OBSERVED_LIMIT_DOUBLING).0.send_rate - 6.0).abs() < 1e-6);
+    assert!((restored_after(observed, 3 * OBSERVED_LIMIT_DOUBLING).0.send_rate - 24.0).abs() < 1e-6);
+    let (expired, reasons) = restored_after(observed, 6 * OBSERVED_LIMIT_DOUBLING);
     assert_eq!((expired.send_rate, reasons), (0.0, vec![Reason::ObservedLimitExpired]));
 }
 
@@ -73,31 +74,31 @@
         trial: Some((START + SECOND, 5 * SECOND)),
         ..RouteSnapshot::default()
     };
-    assert!((after(unhealthy, SUCCESS_RATE_HALVING).0.success_rate - 4.0).abs() < 1e-6);
-    let (old, reasons) = after(unhealthy, 1_000 * HOUR);
+    assert!((restored_after(unhealthy, SUCCESS_RATE_HALVING).0.success_rate - 4.0).abs() < 1e-6);
+    let (old, reasons) = restored_after(unhealthy, 1_000 * HOUR);
     assert_eq!(
         (old.condition, old.trial, &reasons[..]),
         (Condition::Failing, None, &[Reason::Unhealthy(0)][..])
     );
-    let (soon, _) = after(unhealthy, SECOND / 2);
+    let (soon, _) = restored_after(unhealthy, SECOND / 2);
     assert_eq!(soon.trial, Some((START + SECOND, 2 * SECOND)), "no later than a breaker's first trial");
 }
 
 #[test]
-fn latency_counts_where_it_is_long_until_it_expires() {
+fn only_a_long_latency_is_restored_and_it_expires() {
     let slow = RouteSnapshot { latency: Some((3e6, 1e5)), ..RouteSnapshot::default() };
-    assert_eq!(after(slow, SECOND).0.latency, slow.latency);
-    assert_eq!(after(slow, 2 * HOUR).0.latency, None);
+    assert_eq!(restored_after(slow, SECOND).0.latency, slow.latency);
+    assert_eq!(restored_after(slow, 2 * HOUR).0.latency, None);
     let fast = RouteSnapshot { latency: Some((2e4, 1e3)), ..RouteSnapshot::default() };
     assert_eq!(
-        after(fast, SECOND).0.latency,
+        restored_after(fast, SECOND).0.latency,
         None,
-        "its calls are taken for lost no sooner than an unknown destination's"
+        "calls count as lost no sooner than those to an unknown destination"
     );
 }
 
 #[test]
-fn with_records_lost_each_destination_starts_with_one_call_and_waits_count() {
+fn after_record_loss_destinations_start_with_one_call_and_waits_are_restored() {
     let healthy = RouteSnapshot {
         wait_until: START + 60 * SECOND,
         success_rate: 8.0,
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn the_list_counts_where_it_is_newer_and_complete() {
+fn the_list_is_restored_only_if_newer_complete_and_recent() {
     let complete = snapshot_of(RouteSnapshot::default());
     let list =
         |snapshot: &Snapshot, after: Micros, index| restore(snapshot, &start(after, 0), index, &CONFIG).list;
@@ -129,7 +130,7 @@
     assert_eq!(
         list(&complete, SECOND, 42),
         Default::default(),
-        "the configuration's is newer: its drains are its own"
+        "the configuration's list is newer and has its own draining endpoints"
     );
     let old = list(&complete, 2 * HOUR, 40);
     assert_eq!((old.newer, old.drains), (None, vec!["b".to_owned()]));
@@ -164,8 +165,8 @@
         })
 }
 
-/// Checks what is restored after `elapsed`, the time that really passed, against what was observed.
-fn never_bolder(
+/// Checks that what is restored after `elapsed`, the time that really passed, is no bolder than what was observed.
+fn check_not_bolder(
     observed: &RouteSnapshot,
     restored: &RestoredState,
     now: Micros,
@@ -183,13 +184,13 @@
     for (observed, restored) in times {
         if let (Some(observed), Some(restored)) = (observed, restored) {
             let is_later = restored <= now && now - restored <= ago(observed);
-            prop_assert!(is_later, "{observed} is further back than it was");
+            prop_assert!(is_later, "{observed} is restored as longer ago than it was");
         }
         prop_assert_eq!(observed.is_some(), restored.is_some());
     }
     prop_assert!(
         route.last_success_at == 0 || now - route.last_success_at >= ago(observed.last_success_at),
-        "a success is later than it was"
+        "a success is restored as more recent than it was"
     );
     prop_assert!(route.success_rate <= observed.success_rate + 1e-9);
     prop_assert!(route.send_rate == 0.0 || route.send_rate >= observed.send_rate);
@@ -220,12 +221,12 @@
         // Across a restart of the machine a wall clock that was set forward is not detected; successes age by it.
         prop_assume!(!restarted || ahead >= 0);
         let restored = restore(&snapshot_of(observed), &start, 0, &CONFIG);
-        never_bolder(&observed, &restored, start.now, elapsed)?;
+        check_not_bolder(&observed, &restored, start.now, elapsed)?;
     }
 
-    /// Without it the same holds unless the wall clock was set forward.
+    /// Without the monotonic clock the same holds unless the wall clock was set forward.
     #[test]
-    fn without_the_monotonic_clock_a_wall_clock_that_is_set_back_does_no_harm(
+    fn without_the_monotonic_clock_a_wall_clock_set_back_makes_no_sender_bolder(
         observed in any_observations(),
         elapsed in 0u64..3 * HOUR,
         back in 0i64..(3 * HOUR as i64),
@@ -235,10 +236,10 @@
         let mut snapshot = snapshot_of(observed);
         snapshot.timestamp.boot = None;
         let restored = restore(&snapshot, &start, 0, &CONFIG);
-        // Successes are taken for as old as the clock shows.
+        // The age of successes is what the clock shows.
         let observed = RouteSnapshot { last_success_at: 0, ..observed };
         let mut restored = restored;
         restored.routes[0].snapshot.last_success_at = 0;
-        never_bolder(&observed, &restored, start.now, elapsed)?;
+        check_not_bolder(&observed, &restored, start.now, elapsed)?;
     }
 }
--- a/crates/health-snapshot/tests/store.rs
+++ b/crates/health-snapshot/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store on a disk with injected faults. Another first seed in SNAPSHOT_SEED gives other runs.
+//! Tests of the store on a simulated disk with injected faults. `SNAPSHOT_SEED` sets the first seed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,15 +23,15 @@
     first
 }
 
-/// The records of a sender: some hundred destinations, and the list's version.
+/// A fake sender: its records, its list's version and its clock.
 #[derive(Default)]
-struct World {
+struct FakeSender {
     records: RefCell<BTreeMap<u16, DestinationRecord>>,
     index: RefCell<u64>,
     now: RefCell<Micros>,
 }
 
-impl Source for World {
+impl Source for FakeSender {
     fn destinations(&self) -> Vec<u16> {
         self.records.borrow().keys().copied().collect()
     }
@@ -60,9 +60,9 @@
     RouteKey { destination, endpoint: None }
 }
 
-fn world(count: u16) -> World {
-    let world = World::default();
-    *world.now.borrow_mut() = START;
+fn fake_sender(count: u16) -> FakeSender {
+    let sender = FakeSender::default();
+    *sender.now.borrow_mut() = START;
     for destination in 0..count {
         let snapshot = RouteSnapshot {
             limit: 5.0 + f64::from(destination),
@@ -71,18 +71,18 @@
         };
         let routes = vec![RouteRecord { endpoint: None, snapshot }];
         let record = DestinationRecord { at: 0, listed: vec![listed(destination, 1.0)], routes };
-        world.records.borrow_mut().insert(destination, record);
+        sender.records.borrow_mut().insert(destination, record);
     }
-    world
+    sender
 }
 
-/// A sender, and what its files must contain.
+/// A run of the store with a fake sender, and what its files must contain.
 struct Run {
-    world: World,
+    sender: FakeSender,
     store: Store,
-    /// Retry-After in slices that were completed.
+    /// Ends of Retry-After that completed slices contain, by destination.
     waits: BTreeMap<u16, Micros>,
-    /// Retry-After since.
+    /// Those that were received since.
     pending: BTreeMap<u16, Micros>,
     rng: fastrand::Rng,
 }
@@ -97,26 +97,26 @@
     fn new(disk: &SimDisk, count: u16, seed: u64) -> io::Result<Self> {
         let (store, _) = open(disk)?;
         let (waits, pending) = (BTreeMap::new(), BTreeMap::new());
-        Ok(Self { world: world(count), store, waits, pending, rng: fastrand::Rng::with_seed(seed) })
+        Ok(Self { sender: fake_sender(count), store, waits, pending, rng: fastrand::Rng::with_seed(seed) })
     }
 
     fn now(&self) -> Micros {
-        *self.world.now.borrow()
+        *self.sender.now.borrow()
     }
 
     fn write_slice(&mut self, space: u64) -> io::Result<()> {
         let timestamp = Timestamp { wall: self.now(), boot: None };
-        self.store.write_slice(&timestamp, space, &self.world)?;
+        self.store.write_slice(&timestamp, space, &self.sender)?;
         Ok(())
     }
 
-    /// Something changes at a random destination, and a slice follows.
+    /// Changes a random destination, and writes a slice.
     fn step(&mut self) -> io::Result<()> {
         let now = self.now() + self.rng.u64(5_000..200_000);
-        *self.world.now.borrow_mut() = now;
-        let destination = self.rng.u16(..self.world.records.borrow().len() as u16);
+        *self.sender.now.borrow_mut() = now;
+        let destination = self.rng.u16(..self.sender.records.borrow().len() as u16);
         {
-            let mut records = self.world.records.borrow_mut();
+            let mut records = self.sender.records.borrow_mut();
             let record = records.get_mut(&destination).unwrap();
             let snapshot = &mut record.routes[0].snapshot;
             match self.rng.u8(..6) {
@@ -129,7 +129,7 @@
                 2 => (snapshot.condition, snapshot.cold_since) = (Condition::Healthy, Some(now)),
                 3 => {
                     record.listed[0].weight += 1.0;
-                    *self.world.index.borrow_mut() += 1;
+                    *self.sender.index.borrow_mut() += 1;
                     self.store.mark_urgent(destination, true, now);
                 }
                 4 => snapshot.limit = self.rng.f64() * 100.0,
@@ -138,7 +138,7 @@
         }
         self.store.mark_changed(destination, now);
         self.write_slice(u64::MAX)?;
-        // What is urgent is written in the slice that follows; if that is full, in the next.
+        // An urgent change is written in the slice that follows or, if that is full, in the next.
         if self.store.next_due(now).is_none_or(|due| due > now) {
             self.waits.append(&mut self.pending);
         }
@@ -146,28 +146,28 @@
     }
 }
 
-/// Checks what a process finds after the end of another: each Retry-After of a completed slice, and a state of each destination
-/// that it was once in.
-fn check(run: &Run, snapshot: &Snapshot, what: &str) {
+/// Checks what a process reads after another has ended: it must have each Retry-After of a completed slice, and a state of each
+/// destination that the destination was once in.
+fn check_snapshot(run: &Run, snapshot: &Snapshot, context: &str) {
     for (destination, until) in run.waits.iter().filter(|wait| *wait.1 > run.now()) {
         let found = snapshot.waits.get(&common_route(*destination)).copied().unwrap_or(0);
-        assert!(found >= *until, "{what}: the wait of {destination} until {until}, found {found}");
+        assert!(found >= *until, "{context}: the wait of {destination} until {until}, found {found}");
     }
     for (destination, record) in &snapshot.destinations {
         for RouteRecord { snapshot: observed, .. } in &record.routes {
             let valid = observed.limit > 0.0
                 && observed.last_success_at >= START
                 && observed.last_success_at <= run.now();
-            assert!(valid, "{what}: {destination} is {observed:?}");
+            assert!(valid, "{context}: {destination} is {observed:?}");
         }
         assert!(
             record.listed.iter().all(|listed| listed.name == format!("e{destination}")),
-            "{what}: {record:?}"
+            "{context}: {record:?}"
         );
     }
 }
 
-/// Kills at every operation of a run, some bytes into a write; the next process continues, and is checked too.
+/// Kills the process at each disk operation of a run, some bytes into a write. The next process continues, and is checked too.
 #[test]
 fn a_kill_at_any_operation_loses_no_completed_write() {
     let seed = first_seed();
@@ -185,7 +185,7 @@
         disk.inject(operation, Fault::Kill(rng.usize(..700)));
         let mut run = Run::new(&disk, 150, seed).unwrap();
         for _ in 0..steps {
-            // A failed slice is attempted again; a killed process does nothing more.
+            // A failed slice is attempted again; a killed process stops.
             let _ = run.step();
             if disk.is_killed() {
                 break;
@@ -196,7 +196,7 @@
         disk.clear_faults();
         let snapshot = load(&mut disk.clone(), "n1").unwrap();
         assert!(!snapshot.is_incomplete(), "operation {operation}: {:?}", snapshot.faults);
-        check(&run, &snapshot, &format!("operation {operation}"));
+        check_snapshot(&run, &snapshot, &format!("operation {operation}"));
         // The next process starts a generation of its own.
         let (store, _) = open(&disk).unwrap();
         run.store = store;
@@ -208,12 +208,12 @@
         }
         let snapshot = load(&mut disk.clone(), "n1").unwrap();
         assert!(!snapshot.is_incomplete(), "after operation {operation}: {:?}", snapshot.faults);
-        check(&run, &snapshot, &format!("after operation {operation}"));
+        check_snapshot(&run, &snapshot, &format!("after operation {operation}"));
         assert_eq!(snapshot.destinations.len(), 150);
     }
 }
 
-/// Power is lost at random moments: each Retry-After that was synced is there.
+/// Power is lost at a random moment: each Retry-After that was synced must still be read.
 #[test]
 fn a_power_loss_loses_no_synced_wait() {
     let first = first_seed();
@@ -226,11 +226,11 @@
         }
         disk.lose_power(&mut rng);
         let snapshot = load(&mut disk.clone(), "n1").unwrap();
-        check(&run, &snapshot, &format!("seed {seed}"));
+        check_snapshot(&run, &snapshot, &format!("seed {seed}"));
     }
 }
 
-/// The disk is full, or the device fails, at any operation: the store continues, and what it reports as written is there.
+/// The disk is full or the device fails at some operation: the store continues, and what it reports as written can be read.
 #[test]
 fn nothing_is_appended_to_a_failed_write() {
     let seed = first_seed();
@@ -247,12 +247,12 @@
                     run.pending = pending;
                 }
             }
-            // After the backoff all is written again.
-            *run.world.now.borrow_mut() += 100 * SECOND;
+            // After the backoff everything is written again.
+            *run.sender.now.borrow_mut() += 100 * SECOND;
             while run.store.next_due(run.now()).is_some_and(|due| due <= run.now()) {
                 if run.write_slice(u64::MAX).is_err() {
                     failed += 1;
-                    *run.world.now.borrow_mut() += 100 * SECOND;
+                    *run.sender.now.borrow_mut() += 100 * SECOND;
                 }
             }
             assert!(failed <= 1, "operation {operation}: {failed} failures of one fault");
@@ -264,20 +264,20 @@
 }
 
 #[test]
-fn it_respects_its_size_and_writes_restrictions_first() {
+fn the_store_respects_its_size_and_writes_restrictions_first() {
     let disk = SimDisk::new();
     let options = Options { size: 24 << 10, sync: false };
     let (mut store, _) = Store::open(Box::new(disk.clone()), "n1", options).unwrap();
-    let world = world(1_000);
+    let sender = fake_sender(1_000);
     for destination in 500..510 {
-        let mut records = world.records.borrow_mut();
+        let mut records = sender.records.borrow_mut();
         records.get_mut(&destination).unwrap().routes[0].snapshot.wait_until = START + 3_600 * SECOND;
     }
     for n in 0..400 {
         let now = START + n * 10_000;
-        *world.now.borrow_mut() = now;
+        *sender.now.borrow_mut() = now;
         store.mark_changed((n % 1_000) as u16, now);
-        store.write_slice(&Timestamp { wall: now, boot: None }, u64::MAX, &world).unwrap();
+        store.write_slice(&Timestamp { wall: now, boot: None }, u64::MAX, &sender).unwrap();
         assert!(disk.used() <= options.size, "{} bytes", disk.used());
         assert_eq!(disk.used(), store.used());
     }
@@ -299,11 +299,11 @@
     assert_eq!((snapshot.is_incomplete(), snapshot.faults), (true, vec![ReplayFault::SpaceReleased]));
     // Nothing is written while the journal uses the space.
     for _ in 0..50 {
-        *run.world.now.borrow_mut() += SECOND;
+        *run.sender.now.borrow_mut() += SECOND;
         run.write_slice(1_000).unwrap();
     }
     assert_eq!(disk.used(), 0);
-    *run.world.now.borrow_mut() += 100 * SECOND;
+    *run.sender.now.borrow_mut() += 100 * SECOND;
     while run.store.next_due(run.now()).is_some_and(|due| due <= run.now()) {
         run.write_slice(u64::MAX).unwrap();
     }
@@ -323,9 +323,10 @@
     disk.corrupt(&file, |bytes| bytes[length as usize / 3] ^= 0x20);
     let snapshot = load(&mut disk.clone(), "n1").unwrap();
     assert!(
-        snapshot.is_incomplete() && snapshot.faults.iter().any(|t| matches!(t, ReplayFault::Damaged { .. }))
+        snapshot.is_incomplete()
+            && snapshot.faults.iter().any(|fault| matches!(fault, ReplayFault::Damaged { .. }))
     );
-    assert_eq!(snapshot.timestamp, undamaged.timestamp, "the newest is read");
+    assert_eq!(snapshot.timestamp, undamaged.timestamp, "the newest timestamp is read");
 }
 
 #[test]
@@ -336,16 +337,16 @@
     let (mut store, snapshot) = Store::open(Box::new(disk.clone()), "n2", OPTIONS).unwrap();
     assert!(!snapshot.found && snapshot.destinations.is_empty() && snapshot.waits.is_empty());
     assert!(matches!(&snapshot.faults[..], [ReplayFault::Foreign { owner, .. }] if owner == "n1"));
-    assert!(!snapshot.is_incomplete(), "as without a snapshot");
-    let (mine, now) = (world(3), START + SECOND);
+    assert!(!snapshot.is_incomplete(), "the sender starts as without a snapshot");
+    let (own_sender, now) = (fake_sender(3), START + SECOND);
     for n in 0..5 {
-        store.write_slice(&Timestamp { wall: now + n, boot: None }, u64::MAX, &mine).unwrap();
+        store.write_slice(&Timestamp { wall: now + n, boot: None }, u64::MAX, &own_sender).unwrap();
     }
     let snapshot = load(&mut disk.clone(), "n2").unwrap();
     assert_eq!((snapshot.destinations.len(), snapshot.faults), (3, vec![]));
 }
 
-/// The head states another version.
+/// The head states another version: waits have the same layout in all versions, other records are not read.
 #[test]
 fn waits_of_another_version_are_read() {
     let disk = SimDisk::new();
@@ -368,9 +369,9 @@
     }
 }
 
-/// Whatever the bytes are, reading terminates without a panic, and finds no more than they can hold.
+/// Whatever the bytes are, reading terminates without a panic, and returns no more destinations than there are bytes.
 #[test]
-fn any_bytes_can_be_read() {
+fn arbitrary_bytes_are_read_without_a_panic() {
     use proptest::prelude::*;
     let disk = SimDisk::new();
     let mut run = Run::new(&disk, 30, 5).unwrap();
