--- a/crates/handover/src/state.rs
+++ b/crates/handover/src/state.rs
@@ -1,27 +1,28 @@
-//! The state that a predecessor hands to its successor.
+//! The state that a predecessor sends to its successor.
 //!
-//! Fields are encoded by name: a renamed one keeps its encoded name, and one that is added needs a default. The structs
-//! of list entries are encoded as tuples.
+//! Fields are encoded by name: a field that is renamed must keep its encoded name, and a new field needs a default. The
+//! structs of list entries are encoded as tuples.
 
 use bytes::Bytes;
 use decision::interface::{EndpointId, Listing, MessageId, Micros};
 use serde::{Deserialize, Serialize};
 
-/// The predecessor's state as of when it stopped deciding, without what the journal holds.
+/// The predecessor's state at the time when it stopped deciding, except for what the journal contains.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
     /// When the predecessor stopped deciding, on its clock.
     #[serde(rename = "at")]
     pub stopped_at: Micros,
-    /// Names that the settings give to positions. With other names the rest can't be understood.
+    /// Names from the settings to which positions in the state refer. A successor whose settings have other names can't
+    /// restore the rest of the state.
     pub names: SettingsNames,
     /// The encoded state of the decision module.
     pub policy: Bytes,
-    /// Endpoints that are listed, and those that no longer are and may still be referred to.
+    /// Endpoints in the endpoint list, and unlisted ones that may still be referred to.
     pub endpoints: Vec<HandoverEndpoint>,
-    /// The ids of all endpoint names, those that only attempts refer to included.
+    /// The ids of all endpoint names, including those to which only attempts refer.
     pub ids: Vec<EndpointName>,
-    /// How many endpoint ids were ever assigned.
+    /// The number of endpoint ids that have been assigned so far.
     #[serde(rename = "given")]
     pub ids_assigned: u64,
     /// Version of the endpoint list.
@@ -29,18 +30,19 @@
     /// The pending messages.
     #[serde(rename = "held")]
     pub messages: Vec<PendingRequest>,
-    /// How many attempts of each pending message were started, unsent ones included.
+    /// The number of attempts of each pending message that were started, including unsent ones.
     pub attempts: Vec<AttemptCount>,
     /// The number of the next message.
     pub next_message: u32,
-    /// How many requests clients have made. The successor numbers its own far beyond that.
+    /// The number of client requests so far. The successor numbers its own requests from far above it, because the
+    /// predecessor's clients continue to send requests.
     pub requests: u64,
     /// Attempts that are in flight.
     #[serde(rename = "out")]
     pub attempts_in_flight: Vec<AttemptInFlight>,
     /// Active Retry-After deadlines, for a successor that can't read the rest.
     pub waits: Vec<RetryAfterDeadline>,
-    /// Since when clients are sent away, if they are.
+    /// When the standby began, if the predecessor is on standby.
     pub standby: Option<Micros>,
 }
 
@@ -68,7 +70,7 @@
     }
 }
 
-/// The id that an endpoint's name has. Encoded as a tuple.
+/// The name and the id of an endpoint. Encoded as a tuple.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, EndpointId)", into = "(String, EndpointId)")]
 pub struct EndpointName {
@@ -90,7 +92,7 @@
     pub request: u64,
 }
 
-/// How many attempts of a pending message were started. Encoded as a tuple.
+/// The number of attempts of a pending message that were started. Encoded as a tuple.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u16)", into = "(u32, u16)")]
 pub struct AttemptCount {
@@ -108,7 +110,7 @@
     pub message: MessageId,
     /// The attempt's number.
     pub attempt: u16,
-    /// Where it was sent.
+    /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
 }
 
@@ -122,7 +124,7 @@
     pub until: Micros,
 }
 
-/// Converts between a struct and the tuple as which it is encoded.
+/// Implements the conversions between a struct and the tuple that encodes it.
 macro_rules! tuple_encoding {
     ($type:ident { $($field:ident: $kind:ty),+ }) => {
         impl From<($($kind),+)> for $type {
@@ -152,7 +154,7 @@
     pub id: EndpointId,
     /// Its name in the endpoint list.
     pub name: String,
-    /// Its address, where the predecessor could read it.
+    /// Its address, if the predecessor could parse it.
     pub address: Option<String>,
     /// The position of its zone in the settings.
     pub zone: u16,
@@ -164,7 +166,7 @@
     pub listing: Listing,
     /// Its weight.
     pub weight: f64,
-    /// Whether the list no longer names it.
+    /// Whether it is no longer in the endpoint list.
     #[serde(rename = "gone")]
     pub unlisted: bool,
 }
--- a/crates/handover/src/step.rs
+++ b/crates/handover/src/step.rs
@@ -1,26 +1,26 @@
-//! What each of the two processes does next.
+//! The next step of the predecessor and of the successor.
 //!
-//! Whichever process holds the journal's lock decides on messages; every step follows from that.
+//! The process that holds the journal's lock makes the decisions on messages; every step follows from that.
 
 use decision::interface::Micros;
 
-/// A starting process requests the hand-over within this time, and waits as long for the journal of a process that does
-/// not respond. Guards against a successor that retries for ever.
+/// Maximum time for which a starting process requests the hand-over, or waits for the journal of a process that does
+/// not respond. Then it fails, so that it does not retry for ever.
 pub const STARTUP_TIMEOUT: Micros = 5_000_000;
-/// The predecessor waits this long for its successor to complete the takeover.
+/// Maximum time for which the predecessor waits for its successor to complete the takeover.
 pub const TAKEOVER_TIMEOUT: Micros = 2_000_000;
-/// Time from SIGTERM until a predecessor that has handed over abandons its outstanding attempts: it may be killed soon
-/// after.
+/// Time from SIGTERM until a predecessor that has handed over abandons its outstanding attempts, because it may be
+/// killed soon after.
 pub const DRAIN_TIMEOUT: Micros = 3_500_000;
 
-/// The process that holds the journal's lock, as a starting process finds it.
+/// The process that holds the journal's lock, as seen by a starting process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JournalOwner {
     /// No other process.
     None,
-    /// Another process, which listens for a successor.
+    /// Another process that listens for a successor.
     Responsive,
-    /// Another process, which can't be reached: it is about to exit, or is of an older version.
+    /// Another process that can't be reached: it is about to exit, or is of an older version.
     Unresponsive,
 }
 
@@ -33,12 +33,13 @@
     RequestTakeover,
     /// Check again after a pause.
     Retry,
-    /// Exit with an error: another sender has the folder.
+    /// Exit with an error: another sender uses the folder.
     Fail,
 }
 
-/// The step of a process that has been starting for `waited`. `concurrent` says whether the platform starts a successor
-/// while its predecessor runs; where it does not, another process on the same folder is an error at once.
+/// Returns the next step of a process that has been starting for `waited`. `concurrent` is whether the platform
+/// starts a successor while its predecessor runs; if it does not, another process on the same folder is an error at
+/// once.
 pub fn startup_step(owner: JournalOwner, concurrent: bool, waited: Micros) -> StartupStep {
     match owner {
         JournalOwner::None => StartupStep::Start,
@@ -51,17 +52,18 @@
 /// What the predecessor does once it has sent its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PredecessorStep {
-    /// Carry its connections and outstanding attempts to their end on behalf of the successor.
+    /// Complete its clients' connections and outstanding attempts on behalf of the successor.
     Drain,
-    /// Take the journal again and go on deciding.
+    /// Continue to make decisions with the journal, which it has locked again.
     Resume,
-    /// Exit: another process has the journal and can't be reached. Guards against two processes that decide. Outstanding
-    /// attempts may have run, as the journal records them.
+    /// Exit: another process has the journal and can't be reached, and two processes must not both make decisions.
+    /// Outstanding attempts may have run, as the journal records them.
     Exit,
 }
 
-/// The predecessor's step after it has sent its state. `taken_over` says whether the successor confirmed that it has the
-/// journal, `journal_free` whether the predecessor could lock it again. Guards against both deciding, or neither.
+/// Returns the predecessor's step after it has sent its state, so that exactly one process makes decisions.
+/// `taken_over` is whether the successor confirmed that it has the journal, `journal_free` whether the predecessor
+/// could lock it again.
 pub fn predecessor_step(taken_over: bool, journal_free: bool) -> PredecessorStep {
     match (taken_over, journal_free) {
         (true, _) => PredecessorStep::Drain,
@@ -70,7 +72,8 @@
     }
 }
 
-/// Whether a predecessor that has handed over exits: it has nothing left to drain, or no more time.
+/// Returns whether a predecessor that has handed over exits: it has drained everything, or [`DRAIN_TIMEOUT`] has passed
+/// since SIGTERM.
 pub fn may_exit(outstanding: usize, clients: usize, stopping_since: Option<Micros>, now: Micros) -> bool {
     let drained = outstanding == 0 && clients == 0;
     drained || stopping_since.is_some_and(|since| now >= since + DRAIN_TIMEOUT)
