--- a/crates/idle-destinations/src/activation.rs
+++ b/crates/idle-destinations/src/activation.rs
@@ -1,4 +1,4 @@
-//! How fast idle destinations are activated.
+//! Limits the rate at which idle destinations are activated.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::hash::Hash;
@@ -7,15 +7,15 @@
 
 use crate::Micros;
 
-/// Tokens that accumulate at most: those of this time, in seconds.
+/// Burst size of the token bucket: the tokens of this many seconds.
 const BURST_SECONDS: f64 = 0.25;
 
-/// Limits first calls to activated destinations, by a token bucket for their rate and by a bound on those in flight. The others
-/// are queued, the highest priority first. Serialized by name.
+/// Limits the first calls to activated destinations: a token bucket limits their rate, and a maximum those in flight.
+/// Destinations beyond these limits are queued, the highest priority first. Serialized by name.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(bound(deserialize = "K: Deserialize<'de> + Eq + Hash + Ord"))]
 pub struct ActivationLimiter<K> {
-    /// Tokens per second; without a rate there is no limit.
+    /// Tokens per second; `None` for no limit.
     rate: Option<f64>,
     #[serde(rename = "most_out")]
     max_in_flight: usize,
@@ -23,21 +23,22 @@
     tokens: f64,
     #[serde(rename = "at")]
     refilled_at: Micros,
-    /// By priority, as the bits of a float that is not negative.
+    /// Queued destinations by priority, which is stored as the bits of a non-negative float.
     #[serde(rename = "line")]
     queue: BTreeSet<(u64, K)>,
-    /// The priorities in the queue.
+    /// The priority of each queued destination.
     #[serde(rename = "worth")]
     priorities: HashMap<K, u64>,
     /// Destinations that may make their first call.
     granted: HashSet<K>,
-    /// First calls.
+    /// Numbers of the first calls in flight.
     #[serde(rename = "out")]
     in_flight: HashSet<u64>,
 }
 
 impl<K: Copy + Eq + Hash + Ord> ActivationLimiter<K> {
-    /// A limit of so many first calls per second, and so many in flight; without a rate there is no limit.
+    /// Creates a limiter with a maximum rate of first calls per second and a maximum number in flight. Without a rate
+    /// nothing is limited.
     pub fn new(rate: Option<f64>, max_in_flight: usize, now: Micros) -> Self {
         Self {
             rate,
@@ -56,7 +57,8 @@
         (self.rate, self.max_in_flight) = (rate, max_in_flight.max(1));
     }
 
-    /// Whether a destination may make its first call now. If not, it is queued with its priority, from 0 on.
+    /// Returns whether a destination may make its first call now. If not, the destination is queued with its
+    /// priority, which is 0 or more.
     pub fn allows(&mut self, key: K, priority: f64, now: Micros) -> bool {
         if self.rate.is_none() {
             return true;
@@ -65,29 +67,30 @@
         if self.granted.remove(&key) || (self.queue.is_empty() && self.try_take_token()) {
             return true;
         }
-        // Floats that are not negative are ordered like their bits; NaN counts as 0.
+        // Non-negative floats are ordered like their bits. NaN and negative priorities count as 0.
         let priority = if priority > 0.0 { priority.to_bits() } else { 0 };
-        if let Some(before) = self.priorities.insert(key, priority) {
-            self.queue.remove(&(before, key));
+        if let Some(previous) = self.priorities.insert(key, priority) {
+            self.queue.remove(&(previous, key));
         }
         self.queue.insert((priority, key));
         false
     }
 
-    /// A first call starts under that number.
+    /// Records that a first call with this number has started.
     pub fn call_started(&mut self, call: u64) {
         if self.rate.is_some() {
             self.in_flight.insert(call);
         }
     }
 
-    /// Any call has ended, or migrates to another shard. Returns whether it was a first one.
+    /// Records that any call has completed or migrates to another shard. Returns whether it was a first call.
     pub fn call_completed(&mut self, call: u64) -> bool {
         self.in_flight.remove(&call)
     }
 
-    /// Destinations that may make their first call now. Each is to be attempted before this is called again, when unused grants
-    /// expire. Destinations for which `has_messages` is false just leave the queue.
+    /// Returns the destinations that may make their first call now. The caller must attempt each of them before it
+    /// calls this method again, because unused grants expire then. Destinations for which `has_messages` returns
+    /// false are only removed from the queue.
     pub fn take_granted(&mut self, now: Micros, mut has_messages: impl FnMut(K) -> bool) -> Vec<K> {
         self.refill(now);
         self.granted.clear();
@@ -107,14 +110,14 @@
         granted
     }
 
-    /// Number of queued destinations.
+    /// Returns the number of queued destinations.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// When the next first call may start, if that depends on time alone.
+    /// Returns when the next first call may start, if that depends only on time.
     pub fn next_due(&self) -> Option<Micros> {
-        // Unused grants have expired by then, and count for nothing here.
+        // Unused grants are ignored, because they will have expired by then.
         let can_start = !self.queue.is_empty() && self.in_flight.len() < self.max_in_flight;
         let rate = self.rate.filter(|_| can_start)?;
         let delay = ((1.0 - self.tokens).max(0.0) / rate * 1e6).ceil() as Micros;
--- a/crates/idle-destinations/src/lib.rs
+++ b/crates/idle-destinations/src/lib.rs
@@ -1,5 +1,6 @@
-//! Destinations that get nothing for long: when they become idle ([`ActiveSet`]), what is retained of them meanwhile
-//! ([`IdleTable`]) and how fast they are activated again ([`ActivationLimiter`]). No I/O, and no clock but the caller's times.
+//! Idle destinations, to which nothing has been sent for some time: when a destination becomes idle ([`ActiveSet`]),
+//! what is retained of it meanwhile ([`IdleTable`]) and how fast idle destinations are activated again
+//! ([`ActivationLimiter`]). The crate has no I/O and no clock: the caller passes the time.
 //! `docs/idle-destinations.md` explains the design.
 //!
 //! ```
@@ -23,5 +24,5 @@
 pub use packed::{Condition, RetainedHealth};
 pub use table::{IdleTable, IdleTableFull, bytes_per_entry};
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/idle-destinations/src/packed.rs
+++ b/crates/idle-destinations/src/packed.rs
@@ -1,4 +1,4 @@
-//! What is retained of one idle destination, in 28 bytes.
+//! Encodes what is retained of one idle destination in 28 bytes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,26 +7,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Resolution of encoded times: the end of a Retry-After is rounded up, other times down.
+/// Resolution of encoded times. The end of a Retry-After is rounded up, other times are rounded down.
 const TIME_UNIT: Micros = 100_000;
-/// Times are encoded from this span before the table's creation on; 32 bits reach ten years beyond it.
+/// Encoded times count from this long before the table's creation; 32 bits reach ten years beyond the creation.
 const HISTORY: Micros = 3 * 365 * 86_400_000_000;
-/// Encoded rates per factor of two: a resolution of 0.07%.
+/// Number of encoded rates per factor of two, which gives a resolution of 0.07%.
 const RATE_STEPS: f64 = 1_000.0;
-/// The encoded rate of one per second.
+/// The code of a rate of one per second.
 const UNIT_RATE: f64 = 32_768.0;
 
-/// The worst outcome of a destination's last calls. Serialized by name.
+/// The worst outcome of a destination's most recent calls. Serialized by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Condition {
-    /// They succeeded.
+    /// The calls succeeded.
     #[default]
     #[serde(rename = "Well")]
     Healthy,
-    /// It rejected calls as too many, and has accepted none since.
+    /// The destination rejected calls because there were too many, and has accepted none since.
     #[serde(rename = "Full")]
     Rejecting,
-    /// It failed or did not respond, and no call has succeeded since.
+    /// A call failed or got no response, and none has succeeded since.
     #[serde(rename = "Failed")]
     Failing,
 }
@@ -36,23 +36,23 @@
 pub struct RetainedHealth {
     /// The end of its Retry-After; 0 for none.
     pub wait_until: Micros,
-    /// When an outage that may still last was first observed.
+    /// When an outage that may not have ended was first observed.
     pub unhealthy_since: Option<Micros>,
     /// When its last outage ended.
     pub cold_since: Option<Micros>,
     /// When a call last succeeded.
     pub last_success_at: Micros,
-    /// Its reported limit, in calls per second of all senders; 0 where none was reported.
+    /// Its reported limit, in calls per second of all senders together; 0 if none was reported.
     pub limit: f64,
     /// Successful calls per second of this sender.
     pub success_rate: f64,
-    /// Calls per second at which it stopped rejecting; 0 where it never rejected.
+    /// Calls per second at which it stopped rejecting calls; 0 if it never rejected any.
     pub send_rate: f64,
-    /// The worst outcome of its last calls.
+    /// The worst outcome of its most recent calls.
     pub condition: Condition,
 }
 
-/// The encoded form of [`RetainedHealth`]; a time of 0 stands for none. Serialized by name.
+/// The encoded form of [`RetainedHealth`]. A time of 0 means none. Serialized by name.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Packed {
     #[serde(rename = "wait")]
@@ -80,7 +80,7 @@
     base: Micros,
 }
 
-/// Rounds down, so that the decoded rate never exceeds the original.
+/// Encodes a rate. Rounds down, so that the decoded rate never exceeds the original.
 fn encode_rate(rate: f64) -> u16 {
     if rate <= 0.0 || rate.is_nan() {
         return 0;
@@ -93,13 +93,13 @@
     if code == 0 { 0.0 } else { ((f64::from(code) - UNIT_RATE) / RATE_STEPS).exp2() }
 }
 
-/// A code that is not 0, which stands for none; the largest for times beyond the range.
+/// Returns the code of a time. It is at least 1, because 0 means none; times beyond the range get the largest code.
 fn saturating_code(units: u64) -> u32 {
     u32::try_from(units).unwrap_or(u32::MAX).max(1)
 }
 
 impl Encoding {
-    /// For a table that is created now.
+    /// Returns the encoding for a table that is created now.
     pub(crate) fn new(now: Micros) -> Self {
         Self { base: now.saturating_sub(HISTORY) }
     }
@@ -116,11 +116,11 @@
         self.base + Micros::from(code) * TIME_UNIT
     }
 
-    /// Encodes a destination that becomes idle now; a Retry-After that has ended is dropped.
+    /// Encodes the health of a destination that becomes idle now. A Retry-After that has ended is dropped.
     pub(crate) fn pack(self, health: &RetainedHealth, now: Micros) -> Packed {
-        let has_wait = health.wait_until > now;
+        let retry_after_active = health.wait_until > now;
         Packed {
-            wait_until: if has_wait { self.round_up(health.wait_until) } else { 0 },
+            wait_until: if retry_after_active { self.round_up(health.wait_until) } else { 0 },
             unhealthy_since: health.unhealthy_since.map_or(0, |at| self.round_down(at)),
             cold_since: health.cold_since.map_or(0, |at| self.round_down(at)),
             last_success_at: self.round_down(health.last_success_at),
@@ -147,12 +147,12 @@
         }
     }
 
-    /// The end of an entry's Retry-After; 0 for none.
+    /// Returns the end of an entry's Retry-After; 0 for none.
     pub(crate) fn wait_until(self, packed: &Packed) -> Micros {
         if packed.wait_until > 0 { self.decode_time(packed.wait_until) } else { 0 }
     }
 
-    /// When an entry's destination became idle.
+    /// Returns when an entry's destination became idle.
     pub(crate) fn idle_since(self, packed: &Packed) -> Micros {
         self.decode_time(packed.idle_since)
     }
--- a/crates/idle-destinations/src/table.rs
+++ b/crates/idle-destinations/src/table.rs
@@ -9,29 +9,29 @@
 use crate::Micros;
 use crate::packed::{Condition, Encoding, Packed, RetainedHealth};
 
-/// One entry in so many is evicted at once where the table is full, which amortizes the search.
+/// A full table evicts one in this many of its entries at once, which amortizes the search for them.
 const EVICTION_DIVISOR: usize = 16;
 
-/// Bytes of memory that an entry takes up at most, with keys of that type. A hash map is half empty, and a little more, just
-/// after it has grown.
+/// Returns the maximum memory in bytes that an entry with a key of this type occupies. A hash map is a little more
+/// than half empty just after it has grown.
 pub const fn bytes_per_entry<K>() -> usize {
     (size_of::<(K, Packed)>() + 1) * 16 / 7 + 1
 }
 
-/// The table holds nothing but active Retry-After. What could not be inserted must stay active.
+/// All entries of the table have an active Retry-After. A destination that could not be inserted must stay active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleTableFull;
 
 impl fmt::Display for IdleTableFull {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("the memory is full of waits that still run")
+        f.write_str("the table of idle destinations is full of active Retry-After deadlines")
     }
 }
 
 impl std::error::Error for IdleTableFull {}
 
-/// Order of eviction, the lowest first: entries that have expired, then healthy destinations, then unhealthy ones; of each the
-/// longest idle.
+/// Order of eviction, the lowest first: expired entries, then healthy destinations, then unhealthy ones, and among
+/// equals the one that has been idle longest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank<K> {
     is_current: bool,
@@ -40,8 +40,9 @@
     key: K,
 }
 
-/// What is retained of idle destinations, by key, in bounded memory. An active Retry-After is never evicted; the others are in
-/// the order of what they are worth. Serialized by name.
+/// What is retained of idle destinations, by key, in bounded memory. An entry with an active Retry-After is never
+/// evicted. Of the others, expired entries are evicted first, then healthy destinations, then unhealthy ones.
+/// Serialized by name.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(bound(deserialize = "K: Deserialize<'de> + Eq + Hash + Ord"))]
 pub struct IdleTable<K> {
@@ -53,32 +54,33 @@
     encoding: Encoding,
     #[serde(rename = "kept")]
     entries: HashMap<K, Packed>,
-    /// An entry was evicted or lost: a destination without one may have had one.
+    /// Whether an entry was evicted or lost, so that a destination without an entry may have had one.
     #[serde(rename = "dropped")]
     is_incomplete: bool,
 }
 
 impl<K: Copy + Eq + Hash + Ord> IdleTable<K> {
-    /// A table for so many entries, which expire after `retention`, but for an active Retry-After.
+    /// Creates a table for up to `capacity` entries. They expire after `retention`, except for an active Retry-After.
     pub fn new(capacity: usize, retention: Micros, now: Micros) -> Self {
         let encoding = Encoding::new(now);
         Self { capacity, retention, encoding, entries: HashMap::new(), is_incomplete: false }
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Returns whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Inserts a destination that becomes idle. Replaces an earlier entry, but for a longer Retry-After.
+    /// Inserts a destination that becomes idle. Replaces an earlier entry, but keeps its Retry-After if that ends
+    /// later.
     ///
     /// # Errors
-    /// Fails where the table is full of active Retry-After.
+    /// Fails if the table is full of entries with an active Retry-After.
     pub fn insert(&mut self, key: K, health: RetainedHealth, now: Micros) -> Result<(), IdleTableFull> {
         let earlier_wait = self.entries.get(&key).map_or(0, |packed| self.encoding.wait_until(packed));
         if !self.entries.contains_key(&key) && self.entries.len() >= self.capacity {
@@ -92,56 +94,57 @@
         Ok(())
     }
 
-    /// The end of an idle destination's active Retry-After; 0 for none.
+    /// Returns the end of an idle destination's active Retry-After; 0 for none.
     pub fn wait_until(&self, key: K, now: Micros) -> Micros {
         let wait_until = self.entries.get(&key).map(|packed| self.encoding.wait_until(packed));
         wait_until.filter(|at| *at > now).unwrap_or(0)
     }
 
-    /// What is retained of an idle destination.
+    /// Returns what is retained of an idle destination, without removing it.
     pub fn peek(&self, key: K) -> Option<RetainedHealth> {
         self.entries.get(&key).map(|packed| self.encoding.unpack(packed))
     }
 
-    /// The idle destinations, in no order.
+    /// Returns the idle destinations in arbitrary order.
     pub fn keys(&self) -> impl Iterator<Item = K> {
         self.entries.keys().copied()
     }
 
-    /// Entries were lost: a destination without one may have had one.
+    /// Records that entries were lost, so that a destination without an entry may have had one.
     pub fn mark_incomplete(&mut self) {
         self.is_incomplete = true;
     }
 
-    /// Removes the entry of a destination that is activated. One that has expired, or may have been evicted, counts as failing,
-    /// with nothing but its Retry-After. None for a destination that never was idle.
+    /// Removes and returns the entry of a destination that is activated. If the entry has expired, or may have been
+    /// evicted or lost, the destination counts as failing, and only its Retry-After is retained. Returns `None` for a
+    /// destination that was never idle.
     pub fn take(&mut self, key: K, now: Micros) -> Option<RetainedHealth> {
-        let unknown = |wait_until| RetainedHealth {
+        let failing = |wait_until| RetainedHealth {
             wait_until,
             condition: Condition::Failing,
             ..RetainedHealth::default()
         };
         let Some(packed) = self.entries.remove(&key) else {
-            return self.is_incomplete.then(|| unknown(0));
+            return self.is_incomplete.then(|| failing(0));
         };
         Some(if self.is_current(&packed, now) {
             self.encoding.unpack(&packed)
         } else {
-            unknown(self.encoding.wait_until(&packed))
+            failing(self.encoding.wait_until(&packed))
         })
     }
 
-    /// Removes the entry of a key that is not used any more.
+    /// Removes the entry of a key that is no longer used.
     pub fn remove(&mut self, key: K) {
         self.entries.remove(&key);
     }
 
-    /// Whether an entry has not expired.
+    /// Returns whether an entry has not expired.
     fn is_current(&self, packed: &Packed, now: Micros) -> bool {
         now.saturating_sub(self.encoding.idle_since(packed)) < self.retention
     }
 
-    /// Evicts the entries that are worth least.
+    /// Evicts a fraction of the entries, those with the lowest [`EvictionRank`].
     fn evict(&mut self, now: Micros) {
         let evictable = self.entries.iter().filter(|(_, packed)| self.encoding.wait_until(packed) <= now);
         let mut ranks: Vec<_> = evictable
--- a/crates/idle-destinations/tests/idle.rs
+++ b/crates/idle-destinations/tests/idle.rs
@@ -1,4 +1,4 @@
-//! What is retained of idle destinations, for how long, and in what order they are activated.
+//! Tests what is retained of idle destinations, for how long, and in what order they are activated.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 const SECOND: Micros = 1_000_000;
 const DAY: Micros = 86_400 * SECOND;
 
-fn with_wait(until: Micros) -> RetainedHealth {
+fn with_retry_after(until: Micros) -> RetainedHealth {
     RetainedHealth { wait_until: until, ..RetainedHealth::default() }
 }
 
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn an_expired_entry_counts_as_failing_and_retains_its_wait() {
+fn expired_entry_counts_as_failing_and_retains_its_retry_after() {
     let mut table = IdleTable::new(10, DAY, 0);
-    table.insert(1, RetainedHealth { limit: 4.0, ..with_wait(3 * DAY) }, SECOND).unwrap();
+    table.insert(1, RetainedHealth { limit: 4.0, ..with_retry_after(3 * DAY) }, SECOND).unwrap();
     table.insert(2, failing(), SECOND).unwrap();
     let Some(health) = table.take(2, DAY - SECOND) else { panic!() };
     assert_eq!(health.condition, Condition::Failing);
@@ -32,24 +32,24 @@
 }
 
 #[test]
-fn a_longer_wait_is_not_replaced_by_a_shorter_one() {
+fn longer_retry_after_is_not_replaced_by_a_shorter_one() {
     let mut table = IdleTable::new(10, DAY, 0);
-    table.insert(1, with_wait(50 * SECOND), 0).unwrap();
-    table.insert(1, with_wait(20 * SECOND), 0).unwrap();
+    table.insert(1, with_retry_after(50 * SECOND), 0).unwrap();
+    table.insert(1, with_retry_after(20 * SECOND), 0).unwrap();
     assert_eq!(table.wait_until(1, SECOND), 50 * SECOND);
 }
 
 #[test]
-fn a_clock_that_is_set_back_expires_nothing_and_ends_no_wait() {
+fn clock_set_back_expires_no_entry_and_no_retry_after() {
     let mut table = IdleTable::new(10, DAY, 10 * DAY);
-    table.insert(1, RetainedHealth { limit: 4.0, ..with_wait(11 * DAY) }, 10 * DAY).unwrap();
+    table.insert(1, RetainedHealth { limit: 4.0, ..with_retry_after(11 * DAY) }, 10 * DAY).unwrap();
     let Some(health) = table.take(1, DAY) else { panic!() };
     assert_eq!(health.wait_until, 11 * DAY);
 }
 
-/// Random operations, compared with a list of all active Retry-After.
+/// Applies random operations and compares the table with a map of all active Retry-After deadlines.
 #[test]
-fn no_active_wait_is_evicted_and_the_bound_holds() {
+fn active_retry_after_is_never_evicted_and_capacity_never_exceeded() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let capacity = rng.usize(1..60);
@@ -64,14 +64,14 @@
                 let expected = waiting.remove(&key).unwrap_or(0);
                 assert!(
                     expected <= now || until >= expected,
-                    "seed {seed}: {expected} at {now}, and it returns {until}"
+                    "seed {seed}: expected {expected} at {now}, got {until}"
                 );
                 continue;
             }
             let until = if rng.bool() { now + rng.u64(..300 * SECOND) } else { 0 };
             match table.insert(
                 key,
-                RetainedHealth { condition: Condition::Rejecting, ..with_wait(until) },
+                RetainedHealth { condition: Condition::Rejecting, ..with_retry_after(until) },
                 now,
             ) {
                 Ok(()) => {
@@ -81,7 +81,10 @@
                 Err(IdleTableFull) => {
                     // The end of a Retry-After is rounded up to a tenth of a second.
                     let active = waiting.values().filter(|until| **until + SECOND > now).count();
-                    assert!(active >= capacity, "seed {seed}: rejected with {active} waits of {capacity}");
+                    assert!(
+                        active >= capacity,
+                        "seed {seed}: rejected with {active} active Retry-After, capacity {capacity}"
+                    );
                 }
             }
             assert!(table.len() <= capacity);
@@ -90,24 +93,24 @@
 }
 
 #[test]
-fn the_least_valuable_entries_are_evicted_first_and_then_no_destination_counts_as_new() {
+fn entries_are_evicted_by_rank_and_then_missing_ones_count_as_failing() {
     let mut table = IdleTable::new(4, 100 * SECOND, 0);
     table.insert("expired", failing(), 0).unwrap();
     table.insert("unhealthy", failing(), 50 * SECOND).unwrap();
     table.insert("healthy", RetainedHealth::default(), 60 * SECOND).unwrap();
-    table.insert("waiting", with_wait(DAY), 60 * SECOND).unwrap();
+    table.insert("waiting", with_retry_after(DAY), 60 * SECOND).unwrap();
     assert_eq!(table.take("new", 110 * SECOND), None);
-    table.insert("another", with_wait(DAY), 110 * SECOND).unwrap();
+    table.insert("another", with_retry_after(DAY), 110 * SECOND).unwrap();
     assert_eq!(table.take("expired", 110 * SECOND), Some(failing()));
-    table.insert("a third", with_wait(DAY), 111 * SECOND).unwrap();
+    table.insert("a third", with_retry_after(DAY), 111 * SECOND).unwrap();
     assert_eq!(table.take("healthy", 111 * SECOND), Some(failing()));
-    table.insert("a fourth", with_wait(DAY), 111 * SECOND).unwrap();
+    table.insert("a fourth", with_retry_after(DAY), 111 * SECOND).unwrap();
     assert_eq!(table.insert("a fifth", RetainedHealth::default(), 111 * SECOND), Err(IdleTableFull));
     assert_eq!((table.len(), table.wait_until("waiting", 111 * SECOND)), (4, DAY));
 }
 
 #[test]
-fn active_destinations_are_checked_at_an_interval() {
+fn active_destinations_are_checked_at_intervals() {
     let mut active = ActiveSet::new(Some(10));
     active.activate(1, 0);
     active.activate(1, 5);
@@ -122,40 +125,40 @@
 }
 
 #[test]
-fn without_a_rate_all_are_activated_at_once() {
+fn without_a_rate_all_destinations_are_activated_at_once() {
     let mut limiter = ActivationLimiter::new(None, 1, 0);
     assert!((0..1_000).all(|key| limiter.allows(key, 1.0, 0)));
     assert_eq!((limiter.queued(), limiter.next_due()), (0, None));
 }
 
 #[test]
-fn a_thousand_are_activated_at_the_rate_by_priority() {
+fn queued_destinations_are_activated_at_the_rate_by_priority() {
     let mut limiter = ActivationLimiter::new(Some(100.0), 1_000, 0);
     let allowed: Vec<u32> = (0..1_000).filter(|key| limiter.allows(*key, f64::from(*key), 0)).collect();
-    // Accumulated tokens are used at once, in order of arrival.
+    // The accumulated tokens are used at once, in the order of the requests.
     assert_eq!(allowed, (0..25).collect::<Vec<_>>());
-    let (mut now, mut order) = (0, vec![]);
+    let (mut now, mut activated) = (0, vec![]);
     while let Some(at) = limiter.next_due() {
-        assert!(at > now, "it is due at {at}, and it is {now}");
+        assert!(at > now, "the next activation is due at {at}, which is not after {now}");
         now = at;
         for key in limiter.take_granted(now, |_| true) {
             assert!(limiter.allows(key, 1.0, now));
-            order.push(key);
+            activated.push(key);
         }
     }
-    assert_eq!(order, (25..1_000).rev().collect::<Vec<_>>());
+    assert_eq!(activated, (25..1_000).rev().collect::<Vec<_>>());
     assert!((9_700_000..9_800_000).contains(&now), "{now}");
 }
 
 #[test]
-fn first_calls_in_flight_are_bounded() {
+fn first_calls_in_flight_are_limited() {
     let mut limiter = ActivationLimiter::new(Some(1_000.0), 3, 0);
-    let mut calls = 0;
+    let mut calls_started = 0;
     let mut start = |limiter: &mut ActivationLimiter<u32>, key, now| {
         let allowed = limiter.allows(key, 1.0, now);
         if allowed {
             limiter.call_started(u64::from(key));
-            calls += 1;
+            calls_started += 1;
         }
         allowed
     };
@@ -166,7 +169,7 @@
     let granted = limiter.take_granted(2 * SECOND, |_| true);
     assert_eq!(granted, [9]);
     assert!(start(&mut limiter, 9, 2 * SECOND));
-    assert_eq!((limiter.take_granted(3 * SECOND, |_| true), calls), (vec![], 4));
+    assert_eq!((limiter.take_granted(3 * SECOND, |_| true), calls_started), (vec![], 4));
 }
 
 #[test]
@@ -179,7 +182,7 @@
     }
     limiter.call_completed(0);
     assert_eq!(limiter.take_granted(SECOND, |_| true), [4]);
-    // It was not attempted: its grant has expired, and it has to be queued again.
+    // Destination 4 was not attempted: its grant expires, and it has to be queued again.
     assert_eq!(limiter.take_granted(2 * SECOND, |key| key != 3), [2]);
     assert!(!limiter.allows(4, 9.0, 2 * SECOND));
     assert!(limiter.allows(2, 9.0, 2 * SECOND));
