--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -2,22 +2,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Paths that only read, by `GET`.
+/// Paths that only read, requested with `GET`.
 const QUERIES: [&str; 3] = ["/status", "/status/metrics", "/shared"];
-/// Paths that change something, by `POST`.
+/// Paths that change something, requested with `POST`.
 const COMMANDS: [&str; 5] = ["/maintenance/enter", "/maintenance/exit", "/standby", "/active", "/cores/move"];
 
-/// Longest endpoint name in a request, in bytes.
+/// Maximum length of an endpoint name in a request, in bytes.
 pub const ID_LIMIT: usize = 256;
 
-/// A request to the sender. Variants are encoded by name between two processes of a sender.
+/// A request to the sender. A predecessor forwards it to its successor with the variants encoded by name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminRequest {
-    /// Whether this process admits clients.
+    /// Return whether this process admits clients.
     Status,
-    /// The metrics.
+    /// Return the metrics.
     Metrics,
-    /// What senders publish to one another.
+    /// Return the gossip that senders publish to one another.
     #[serde(rename = "Shared")]
     Gossip,
     /// Eject the endpoint of this name.
@@ -26,9 +26,9 @@
     /// Reinstate the endpoint of this name.
     #[serde(rename = "PutBack")]
     Reinstate(String),
-    /// Send clients away.
+    /// Enter standby: stop admitting clients.
     Standby,
-    /// Admit clients again.
+    /// Leave standby: admit clients again.
     Active,
     /// Move a destination to another core.
     Move {
@@ -44,16 +44,16 @@
 pub enum InvalidRequest {
     /// The path does not exist.
     Path,
-    /// The path exists for the other one of `GET` and `POST`.
+    /// The path exists, but for the other method of `GET` and `POST`.
     Method,
     /// The request needs a destination and a core.
     Cores,
-    /// The request needs one `target=ID` in its query, with an id of [`ID_LIMIT`] bytes at most.
+    /// The request needs exactly one `target=ID` in its query, with an id of at most [`ID_LIMIT`] bytes.
     Target,
 }
 
 impl InvalidRequest {
-    /// The status of the answer.
+    /// Returns the HTTP status of the answer.
     pub fn status(self) -> u16 {
         match self {
             Self::Path => 404,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The text of the answer.
+    /// Returns the text of the answer.
     pub fn text(self) -> &'static str {
         match self {
             Self::Path => "no such call\n",
@@ -76,7 +76,7 @@
 /// Parses the method, path and query of a request line.
 ///
 /// # Errors
-/// Fails when they are no valid request, with the answer to give.
+/// Fails when they are not a valid request. The error has the answer to send.
 pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<AdminRequest, InvalidRequest> {
     let expected_method = if QUERIES.contains(&path) {
         "GET"
@@ -103,7 +103,7 @@
     })
 }
 
-/// The value of a name that the query gives once, as a number.
+/// Returns the number that the query has for this name; `None` if the name is missing, given twice, or not a number.
 fn number<T: std::str::FromStr>(query: Option<&str>, name: &str) -> Option<T> {
     let pairs = form_urlencoded::parse(query.unwrap_or_default().as_bytes());
     let mut values = pairs.filter(|(key, _)| key == name).map(|(_, value)| value);
@@ -111,7 +111,7 @@
     if values.next().is_some() { None } else { value.parse().ok() }
 }
 
-/// The value of the `target` that the query gives once.
+/// Returns the value of `target`, which the query must have exactly once.
 fn target(query: Option<&str>) -> Result<String, InvalidRequest> {
     let mut targets =
         form_urlencoded::parse(query.unwrap_or_default().as_bytes()).filter(|(name, _)| name == "target");
--- a/crates/admin/src/ejections.rs
+++ b/crates/admin/src/ejections.rs
@@ -1,21 +1,21 @@
-//! The endpoints that operators ejected, by their names in the endpoint list. They stay ejected whatever the list says.
+//! The endpoints that operators ejected, by their names in the endpoint list. They stay ejected when the list changes.
 
 use std::collections::BTreeSet;
 
-/// Most names that are remembered after the list dropped them.
+/// Maximum number of names that are retained after they were removed from the list.
 const MAX_RETIRED_NAMES: usize = 4_096;
 
 /// Why an endpoint can't be ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectError {
-    /// No endpoint list has named it, as far as is remembered: check the spelling.
+    /// The name is neither in the endpoint list nor among the retained names of earlier lists; it may be misspelled.
     Unknown,
-    /// The names of ejected endpoints are at their limit: reinstate some.
+    /// The names of ejected endpoints have reached their size limit; others must be reinstated first.
     LimitReached,
 }
 
 impl EjectError {
-    /// The status of the answer.
+    /// Returns the HTTP status of the answer.
     pub fn status(self) -> u16 {
         match self {
             Self::Unknown => 404,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The text of the answer.
+    /// Returns the text of the answer.
     pub fn text(self) -> &'static str {
         match self {
             Self::Unknown => "no list has named that endpoint\n",
@@ -36,28 +36,28 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Ejections {
     names: BTreeSet<String>,
-    /// Longest text of the names in bytes.
+    /// Maximum length of the names' text in bytes.
     max_bytes: usize,
 }
 
 impl Ejections {
-    /// No endpoint is ejected. The names' text may have up to `max_bytes`.
+    /// Creates an empty set. The names' text may have up to `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         Self { names: BTreeSet::new(), max_bytes }
     }
 
-    /// Parses what [`Self::text`] returned. Lines that are no name are skipped.
+    /// Parses a text that [`Self::text`] returned. Skips lines that are not a valid name.
     pub fn read(text: &str, max_bytes: usize) -> Self {
         let names = text.lines().filter_map(unescape).collect();
         Self { names, max_bytes }
     }
 
-    /// One line for each name.
+    /// Returns the names as text, one per line.
     pub fn text(&self) -> String {
         self.names.iter().map(|name| escape(name)).collect()
     }
 
-    /// Whether the endpoint is ejected.
+    /// Returns whether the endpoint is ejected.
     pub fn contains(&self, name: &str) -> bool {
         self.names.contains(name)
     }
@@ -82,12 +82,12 @@
     }
 }
 
-/// The name on one line, whatever characters it holds.
+/// Returns the name as one line, with backslashes and line breaks escaped.
 fn escape(name: &str) -> String {
     format!("{}\n", name.replace('\\', "\\\\").replace('\n', "\\n").replace('\r', "\\r"))
 }
 
-/// The name of a line; `None` where it is empty or has an unknown escape.
+/// Returns the name in a line; `None` if the line is empty or has an unknown escape.
 fn unescape(line: &str) -> Option<String> {
     let mut name = String::new();
     let mut chars = line.chars();
@@ -105,7 +105,7 @@
     (!name.is_empty()).then_some(name)
 }
 
-/// Names that the endpoint list dropped. Their number is bounded: the earliest dropped are forgotten first.
+/// Names that were removed from the endpoint list. Their number is limited: those removed earliest are evicted first.
 #[derive(Debug, Clone, Default)]
 pub struct RetiredNames {
     order: std::collections::VecDeque<String>,
@@ -113,7 +113,7 @@
 }
 
 impl RetiredNames {
-    /// Adds a name that the list dropped.
+    /// Adds a name that was removed from the list.
     pub fn insert(&mut self, name: &str) {
         if self.names.insert(name.to_owned()) {
             self.order.push_back(name.to_owned());
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether it is remembered.
+    /// Returns whether the name is retained.
     pub fn contains(&self, name: &str) -> bool {
         self.names.contains(name)
     }
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -1,19 +1,19 @@
-//! The metrics of a sender, and their text.
+//! The metrics of a sender, and their text format.
 
 use std::fmt::Write;
 
 /// The final outcome of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// Delivered.
+    /// The message was delivered.
     Fulfilled,
-    /// Rejected or deferred: it may be submitted again.
+    /// The message was rejected or deferred: it may be submitted again.
     Throttled,
-    /// Failed.
+    /// The message failed.
     Faulted,
 }
 
-/// Outcomes of the messages of one class.
+/// Numbers of messages of one class by final outcome.
 #[derive(Debug, Clone, Default)]
 struct ClassCounts {
     class: String,
@@ -22,34 +22,34 @@
     faulted: u64,
 }
 
-/// Final outcomes by class since the start of the process.
+/// Numbers of final outcomes by class since the start of the process.
 #[derive(Debug, Clone, Default)]
 pub struct OutcomeCounts {
     classes: Vec<ClassCounts>,
 }
 
-/// Values as of a moment.
+/// Current values.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Messages written completely to endpoints since the start of the process.
+    /// Messages that were written completely to endpoints since the start of the process.
     pub relayed: u64,
     /// Pending messages.
     pub open: usize,
     /// Endpoints in the endpoint list.
     pub listed: usize,
-    /// Those of them that are avoided, whether ejected by an operator or by the sender's own decision.
+    /// Listed endpoints that receive no messages: ejected by an operator, or avoided by the sender's own decision.
     pub out_of_rotation: usize,
 }
 
 impl OutcomeCounts {
-    /// Counts of zero for classes of these names, in this order.
+    /// Creates counts of zero for the classes with these names, in this order.
     pub fn new(classes: impl IntoIterator<Item = String>) -> Self {
         Self {
             classes: classes.into_iter().map(|class| ClassCounts { class, ..Default::default() }).collect(),
         }
     }
 
-    /// Counts the outcome of a message. One of an unknown class is not counted.
+    /// Counts the outcome of a message. Messages of unknown classes are not counted.
     pub fn count(&mut self, class: &str, outcome: FinalOutcome) {
         let Some(counts) = self.class_mut(class) else { return };
         match outcome {
@@ -61,15 +61,15 @@
 
     /// Adds the counts of another shard or process. Those of unknown classes are not counted.
     pub fn add(&mut self, other: &Self) {
-        for theirs in &other.classes {
-            let Some(ours) = self.class_mut(&theirs.class) else { continue };
-            ours.fulfilled += theirs.fulfilled;
-            ours.throttled += theirs.throttled;
-            ours.faulted += theirs.faulted;
+        for added in &other.classes {
+            let Some(counts) = self.class_mut(&added.class) else { continue };
+            counts.fulfilled += added.fulfilled;
+            counts.throttled += added.throttled;
+            counts.faulted += added.faulted;
         }
     }
 
-    /// The metrics in the Prometheus text format.
+    /// Returns the metrics in the Prometheus text format.
     pub fn text(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         for ClassCounts { class, fulfilled, throttled, faulted } in &self.classes {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Escapes the characters that have a meaning in a label's value.
+/// Escapes the special characters of a label value.
 fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/admin/src/gate.rs
+++ b/crates/admin/src/gate.rs
@@ -1,29 +1,31 @@
 //! The admission gate: whether clients are admitted, and when their connections are closed.
 //!
-//! A sender on standby reports that to the load balancer first, which goes on assigning connections for a moment. A
-//! persistent connection gets one more answer, which announces that it is the last. A connection without a request is
-//! closed after [`LINGER`], so that no message is submitted over it later.
+//! A sender that enters standby reports this to the load balancer, which continues to assign connections for a
+//! moment. On a persistent connection one more request is answered, with an answer that announces the end of the
+//! connection. A connection without an open request is closed after [`LINGER`], so that no message is submitted over
+//! it later.
 
 use crate::Micros;
 
-/// Time until connections without an open request are closed: longer than the load balancer takes to notice and to stop
-/// assigning them. A client that writes at that very moment has to submit its message over another connection.
+/// Time until connections without an open request are closed. It is longer than the load balancer needs to notice the
+/// standby and to stop assigning connections. A client that sends a message at the moment of the close must submit it
+/// again over another connection.
 pub const LINGER: Micros = 1_000_000;
 
-/// What is done with clients.
+/// Whether clients are admitted, and what happens to their connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum AdmissionGate {
     /// Clients are admitted, and their connections are kept.
     #[default]
     Open,
-    /// Clients are sent away since this time; open requests are answered, and connections closed from [`LINGER`] on.
+    /// On standby since this time. Open requests are answered; connections without one are closed after [`LINGER`].
     Standby(Micros),
-    /// Another process admits clients since it took over; open requests of this process are answered, and connections
-    /// closed from [`LINGER`] on.
+    /// The successor admits clients since it took over. Open requests of this process are answered; connections
+    /// without one are closed after [`LINGER`].
     Relinquished {
-        /// When the other process took over.
+        /// When the successor took over.
         since: Micros,
-        /// What the load balancer is told, which is the same of both processes.
+        /// The readiness that is reported to the load balancer, the same for both processes.
         ready: bool,
     },
     /// The process is shutting down: connections are closed as soon as their requests are answered.
@@ -31,7 +33,7 @@
 }
 
 impl AdmissionGate {
-    /// Sends clients away. Has no effect on a gate that does so already or is closing.
+    /// Enters standby. Has no effect on a gate that is on standby already or is closing.
     #[must_use]
     pub fn standby(self, now: Micros) -> Self {
         match self {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Admits clients again. Has no effect on a gate that is closing.
+    /// Leaves standby, so that clients are admitted again. Has no effect on a gate that is closing.
     #[must_use]
     pub fn active(self) -> Self {
         match self {
@@ -51,22 +53,22 @@
         }
     }
 
-    /// Whether the load balancer is told that clients are admitted.
+    /// Returns whether the sender reports to the load balancer that clients are admitted.
     pub fn ready(self) -> bool {
         matches!(self, Self::Open | Self::Relinquished { ready: true, .. })
     }
 
-    /// Whether this process accepts new connections.
+    /// Returns whether this process accepts new connections.
     pub fn accepts(self) -> bool {
         !matches!(self, Self::Relinquished { .. })
     }
 
-    /// Whether each answer is the last on its connection.
+    /// Returns whether each answer is the last on its connection.
     pub fn last_answer(self) -> bool {
         self != Self::Open
     }
 
-    /// When connections without an open request are closed, while clients are sent away.
+    /// Returns when connections without an open request are closed, on standby or after a hand-over.
     pub fn close_idle_at(self) -> Option<Micros> {
         match self {
             Self::Standby(since) | Self::Relinquished { since, .. } => Some(since + LINGER),
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,8 @@
-//! What on-call staff can ask of a running sender: requests and their errors ([`call`]), the metrics ([`figures`]), the
-//! endpoints that operators ejected ([`ejections`]), and whether clients are admitted ([`gate`]).
+//! Administration of a running sender by on-call staff: requests and their errors ([`call`]), the metrics
+//! ([`figures`]), the endpoints that operators ejected ([`ejections`]), and whether clients are admitted ([`gate`]).
 //!
-//! The crate has no I/O and no clock: the sender's listener, its driver and its front act on what is decided here.
+//! The crate has no I/O and no clock: the sender's admin listener, event loop and frontend carry out what is decided
+//! here.
 #![forbid(unsafe_code)]
 
 pub mod call;
@@ -9,5 +10,5 @@
 pub mod figures;
 pub mod gate;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Requests, metrics, ejections and the admission gate, without a sender.
+//! Tests of requests, metrics, ejections and the admission gate, without a sender.
 
 use admin::call::{AdminRequest, ID_LIMIT, InvalidRequest, read};
 use admin::ejections::{EjectError, Ejections, RetiredNames};
@@ -8,16 +8,16 @@
 
 #[test]
 fn requests_are_parsed_and_validated() {
-    let enter = |id: &str| Ok(AdminRequest::Eject(id.to_owned()));
-    let long = "x".repeat(ID_LIMIT + 1);
-    let too_long = format!("target={long}");
+    let eject = |id: &str| Ok(AdminRequest::Eject(id.to_owned()));
+    let long_id = "x".repeat(ID_LIMIT + 1);
+    let too_long = format!("target={long_id}");
     for (method, path, query, expected) in [
         ("GET", "/status", None, Ok(AdminRequest::Status)),
         ("GET", "/status/metrics", Some("x=1"), Ok(AdminRequest::Metrics)),
         ("POST", "/standby", None, Ok(AdminRequest::Standby)),
         ("POST", "/active", None, Ok(AdminRequest::Active)),
-        ("POST", "/maintenance/enter", Some("target=s-5be2a07c"), enter("s-5be2a07c")),
-        ("POST", "/maintenance/enter", Some("a=b&target=a%20b%2Fc"), enter("a b/c")),
+        ("POST", "/maintenance/enter", Some("target=s-5be2a07c"), eject("s-5be2a07c")),
+        ("POST", "/maintenance/enter", Some("a=b&target=a%20b%2Fc"), eject("a b/c")),
         ("POST", "/maintenance/exit", Some("target=e"), Ok(AdminRequest::Reinstate("e".into()))),
         ("POST", "/maintenance/exit", Some("target="), Err(InvalidRequest::Target)),
         ("POST", "/maintenance/enter", Some("target=a&target=b"), Err(InvalidRequest::Target)),
@@ -35,7 +35,7 @@
 #[test]
 fn standby_is_reversible_and_closing_is_not() {
     let standby = AdmissionGate::Open.standby(5);
-    assert_eq!(standby.standby(9), standby, "a second time has no effect");
+    assert_eq!(standby.standby(9), standby, "entering standby again has no effect");
     assert_eq!((standby.ready(), standby.last_answer()), (false, true));
     assert_eq!(standby.close_idle_at(), Some(5 + LINGER));
     assert_eq!(standby.active(), AdmissionGate::Open);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn metrics_name_each_class_and_its_counts() {
+fn metrics_text_has_all_counts_of_each_class() {
     let mut counts = OutcomeCounts::new(["a".to_owned(), "quo\"te".to_owned()]);
     counts.count("a", FinalOutcome::Fulfilled);
     counts.count("a", FinalOutcome::Fulfilled);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_ejection_beyond_the_limit_fails_without_effect() {
+fn ejection_beyond_the_size_limit_fails_without_effect() {
     let mut ejections = Ejections::new(8);
     assert_eq!(ejections.enter("abc"), Ok(true));
     assert_eq!(ejections.enter("abc"), Ok(false));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn retired_names_are_forgotten_oldest_first() {
+fn oldest_retired_names_are_evicted_first() {
     let mut retired = RetiredNames::default();
     (0..5_000).for_each(|n| retired.insert(&n.to_string()));
     (0..10).for_each(|_| retired.insert("4999"));
@@ -91,7 +91,7 @@
 }
 
 proptest! {
-    /// Names survive a restart whatever characters they hold.
+    /// Names with any characters survive a restart.
     #[test]
     fn ejections_round_trip(names in prop::collection::btree_set("(?s).{1,12}", 0..12)) {
         let mut ejections = Ejections::new(10_000);
@@ -103,10 +103,10 @@
         prop_assert_eq!(Ejections::read(&text, 10_000), ejections);
     }
 
-    /// Any text is parsed as some names.
+    /// Parsing an arbitrary text does not panic, and the names that it yields round-trip.
     #[test]
-    fn any_text_can_be_parsed(text in "(?s).{0,200}") {
-        let read = Ejections::read(&text, 10_000);
-        prop_assert_eq!(Ejections::read(&read.text(), 10_000), read);
+    fn names_parsed_from_arbitrary_text_round_trip(text in "(?s).{0,200}") {
+        let parsed = Ejections::read(&text, 10_000);
+        prop_assert_eq!(Ejections::read(&parsed.text(), 10_000), parsed);
     }
 }
