--- a/crates/operator-config/src/checks.rs
+++ b/crates/operator-config/src/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of values that are well-formed and can't be meant: out of range, without effect, or in contradiction.
+//! Checks for values that are well-formed but invalid: out of range, without effect, or contradicting one another.
 
 use std::collections::HashMap;
 
@@ -12,23 +12,23 @@
 };
 use crate::units::{Size, Span};
 
-/// Shortest interval between status lines.
+/// Minimum interval between status lines.
 const MIN_STATUS_INTERVAL: Span = Span { micros: 100_000 };
-/// Shortest time after which a destination becomes idle.
+/// Minimum time after which a destination becomes idle.
 const MIN_IDLE_TIME: Span = Span { micros: 1_000_000 };
-/// Smallest size of a health snapshot.
+/// Minimum size limit of a health snapshot.
 const MIN_SNAPSHOT_SIZE: Size = Size { bytes: 16 << 10 };
-/// Smallest rate of gossip per second.
+/// Minimum gossip per second.
 const MIN_GOSSIP_RATE: Size = Size { bytes: 16 };
 
-/// A key whose value can't be meant.
+/// A key with an invalid value.
 struct Violation {
     table: &'static str,
     key: &'static str,
     text: &'static str,
 }
 
-/// The lines of keys, by table and key.
+/// The line numbers of keys, by table and key.
 pub(crate) struct Positions(HashMap<(String, String), usize>);
 
 impl Positions {
@@ -44,7 +44,7 @@
         Self(positions)
     }
 
-    /// The line of a key; the first line for one that is not there.
+    /// Returns the line of a key; the first line if the file does not have the key.
     fn line(&self, table: &str, key: &str) -> usize {
         self.0.get(&(table.to_owned(), key.to_owned())).copied().unwrap_or(1)
     }
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,28 +1,28 @@
-//! What is wrong with the file, and what an operator should change in it.
+//! Errors in the file and warnings about it, with texts that tell an operator what to change.
 
 use std::fmt;
 
 use crate::MAX_FILE_LENGTH;
 
-/// What is wrong with the file, and where. Its text is one line.
+/// The first error in the file, and its line. Its text is one line.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{line}: {reason}")]
 pub struct ConfigError {
     /// The line, from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// Why the line is invalid.
     #[source]
     pub reason: Reason,
 }
 
-/// What is wrong with a line.
+/// Why a line is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum Reason {
     /// The file is longer than [`MAX_FILE_LENGTH`].
     #[error("the file has over {MAX_FILE_LENGTH} bytes")]
     FileTooLong,
-    /// The line is no TOML, has a name that does not exist, or a value of another type.
+    /// The line is not valid TOML, or has an unknown name or a value of the wrong type.
     #[error("{}", OneLine(.0.message()))]
     Toml(#[source] toml::de::Error),
     /// A table or key is given under its old and its new name.
@@ -33,7 +33,7 @@
         /// The new name.
         new: String,
     },
-    /// The value can't be meant, or contradicts another one.
+    /// The value is out of range, has no effect, or contradicts another one.
     #[error("{0}")]
     Contradiction(&'static str),
 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// A text of the TOML library on one line.
+/// Displays a text of the TOML library on one line.
 struct OneLine<'a>(&'a str);
 
 impl fmt::Display for OneLine<'_> {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' file: what an installation switches on beyond the platform's own configuration.
+//! The operators' file: features that an installation enables in addition to the platform's own configuration.
 //!
-//! The file is TOML, read and checked as a whole: with anything in it that is not understood, nothing starts. Tables and
-//! keys that were renamed are accepted under their old names, with a [`Warning`] for each.
+//! The file is TOML and is parsed and checked as a whole: the sender does not start if any part of it is invalid.
+//! Tables and keys that were renamed are accepted under their old names, with a [`Warning`] for each.
 //!
-//! The crate does no I/O and does not know what its tables are used for.
+//! The crate has no I/O and does not depend on what its tables are used for.
 
 mod checks;
 mod error;
@@ -21,16 +21,16 @@
 use serde::Deserialize;
 use toml::de::{DeTable, Deserializer};
 
-/// Longest file that is read, in bytes.
+/// Maximum length of the file, in bytes.
 pub const MAX_FILE_LENGTH: usize = 1 << 20;
 
 impl Operators {
     /// Parses and checks the file's text.
     ///
     /// # Errors
-    /// Returns the first thing that is wrong: invalid TOML, a table or key that does not exist, a value of another type,
-    /// a number without its unit, a name that is given in its old and its new form, or settings that contradict one
-    /// another.
+    /// Returns the first error: invalid TOML, an unknown table or key, a value of the wrong type, a number without
+    /// its unit, a name that is given in both its old and its new form, or settings that are invalid or contradict
+    /// one another.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         if text.len() > MAX_FILE_LENGTH {
             return Err(ConfigError { line: 1, reason: Reason::FileTooLong });
@@ -52,13 +52,13 @@
 struct Lines<'a>(&'a str);
 
 impl Lines<'_> {
-    /// The line of a byte, from 1.
+    /// Returns the line of the byte at this offset, from 1.
     fn at(self, offset: usize) -> usize {
         let before = &self.0.as_bytes()[..offset.min(self.0.len())];
         before.iter().filter(|byte| **byte == b'\n').count() + 1
     }
 
-    /// What the TOML library found, with its line.
+    /// Returns an error of the TOML library with its line.
     fn error(self, error: &toml::de::Error) -> ConfigError {
         let offset = error.span().map_or(0, |span| span.start);
         ConfigError { line: self.at(offset), reason: Reason::Toml(error.clone()) }
--- a/crates/operator-config/src/renamed.rs
+++ b/crates/operator-config/src/renamed.rs
@@ -1,4 +1,4 @@
-//! Tables and keys of the file that were renamed. Their old names are accepted, with a warning for each.
+//! Tables and keys of the file that were renamed. Their old names are still accepted, with a warning for each.
 
 use std::borrow::Cow;
 
@@ -8,7 +8,7 @@
 use crate::Lines;
 use crate::error::{ConfigError, Reason, Warning};
 
-/// A name that was replaced by another.
+/// An old name and the name that replaced it.
 struct Renamed {
     old: &'static str,
     new: &'static str,
@@ -55,7 +55,7 @@
     Ok(warnings)
 }
 
-/// Replaces one old name, if it is there. `display` turns a name into what an operator reads.
+/// Replaces one old name, if the file has it. `display` formats a name for the operator.
 fn replace(
     entries: &mut DeTable<'_>,
     renamed: &Renamed,
@@ -75,7 +75,7 @@
     Ok(Some(Warning { line, old: old_name, new: new_name }))
 }
 
-/// The key of this name, with its position.
+/// Returns the key with this name, with its position.
 fn key<'i>(entries: &DeTable<'i>, name: &str) -> Option<Spanned<Cow<'i, str>>> {
     entries.keys().find(|key| key.get_ref().as_ref() == name).cloned()
 }
--- a/crates/operator-config/src/tables.rs
+++ b/crates/operator-config/src/tables.rs
@@ -1,16 +1,16 @@
-//! The tables of the file. What the file leaves out is as on the platform: off.
+//! The tables of the file. A feature that the file leaves out is off, as on the platform.
 
 use serde::Deserialize;
 
 use crate::error::Warning;
 use crate::units::{Size, Span};
 
-/// Most cores that one sender uses.
+/// Maximum number of cores that one sender uses.
 pub const MAX_CORES: u32 = 64;
 /// Bytes of gossip that other senders may receive from one sender for each message that is submitted there.
 pub const BYTES_EACH: f64 = 25.0;
 
-/// All that the file can say.
+/// The contents of the file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operators {
@@ -26,7 +26,7 @@
     pub cores: CoresTable,
     /// `[gossip]`
     pub gossip: GossipTable,
-    /// Names in the file that were renamed, in the order of their lines. Whoever reads the file logs them.
+    /// Warnings about old names in the file, in the order of their lines. The caller logs them.
     #[serde(skip)]
     pub warnings: Vec<Warning>,
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CoresTable {
-    /// `count`: threads that decide and have connections of their own, from 1 to [`MAX_CORES`].
+    /// `count`: number of threads, each of which makes decisions and has its own connections, from 1 to [`MAX_CORES`].
     pub count: u32,
 }
 
@@ -46,31 +46,32 @@
 }
 
 /// `[gossip]`: what senders publish to one another over the platform's `peers`. Without `on` nothing is published,
-/// nothing received counts, and no other key may be given.
+/// received gossip is ignored, and no other key may be given.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GossipTable {
-    /// `on`: outages, limits and Retry-After deadlines that one sender observed are published to all.
+    /// `on`: outages, limits and Retry-After deadlines that one sender observed are published to all senders.
     pub on: bool,
-    /// `transfers`: quota is transferred between senders too.
+    /// `transfers`: quota is also transferred between senders.
     pub transfers: bool,
-    /// `bytes`: most bytes that others receive from this sender per second on average, in addition to [`BYTES_EACH`] for
-    /// each message.
+    /// `bytes`: maximum number of bytes that other senders receive from this one per second on average, in addition to
+    /// [`BYTES_EACH`] for each message.
     pub bytes: Option<Size>,
 }
 
-/// `[health_snapshot]`: what a sender has observed of partners is stored for its next process. Without `on` nothing is
-/// stored, nothing stored is trusted, and no other key may be given.
+/// `[health_snapshot]`: the health of destinations that a sender has observed is stored for its next process. Without
+/// `on` nothing is stored, no stored snapshot is trusted, and no other key may be given.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HealthSnapshotTable {
-    /// `on`: the snapshot is written, and trusted at a start.
+    /// `on`: the snapshot is written, and trusted when a process starts.
     pub on: bool,
-    /// `size`: most bytes that it may occupy, within `disk_mb` and after the journal; by default an eighth of `disk_mb`.
+    /// `size`: maximum size of the snapshot; by default an eighth of `disk_mb`. The snapshot only gets the part of
+    /// `disk_mb` that the journal leaves free.
     pub size: Option<Size>,
     /// `span`: how long observed limits and response times are trusted.
     pub span: Option<Span>,
-    /// `clock`: what measures the time between two processes.
+    /// `clock`: the clock that measures the time between two processes.
     pub clock: SnapshotClock,
 }
 
@@ -78,36 +79,37 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SnapshotClock {
-    /// The system's clock, through the standard library alone. That it was set forward between two processes can't be
-    /// detected.
+    /// The system's clock, which needs only the standard library. If it is set forward between two processes, this
+    /// can't be detected.
     #[default]
     Wall,
-    /// The machine's time since its start as well, which nobody sets (Linux).
+    /// In addition the machine's time since boot, which can't be set (Linux).
     Boot,
 }
 
-/// `[idle_destinations]`: what becomes of destinations that nothing is sent to for long. Without `after` none becomes
-/// idle, and no other key may be given.
+/// `[idle_destinations]`: when destinations become idle, what is retained of them, and how fast they are activated
+/// again. Without `after` no destination becomes idle, and no other key may be given.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct IdleDestinationsTable {
-    /// `after`: a destination becomes idle when nothing was sent to it for this long, a second at least.
+    /// `after`: a destination becomes idle when nothing was sent to it for this long, at least a second.
     pub after: Option<Span>,
-    /// `retain`: how long what is retained of an idle destination counts, apart from an active Retry-After.
+    /// `retain`: how long the retained health of an idle destination is valid. An active Retry-After is valid until
+    /// it ends.
     pub retain: Option<Span>,
-    /// `memory`: most bytes that is retained of all idle destinations.
+    /// `memory`: maximum memory in bytes for what is retained of all idle destinations.
     pub memory: Option<Size>,
-    /// `active`: most destinations that are active at a time, from 1 on.
+    /// `active`: maximum number of active destinations, at least 1.
     pub active: Option<u32>,
-    /// `activations`: destinations per second that may be called for the first time, from 1 on.
+    /// `activations`: maximum number of destinations per second that get their first call after activation, at least 1.
     pub activations: Option<u32>,
 }
 
-/// `[status]`: a line in the log at intervals, with pending messages and open breakers.
+/// `[status]`: a log line at intervals, with pending messages and open breakers.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StatusTable {
-    /// `every`: the interval, 100 ms at least. Without it no line is written.
+    /// `every`: the interval, at least 100 ms. Without it no line is written.
     pub every: Option<Span>,
 }
 
@@ -115,13 +117,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct JournalTable {
-    /// `sync`: what stored messages survive besides the end of the process.
+    /// `sync`: which failures stored messages survive in addition to the end of the process.
     pub sync: Sync,
-    /// `damage`: what is done about a file that is damaged in its middle.
+    /// `damage`: how a journal file that is damaged in its middle is handled.
     pub damage: Damage,
-    /// `retain`: how long the outcomes of messages that must not take effect twice are kept. It needs `ledger`.
+    /// `retain`: how long the outcomes of messages that must not take effect twice are retained. Requires `ledger`.
     pub retain: Option<Span>,
-    /// `ledger`: most bytes that these outcomes may occupy on the disk; at that, such messages are rejected.
+    /// `ledger`: maximum disk space for these outcomes; when it is used up, such messages are rejected.
     pub ledger: Option<Size>,
 }
 
@@ -129,10 +131,10 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Damage {
-    /// The file is preserved, and each message that may be affected is treated as possibly applied.
+    /// The damaged file is preserved, and each message that may be affected is treated as possibly applied.
     #[default]
     Suspect,
-    /// Nothing starts.
+    /// The sender does not start.
     Refuse,
 }
 
@@ -140,9 +142,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Sync {
-    /// Nothing is synced: what was written survives the end of the process, SIGKILL included, not a loss of power.
+    /// Nothing is synced: written messages survive the end of the process, including SIGKILL, but not a loss of power.
     #[default]
     None,
-    /// One `fdatasync` for each batch; its answers wait for it.
+    /// One `fdatasync` for each batch; the batch's answers wait for it.
     Group,
 }
--- a/crates/operator-config/src/units.rs
+++ b/crates/operator-config/src/units.rs
@@ -16,49 +16,49 @@
     pub bytes: u64,
 }
 
-/// Why a text is no quantity.
+/// Why a text is not a valid quantity.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum UnitError {
-    /// A bare number.
+    /// The number has no unit.
     #[error("{quantity} needs a unit ({units}), as in \"{example}\"")]
     MissingUnit {
-        /// What is expected.
+        /// The kind of quantity.
         quantity: &'static str,
-        /// The units that it has.
+        /// Its units.
         units: String,
-        /// A text that is one.
+        /// An example of a valid text.
         example: &'static str,
     },
-    /// A unit that the quantity does not have.
+    /// The quantity does not have this unit.
     #[error("\"{unit}\" is no unit of {quantity}: it has {units}")]
     UnknownUnit {
-        /// What is expected.
+        /// The kind of quantity.
         quantity: &'static str,
-        /// The units that it has.
+        /// Its units.
         units: String,
-        /// The unit that was written.
+        /// The unit in the text.
         unit: String,
     },
-    /// No whole number before the unit.
+    /// The unit does not follow a whole number.
     #[error("{quantity} is a whole number and a unit, as in \"{example}\"")]
     NotANumber {
-        /// What is expected.
+        /// The kind of quantity.
         quantity: &'static str,
-        /// A text that is one.
+        /// An example of a valid text.
         example: &'static str,
     },
-    /// More than a `u64` of the smallest unit holds.
+    /// The value exceeds a `u64` in the smallest unit.
     #[error("{text} is beyond what {quantity} can be")]
     OutOfRange {
-        /// What is expected.
+        /// The kind of quantity.
         quantity: &'static str,
-        /// What was written.
+        /// The text.
         text: String,
     },
 }
 
-/// A unit, and how many of the smallest unit it is.
+/// A unit, and its size in the smallest unit.
 struct Unit {
     name: &'static str,
     factor: u64,
@@ -68,7 +68,7 @@
     Unit { name, factor }
 }
 
-/// A kind of quantity, with how to describe it to an operator.
+/// A kind of quantity, with the texts that describe it to an operator.
 struct Quantity {
     name: &'static str,
     example: &'static str,
@@ -125,8 +125,8 @@
     }
 }
 
-/// A string, or a bare number, for which the error names the missing unit. The type's name is part of the error's text
-/// for any other value.
+/// A string, or a number without a unit, for which the error names the missing unit. For a value of another type the
+/// error's text contains this type's name.
 #[derive(serde::Deserialize)]
 #[serde(untagged)]
 enum Written {
--- a/crates/operator-config/tests/operators.rs
+++ b/crates/operator-config/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' file: defaults, errors with their lines, units, and renamed tables and keys.
+//! Tests of the operators' file: defaults, errors with their lines, units, and renamed tables and keys.
 
 use operator_config::{MAX_FILE_LENGTH, Operators, Size, Span, Sync};
 use serde::Deserialize;
@@ -61,8 +61,7 @@
     assert!(error(&" ".repeat(MAX_FILE_LENGTH + 1)).contains("bytes"));
 }
 
-/// Guards files that were written for an earlier version: the same text with the old names is refused for the same
-/// reason at the same line.
+/// A file that was written for an earlier version, with the old names, fails with the same reason at the same line.
 #[test]
 fn errors_are_the_same_under_old_names() {
     for (text, line, reason) in [
@@ -84,17 +83,17 @@
     }
 }
 
-/// Every renamed table and key, in its new and its old spelling.
+/// Parses every renamed table and key under its new and its old name.
 #[test]
 fn old_names_are_accepted_with_a_warning_for_each() {
-    const NEW: &str = "[idle_destinations]\nafter = \"10m\"\nretain = \"1h\"\nactive = 7\nactivations = 8\n\
+    const NEW_NAMES: &str = "[idle_destinations]\nafter = \"10m\"\nretain = \"1h\"\nactive = 7\nactivations = 8\n\
                        [health_snapshot]\non = true\nsize = \"64KiB\"\n\
                        [gossip]\non = true\ntransfers = true\n";
-    const OLD: &str = "[dormant]\nafter = \"10m\"\nremember = \"1h\"\nawake = 7\nwakes = 8\n\
+    const OLD_NAMES: &str = "[dormant]\nafter = \"10m\"\nremember = \"1h\"\nawake = 7\nwakes = 8\n\
                        [known]\non = true\nsize = \"64KiB\"\n\
                        [shared]\non = true\nlends = true\n";
-    let new = Operators::parse(NEW).unwrap();
-    let old = Operators::parse(OLD).unwrap();
+    let new = Operators::parse(NEW_NAMES).unwrap();
+    let old = Operators::parse(OLD_NAMES).unwrap();
     assert_eq!(new.warnings, []);
     assert_eq!(new.idle_destinations.active, Some(7));
     assert_eq!(new.idle_destinations.activations, Some(8));
@@ -116,14 +115,14 @@
 }
 
 #[test]
-fn a_new_table_accepts_old_keys() {
+fn old_keys_are_accepted_under_the_new_table_name() {
     let operators = Operators::parse("[gossip]\non = true\nlends = true\n").unwrap();
     assert!(operators.gossip.transfers);
     assert_eq!(operators.warnings.len(), 1);
 }
 
 #[test]
-fn a_name_given_twice_is_an_error() {
+fn old_and_new_name_together_are_an_error() {
     for (text, expected) in [
         (
             "[known]\non = true\n[health_snapshot]\non = true\n",
@@ -150,10 +149,10 @@
         span: Option<Span>,
         size: Option<Size>,
     }
-    let read = |text: &str| toml::from_str::<Quantities>(text).map_err(|e| e.message().to_owned());
-    assert_eq!(read("span = \"250ms\"").unwrap().span.unwrap().micros, 250_000);
-    assert_eq!(read("span = \"2 h\"").unwrap().span.unwrap().micros, 7_200_000_000);
-    assert_eq!(read("size = \"64KiB\"").unwrap().size.unwrap().bytes, 65_536);
+    let parse = |text: &str| toml::from_str::<Quantities>(text).map_err(|e| e.message().to_owned());
+    assert_eq!(parse("span = \"250ms\"").unwrap().span.unwrap().micros, 250_000);
+    assert_eq!(parse("span = \"2 h\"").unwrap().span.unwrap().micros, 7_200_000_000);
+    assert_eq!(parse("size = \"64KiB\"").unwrap().size.unwrap().bytes, 65_536);
     for (text, reason) in [
         ("span = 4", "a span of time needs a unit (us, ms, s, m, h, d), as in \"90s\""),
         ("span = 0.5", "is no unit of a span of time"),
@@ -163,7 +162,7 @@
         ("size = \"3\"", "a size needs a unit"),
         ("size = \"3 ms\"", "\"ms\" is no unit of a size"),
     ] {
-        let message = read(text).expect_err(text);
+        let message = parse(text).expect_err(text);
         assert!(message.contains(reason), "{text}: {message}");
     }
 }
