--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,5 +1,5 @@
 //! Administration of a running sender by on-call staff: requests and their errors ([`call`]), the metrics
-//! ([`figures`]), the endpoints that operators ejected ([`ejections`]), and whether clients are admitted ([`gate`]).
+//! ([`metrics`]), the endpoints that operators ejected ([`ejections`]), and whether clients are admitted ([`gate`]).
 //!
 //! The crate has no I/O and no clock: the sender's admin listener, event loop and frontend carry out what is decided
 //! here.
@@ -7,8 +7,8 @@
 
 pub mod call;
 pub mod ejections;
-pub mod figures;
 pub mod gate;
+pub mod metrics;
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -2,8 +2,8 @@
 
 use admin::call::{AdminRequest, ID_LIMIT, InvalidRequest, read};
 use admin::ejections::{EjectError, Ejections, RetiredNames};
-use admin::figures::{FinalOutcome, Gauges, OutcomeCounts};
 use admin::gate::{AdmissionGate, LINGER};
+use admin::metrics::{FinalOutcome, Gauges, OutcomeCounts};
 use proptest::prelude::*;
 
 #[test]
--- a/crates/sender/src/event_loop/calls.rs
+++ b/crates/sender/src/event_loop/calls.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 
-use admin::figures::FinalOutcome;
+use admin::metrics::FinalOutcome;
 use decision::interface::{Action, EndpointId, Event, MessageId, Micros, Outcome};
 use journal::{AcceptedMessage, Record};
 
--- a/crates/sender/src/event_loop/iteration.rs
+++ b/crates/sender/src/event_loop/iteration.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use admin::figures::FinalOutcome;
+use admin::metrics::FinalOutcome;
 use decision::interface::{Action, EndpointId, Event, MessageId, Micros, Outcome};
 use journal::{Abandonment, AppendError, Record};
 
--- a/crates/sender/src/event_loop/messages.rs
+++ b/crates/sender/src/event_loop/messages.rs
@@ -1,6 +1,6 @@
 //! The life cycle of a message: submission, withdrawal, outcomes of its attempts, notification and completion.
 
-use admin::figures::FinalOutcome;
+use admin::metrics::FinalOutcome;
 use decision::interface::{DestinationId, Event, Message, MessageId, Micros, Outcome};
 use journal::{Abandonment, AcceptedMessage, LedgerEntry, Record};
 
--- a/crates/sender/src/event_loop/mod.rs
+++ b/crates/sender/src/event_loop/mod.rs
@@ -26,8 +26,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admin::figures::OutcomeCounts;
 use admin::gate::AdmissionGate;
+use admin::metrics::OutcomeCounts;
 use decision::interface::Micros;
 use decision::policy::Policy;
 use journal::{Abandonment, AcceptedMessage, Record};
--- a/crates/sender/src/event_loop/parts.rs
+++ b/crates/sender/src/event_loop/parts.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use admin::ejections::Ejections;
-use admin::figures::OutcomeCounts;
 use admin::gate::AdmissionGate;
+use admin::metrics::OutcomeCounts;
 use decision::interface::Micros;
 use decision::policy::Policy;
 use handover::HandoverState;
--- a/crates/sender/src/event_loop/shard/figures.rs
+++ b/crates/sender/src/event_loop/shard/figures.rs
@@ -1,6 +1,6 @@
 //! Metrics of each shard and of all shards together.
 
-use admin::figures::{Gauges, OutcomeCounts};
+use admin::metrics::{Gauges, OutcomeCounts};
 use decision::interface::Micros;
 use sharding::ShardId;
 
--- a/crates/sender/src/event_loop/startup.rs
+++ b/crates/sender/src/event_loop/startup.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use admin::figures::OutcomeCounts;
+use admin::metrics::OutcomeCounts;
 use decision::interface::Micros;
 use decision::policy::Policy;
 use handover::HandoverState;
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -130,7 +130,7 @@
     /// Tells the frontends whether clients are admitted.
     pub gate: watch::Sender<AdmissionGate>,
     /// Final outcomes so far.
-    pub outcome_counts: admin::figures::OutcomeCounts,
+    pub outcome_counts: admin::metrics::OutcomeCounts,
 }
 
 impl DrainingConnections {
@@ -200,7 +200,7 @@
                     }
                     Some(Inbound::AdminRequest(AdminRequest::Metrics, answer)) => {
                         let relayed = draining.transports.iter().map(|transport| transport.messages_written()).sum();
-                        let gauges = admin::figures::Gauges { relayed, ..Default::default() };
+                        let gauges = admin::metrics::Gauges { relayed, ..Default::default() };
                         let _ = answer.send(AdminResponse { status: 200, text: draining.outcome_counts.text(gauges) });
                         continue;
                     }
--- a/crates/sender/src/process/mod.rs
+++ b/crates/sender/src/process/mod.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 
 use ::journal::Journal;
-use admin::figures::OutcomeCounts;
 use admin::gate::AdmissionGate;
+use admin::metrics::OutcomeCounts;
 use decision::interface::Micros;
 use decision::policy::Policy;
 use handover::HandoverState;
--- a/crates/sender/src/shards/group.rs
+++ b/crates/sender/src/shards/group.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use admin::figures::{Gauges, OutcomeCounts};
+use admin::metrics::{Gauges, OutcomeCounts};
 use arc_swap::ArcSwap;
 use sharding::{LeasePool, OwnershipMap, ShardId};
 
