--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -1,9 +1,9 @@
 //! Tests of requests, metrics, ejections and the admission gate, without a sender.
 
-use admin::call::{AdminRequest, ID_LIMIT, InvalidRequest, read};
 use admin::ejections::{EjectError, Ejections, RetiredNames};
 use admin::gate::{AdmissionGate, LINGER};
 use admin::metrics::{FinalOutcome, Gauges, OutcomeCounts};
+use admin::request::{AdminRequest, ID_LIMIT, InvalidRequest, read};
 use proptest::prelude::*;
 
 #[test]
--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::{fs, io};
 
-use admin::call::AdminRequest;
+use admin::request::AdminRequest;
 use decision::interface::*;
 use decision::policy::Policy;
 use handover::{
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -95,7 +95,7 @@
         /// Identifies the answer.
         number: u64,
         /// The request.
-        call: admin::call::AdminRequest,
+        call: admin::request::AdminRequest,
     },
 }
 
--- a/crates/sender/src/event_loop/admin_requests.rs
+++ b/crates/sender/src/event_loop/admin_requests.rs
@@ -1,8 +1,8 @@
 //! Handles administrative requests.
 
-use admin::call::AdminRequest;
 use admin::gate::AdmissionGate;
 use admin::metrics::Gauges;
+use admin::request::AdminRequest;
 use decision::interface::Event;
 use gossip::evidence::Evidence;
 use gossip::{Gossip, Micros};
--- a/crates/sender/src/event_loop/shard/admin_broadcast.rs
+++ b/crates/sender/src/event_loop/shard/admin_broadcast.rs
@@ -1,7 +1,7 @@
 //! Administrative requests that all shards apply.
 
-use admin::call::AdminRequest;
 use admin::ejections::Ejections;
+use admin::request::AdminRequest;
 use decision::interface::Event;
 use sharding::ShardId;
 use tokio::sync::oneshot;
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use admin::call::AdminRequest;
 use admin::gate::AdmissionGate;
+use admin::request::AdminRequest;
 use decision::interface::{EndpointId, Event, MessageId, RouteId};
 use handover::{Answer, HandoverState, OutstandingAttempts, ToPredecessor, ToSuccessor, step};
 use tokio::net::{UnixListener, UnixStream};
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -112,7 +112,7 @@
     /// The platform has acknowledged these notifications.
     NotificationsAcknowledged(Vec<MessageId>),
     /// An administrative request, and where its answer goes.
-    AdminRequest(admin::call::AdminRequest, oneshot::Sender<AdminResponse>),
+    AdminRequest(admin::request::AdminRequest, oneshot::Sender<AdminResponse>),
     /// A successor asks to take over.
     Successor(HandoverLink),
     /// The status line is due in the log.
