--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// Fails when they are not a valid request. The error has the answer to send.
-pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<AdminRequest, InvalidRequest> {
+pub fn parse(method: &str, path: &str, query: Option<&str>) -> Result<AdminRequest, InvalidRequest> {
     let expected_method = if QUERIES.contains(&path) {
         "GET"
     } else if COMMANDS.contains(&path) {
--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -3,7 +3,7 @@
 use admin::ejections::{EjectError, Ejections, RetiredNames};
 use admin::gate::{AdmissionGate, LINGER};
 use admin::metrics::{FinalOutcome, Gauges, OutcomeCounts};
-use admin::request::{AdminRequest, ID_LIMIT, InvalidRequest, read};
+use admin::request::{AdminRequest, ID_LIMIT, InvalidRequest, parse};
 use proptest::prelude::*;
 
 #[test]
@@ -28,7 +28,7 @@
         ("GET", "/ready", None, Err(InvalidRequest::Path)),
         ("GET", "/status/", None, Err(InvalidRequest::Path)),
     ] {
-        assert_eq!(read(method, path, query), expected, "{method} {path} {query:?}");
+        assert_eq!(parse(method, path, query), expected, "{method} {path} {query:?}");
     }
 }
 
--- a/crates/sender/src/http/admin.rs
+++ b/crates/sender/src/http/admin.rs
@@ -82,7 +82,7 @@
     inbound: &UnboundedSender<Inbound>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let uri = request.uri();
-    let admin_response = match admin::request::read(request.method().as_str(), uri.path(), uri.query()) {
+    let admin_response = match admin::request::parse(request.method().as_str(), uri.path(), uri.query()) {
         Ok(call) => {
             let (answer, answer_received) = oneshot::channel();
             let _ = inbound.send(Inbound::AdminRequest(call, answer));
