--- a/crates/admin/src/ejections.rs
+++ b/crates/admin/src/ejections.rs
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// Fails when the names' text would be too long.
-    pub fn enter(&mut self, name: &str) -> Result<bool, EjectError> {
+    pub fn eject(&mut self, name: &str) -> Result<bool, EjectError> {
         if self.contains(name) {
             return Ok(false);
         }
@@ -77,7 +77,7 @@
     }
 
     /// Reinstates an endpoint, and returns whether it was ejected.
-    pub fn exit(&mut self, name: &str) -> bool {
+    pub fn reinstate(&mut self, name: &str) -> bool {
         self.names.remove(name)
     }
 }
--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -74,11 +74,11 @@
 #[test]
 fn ejection_beyond_the_size_limit_fails_without_effect() {
     let mut ejections = Ejections::new(8);
-    assert_eq!(ejections.enter("abc"), Ok(true));
-    assert_eq!(ejections.enter("abc"), Ok(false));
-    assert_eq!(ejections.enter("defg"), Err(EjectError::LimitReached));
-    assert_eq!(ejections.enter("def"), Ok(true));
-    assert!(ejections.exit("abc") && !ejections.exit("abc"));
+    assert_eq!(ejections.eject("abc"), Ok(true));
+    assert_eq!(ejections.eject("abc"), Ok(false));
+    assert_eq!(ejections.eject("defg"), Err(EjectError::LimitReached));
+    assert_eq!(ejections.eject("def"), Ok(true));
+    assert!(ejections.reinstate("abc") && !ejections.reinstate("abc"));
     assert_eq!(ejections.text(), "def\n");
 }
 
@@ -96,7 +96,7 @@
     fn ejections_round_trip(names in prop::collection::btree_set("(?s).{1,12}", 0..12)) {
         let mut ejections = Ejections::new(10_000);
         for name in &names {
-            prop_assert_eq!(ejections.enter(name), Ok(true));
+            prop_assert_eq!(ejections.eject(name), Ok(true));
         }
         let text = ejections.text();
         prop_assert_eq!(text.lines().count(), names.len());
--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -466,7 +466,7 @@
 fn companion_files(folder: &Path) -> io::Result<()> {
     let mut held_out = Ejections::new(MAX_EJECTIONS_BYTES);
     for name in ["endpoint-2", "endpoint-1", "an\\odd\nname"] {
-        held_out.enter(name).map_err(|refused| io::Error::other(refused.text()))?;
+        held_out.eject(name).map_err(|refused| io::Error::other(refused.text()))?;
     }
     fs::write(folder.join("held-out"), held_out.text())?;
     let keyed = |group| Idempotency::Keyed { scope: group, window: 6 * SECOND };
--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -294,9 +294,9 @@
         }
         let mut ejections = self.ejections.clone();
         if eject {
-            ejections.enter(name)?;
+            ejections.eject(name)?;
         } else {
-            ejections.exit(name);
+            ejections.reinstate(name);
         }
         Ok(ejections)
     }
