--- a/crates/admin/src/gate.rs
+++ b/crates/admin/src/gate.rs
@@ -2,7 +2,7 @@
 //!
 //! A sender that enters standby reports this to the load balancer, which continues to assign connections for a
 //! moment. On a persistent connection one more request is answered, with an answer that announces the end of the
-//! connection. A connection without an open request is closed after [`LINGER`], so that no message is submitted over
+//! connection. A connection without an open request is closed after [`IDLE_CLOSE_DELAY`], so that no message is submitted over
 //! it later.
 
 use crate::Micros;
@@ -10,7 +10,7 @@
 /// Time until connections without an open request are closed. It is longer than the load balancer needs to notice the
 /// standby and to stop assigning connections. A client that sends a message at the moment of the close must submit it
 /// again over another connection.
-pub const LINGER: Micros = 1_000_000;
+pub const IDLE_CLOSE_DELAY: Micros = 1_000_000;
 
 /// Whether clients are admitted, and what happens to their connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -18,10 +18,10 @@
     /// Clients are admitted, and their connections are kept.
     #[default]
     Open,
-    /// On standby since this time. Open requests are answered; connections without one are closed after [`LINGER`].
+    /// On standby since this time. Open requests are answered; connections without one are closed after [`IDLE_CLOSE_DELAY`].
     Standby(Micros),
     /// The successor admits clients since it took over. Open requests of this process are answered; connections
-    /// without one are closed after [`LINGER`].
+    /// without one are closed after [`IDLE_CLOSE_DELAY`].
     Relinquished {
         /// When the successor took over.
         since: Micros,
@@ -71,7 +71,7 @@
     /// Returns when connections without an open request are closed, on standby or after a hand-over.
     pub fn close_idle_at(self) -> Option<Micros> {
         match self {
-            Self::Standby(since) | Self::Relinquished { since, .. } => Some(since + LINGER),
+            Self::Standby(since) | Self::Relinquished { since, .. } => Some(since + IDLE_CLOSE_DELAY),
             Self::Open | Self::Closing => None,
         }
     }
--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -1,7 +1,7 @@
 //! Tests of requests, metrics, ejections and the admission gate, without a sender.
 
 use admin::ejections::{EjectError, Ejections, RetiredNames};
-use admin::gate::{AdmissionGate, LINGER};
+use admin::gate::{AdmissionGate, IDLE_CLOSE_DELAY};
 use admin::metrics::{FinalOutcome, Gauges, OutcomeCounts};
 use admin::request::{AdminRequest, ID_LIMIT, InvalidRequest, parse};
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
     let standby = AdmissionGate::Open.standby(5);
     assert_eq!(standby.standby(9), standby, "entering standby again has no effect");
     assert_eq!((standby.ready(), standby.last_answer()), (false, true));
-    assert_eq!(standby.close_idle_at(), Some(5 + LINGER));
+    assert_eq!(standby.close_idle_at(), Some(5 + IDLE_CLOSE_DELAY));
     assert_eq!(standby.active(), AdmissionGate::Open);
     assert_eq!(AdmissionGate::Open.close_idle_at(), None);
     assert_eq!(
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -419,15 +419,15 @@
                     let partially_read = client.has_open_request() && !client.request_open.get();
                     let had_request =
                         client.request_open.get() || client.requests_answered.get() > 0 && !partially_read;
-                    // A connection that is accepted on standby also stays open for `LINGER` and gets one answer: its
+                    // A connection that is accepted on standby also stays open for `IDLE_CLOSE_DELAY` and gets one answer: its
                     // client needs that time to switch to another sender.
-                    idle_until = state.close_idle_at().map(|at| at.max(accepted_at + admin::gate::LINGER));
+                    idle_until = state.close_idle_at().map(|at| at.max(accepted_at + admin::gate::IDLE_CLOSE_DELAY));
                     match state {
                         AdmissionGate::Closing if had_request => connection.as_mut().graceful_shutdown(),
                         // The first request on a new connection may be on its way or unread, and another may be partially
                         // received: a graceful shutdown by hyper would close these without reading on. The answer to such a
                         // request is the last on its connection.
-                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + admin::gate::LINGER),
+                        AdmissionGate::Closing => idle_until = Some(self.clock.now() + admin::gate::IDLE_CLOSE_DELAY),
                         _ => {}
                     }
                 }
