--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -13,8 +13,8 @@
 
 pub use error::{ConfigError, Reason, Warning};
 pub use tables::{
-    BYTES_EACH, CoresTable, Damage, GossipTable, HealthSnapshotTable, IdleDestinationsTable, JournalTable,
-    MAX_CORES, Operators, SnapshotClock, StatusTable, Sync,
+    CoresTable, Damage, GOSSIP_BYTES_PER_MESSAGE, GossipTable, HealthSnapshotTable, IdleDestinationsTable,
+    JournalTable, MAX_CORES, Operators, SnapshotClock, StatusTable, Sync,
 };
 pub use units::{Size, Span, UnitError};
 
--- a/crates/operator-config/src/tables.rs
+++ b/crates/operator-config/src/tables.rs
@@ -8,7 +8,7 @@
 /// Maximum number of cores that one sender uses.
 pub const MAX_CORES: u32 = 64;
 /// Bytes of gossip that other senders may receive from one sender for each message that is submitted there.
-pub const BYTES_EACH: f64 = 25.0;
+pub const GOSSIP_BYTES_PER_MESSAGE: f64 = 25.0;
 
 /// The contents of the file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
@@ -55,7 +55,7 @@
     /// `transfers`: quota is also transferred between senders.
     pub transfers: bool,
     /// `bytes`: maximum number of bytes that other senders receive from this one per second on average, in addition to
-    /// [`BYTES_EACH`] for each message.
+    /// [`GOSSIP_BYTES_PER_MESSAGE`] for each message.
     pub bytes: Option<Size>,
 }
 
--- a/crates/sender/src/cli/mod.rs
+++ b/crates/sender/src/cli/mod.rs
@@ -8,7 +8,7 @@
 
 use clap::{Parser, Subcommand};
 use decision::interface::{GossipConfig, IdlePolicy, Micros, RouteId};
-use operator_config::{BYTES_EACH, GossipTable, IdleDestinationsTable, Operators};
+use operator_config::{GOSSIP_BYTES_PER_MESSAGE, GossipTable, IdleDestinationsTable, Operators};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
@@ -207,7 +207,7 @@
         u16::try_from(config.settings.senders).map_err(|_| "[gossip] on = true: more than 65535 senders")?;
     // Higher than that of an earlier process, unless the clock was set back; then gossip from other senders raises it.
     let started_at_s = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs() as u32);
-    let byte_budget = (BYTES_EACH, table.bytes.map_or(100.0, |size| size.bytes as f64)).into();
+    let byte_budget = (GOSSIP_BYTES_PER_MESSAGE, table.bytes.map_or(100.0, |size| size.bytes as f64)).into();
     let (broadcast, transfers) = (config.peers_all.is_some(), table.transfers);
     Ok(Some(GossipConfig {
         member,
