--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -214,7 +214,7 @@
         address: Some(format!("10.0.0.{n}:7000")),
         zone: 1,
         kind: Some(2),
-        group: n.into(),
+        destination: n.into(),
         listing,
         weight: 12.5,
         unlisted,
--- a/crates/handover/src/state.rs
+++ b/crates/handover/src/state.rs
@@ -161,7 +161,8 @@
     /// The position of its kind in the settings.
     pub kind: Option<u16>,
     /// Its destination.
-    pub group: u16,
+    #[serde(rename = "group")]
+    pub destination: u16,
     /// Its state in the list.
     pub listing: Listing,
     /// Its weight.
--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -135,7 +135,7 @@
                 address,
                 zone,
                 kind,
-                group,
+                destination,
                 listing,
                 weight,
                 unlisted: removed,
@@ -151,12 +151,12 @@
             }
             let accepting = listing == Listing::Ready && !removed && !self.ejections.contains(&name);
             transport.iter().for_each(|transport| transport.set_accepting(id, accepting));
-            self.destinations.insert(group);
+            self.destinations.insert(destination);
             let (name, list_number) = (name.into(), self.lists);
             let hash = crc32fast::hash(address.as_deref().unwrap_or_default().as_bytes());
             let record = EndpointRecord {
                 name,
-                destination: group,
+                destination,
                 kind,
                 transport,
                 max_batch: batch_limit,
@@ -182,7 +182,7 @@
             address: record.transport.as_ref().and_then(|transport| transport.address(*id)),
             zone: record.zone,
             kind: u16::try_from(record.kind).ok(),
-            group: record.destination,
+            destination: record.destination,
             listing: record.listing,
             weight: record.weight,
             unlisted: record.unlisted,
