--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -233,7 +233,7 @@
             ("past".to_owned(), endpoint(9, 1)).into(),
         ],
         ids_assigned: 9,
-        index: 41,
+        list_version: 41,
         messages: vec![("request-1".to_owned(), 7, 70).into(), ("request-2".to_owned(), 8, 80).into()],
         attempts: vec![(7, 2).into(), (8, 1).into()],
         next_message: 9,
--- a/crates/handover/src/state.rs
+++ b/crates/handover/src/state.rs
@@ -26,7 +26,8 @@
     #[serde(rename = "given")]
     pub ids_assigned: u64,
     /// Version of the endpoint list.
-    pub index: u64,
+    #[serde(rename = "index")]
+    pub list_version: u64,
     /// The pending messages.
     #[serde(rename = "held")]
     pub messages: Vec<PendingRequest>,
--- a/crates/sender/src/event_loop/recovery.rs
+++ b/crates/sender/src/event_loop/recovery.rs
@@ -23,7 +23,7 @@
             endpoints,
             ids,
             ids_assigned: assigned,
-            index,
+            list_version,
             messages: pending_requests,
             next_message,
             attempts,
@@ -31,7 +31,7 @@
             ..
         } = state;
         self.directory.restore(endpoints, ids.into_iter().map(Into::into).collect(), assigned);
-        (self.list_version, self.next_message) = (index, next_message);
+        (self.list_version, self.next_message) = (list_version, next_message);
         if let JournalStore::Sharded(journal_part) = &mut self.journal {
             journal_part.skip_numbers_below(next_message);
         }
@@ -112,7 +112,7 @@
             endpoints,
             ids: ids.into_iter().map(Into::into).collect(),
             ids_assigned,
-            index: self.list_version,
+            list_version: self.list_version,
             messages: messages.collect(),
             attempts: self.attempts.iter().map(|(number, count)| (*number, *count).into()).collect(),
             next_message,
