--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -313,7 +313,7 @@
         ToSuccessor::ConnectionReused { lost: true },
     ];
     all.extend(
-        requests.into_iter().zip(1..).map(|(call, number)| ToSuccessor::AdminRequest { number, call }),
+        requests.into_iter().zip(1..).map(|(request, number)| ToSuccessor::AdminRequest { number, request }),
     );
     all
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -95,7 +95,8 @@
         /// Identifies the answer.
         number: u64,
         /// The request.
-        call: admin::request::AdminRequest,
+        #[serde(rename = "call")]
+        request: admin::request::AdminRequest,
     },
 }
 
--- a/crates/handover/tests/handover.rs
+++ b/crates/handover/tests/handover.rs
@@ -72,7 +72,7 @@
         ToSuccessor::CallCompleted(vec![delivered(1, 2)]),
         ToSuccessor::RetryAfter(ENDPOINT, 5),
         ToSuccessor::ConnectionReused { lost: true },
-        ToSuccessor::AdminRequest { number: 1, call: admin::request::AdminRequest::Eject("e".into()) },
+        ToSuccessor::AdminRequest { number: 1, request: admin::request::AdminRequest::Eject("e".into()) },
     ] {
         let encoded = frame::write(&message).unwrap();
         let length = frame::body_length(encoded[..4].try_into().unwrap()).unwrap();
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -204,15 +204,15 @@
                         let _ = answer.send(AdminResponse { status: 200, text: draining.outcome_counts.text(gauges) });
                         continue;
                     }
-                    Some(Inbound::AdminRequest(call, answer)) => {
+                    Some(Inbound::AdminRequest(request, answer)) => {
                         let gate = *draining.gate.borrow();
-                        draining.gate.send_replace(match call {
+                        draining.gate.send_replace(match request {
                             AdminRequest::Standby => gate.standby(clock.now()),
                             AdminRequest::Active => gate.active(),
                             _ => gate,
                         });
                         admin_requests.insert(number, answer);
-                        ToSuccessor::AdminRequest { number, call }
+                        ToSuccessor::AdminRequest { number, request }
                     }
                     Some(Inbound::Terminate) => {
                         stopping = stopping.or(Some(clock.now()));
@@ -315,7 +315,7 @@
                 };
                 Inbound::Submitted(Submission { message: Arc::new(message), class, request, answer })
             }
-            ToSuccessor::AdminRequest { number, call } => {
+            ToSuccessor::AdminRequest { number, request } => {
                 let (answer, answered) = oneshot::channel();
                 let messages = self.messages.clone();
                 tokio::task::spawn_local(async move {
@@ -323,7 +323,7 @@
                     let AdminResponse { status, text } = answered.await.unwrap_or(ending);
                     let _ = messages.send(ToPredecessor::AdminResponse(number, status, text));
                 });
-                Inbound::AdminRequest(call, answer)
+                Inbound::AdminRequest(request, answer)
             }
             ToSuccessor::Withdrawn { id, request, destination } => {
                 Inbound::Withdrawn { id, request, destination }
