--- a/crates/admin/src/gate.rs
+++ b/crates/admin/src/gate.rs
@@ -2,8 +2,8 @@
 //!
 //! A sender that enters standby reports this to the load balancer, which continues to assign connections for a
 //! moment. On a persistent connection one more request is answered, with an answer that announces the end of the
-//! connection. A connection without an open request is closed after [`IDLE_CLOSE_DELAY`], so that no message is submitted over
-//! it later.
+//! connection. A connection without an open request is closed after [`IDLE_CLOSE_DELAY`], so that no message is
+//! submitted over it later.
 
 use crate::Micros;
 
@@ -18,7 +18,8 @@
     /// Clients are admitted, and their connections are kept.
     #[default]
     Open,
-    /// On standby since this time. Open requests are answered; connections without one are closed after [`IDLE_CLOSE_DELAY`].
+    /// On standby since this time. Open requests are answered; connections without one are closed after
+    /// [`IDLE_CLOSE_DELAY`].
     Standby(Micros),
     /// The successor admits clients since it took over. Open requests of this process are answered; connections
     /// without one are closed after [`IDLE_CLOSE_DELAY`].
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -419,8 +419,8 @@
                     let partially_read = client.has_open_request() && !client.request_open.get();
                     let had_request =
                         client.request_open.get() || client.requests_answered.get() > 0 && !partially_read;
-                    // A connection that is accepted on standby also stays open for `IDLE_CLOSE_DELAY` and gets one answer: its
-                    // client needs that time to switch to another sender.
+                    // A connection that is accepted on standby also stays open for `IDLE_CLOSE_DELAY` and gets one
+                    // answer: its client needs that time to switch to another sender.
                     idle_until = state.close_idle_at().map(|at| at.max(accepted_at + admin::gate::IDLE_CLOSE_DELAY));
                     match state {
                         AdmissionGate::Closing if had_request => connection.as_mut().graceful_shutdown(),
