--- a/crates/gossip/src/config.rs
+++ b/crates/gossip/src/config.rs
@@ -4,13 +4,14 @@
 
 use crate::MemberIndex;
 
-/// Bytes that the fleet may receive from this sender. Serialized as the array `[per_message, per_second]`.
+/// Limits the bytes that this sender publishes, counted once for each peer that receives them. Serialized as the array
+/// `[per_message, per_second]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct ByteBudget {
-    /// Bytes for each message that a client submits here.
+    /// Bytes for each message that a client submits to this sender.
     pub per_message: f64,
-    /// Bytes for each second, in addition.
+    /// Additional bytes for each second.
     pub per_second: f64,
 }
 
@@ -26,24 +27,24 @@
     }
 }
 
-/// Who takes part, and how much each may publish.
+/// The fleet, this sender's place in it, and what it may publish.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
     /// This sender's index.
     #[serde(rename = "me")]
     pub member: MemberIndex,
-    /// This process's incarnation: higher than that of any process before it, as far as is known locally. Peers raise it where
-    /// they have seen a higher one.
+    /// This process's incarnation: higher than that of any previous process of this sender, as far as is known locally. Where
+    /// peers know a higher one, their messages raise it.
     #[serde(rename = "run")]
     pub incarnation: u32,
-    /// Senders of the fleet.
+    /// Number of senders in the fleet.
     pub senders: MemberIndex,
-    /// One message can be sent to all peers at once.
+    /// Whether one message can be sent to all peers at once.
     pub broadcast: bool,
-    /// Bytes that may be published.
+    /// Bytes that this sender may publish.
     #[serde(rename = "bytes")]
     pub byte_budget: ByteBudget,
-    /// Senders transfer quota to one another.
+    /// Whether senders transfer quota to one another.
     #[serde(rename = "lends")]
     pub quota_transfer: bool,
 }
--- a/crates/gossip/src/counts.rs
+++ b/crates/gossip/src/counts.rs
@@ -1,6 +1,6 @@
 //! Estimates of the fleet's traffic from samples: each sender publishes its own counts of the last span along with pings and
-//! acknowledgements, and the total is extrapolated from those of the senders heard of most recently. A duplicate counts once,
-//! since each sender has one entry; an estimate says how old it is and on how many senders it is based.
+//! acknowledgements, and the total is extrapolated from the most recently received ones. A duplicate counts once, since each
+//! sender has one entry; an estimate states how old it is and on how many senders it is based.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +13,13 @@
 
 /// The span that counts cover.
 pub const SPAN: Micros = 2_000_000;
-/// Slots that a span is divided into.
+/// Number of slots that a [`SPAN`] is divided into.
 const SLOTS: usize = 4;
-/// Counts of so many other senders are retained for a destination.
+/// Maximum number of other senders whose counts are retained for a destination.
 pub const MAX_SAMPLES: usize = 64;
 /// Counts of other senders are dropped after this time.
 pub const SAMPLE_EXPIRY: Micros = 5 * SPAN;
-/// Destinations that are counted at most.
+/// Maximum number of destinations that are counted.
 pub const MAX_DESTINATIONS: usize = 4_096;
 
 /// Traffic at one destination. Encoded by position in messages.
@@ -27,9 +27,9 @@
 pub struct Count {
     /// Calls that completed.
     pub calls: u32,
-    /// Of them, rejected.
+    /// Completed calls that were rejected.
     pub rejected: u32,
-    /// Of them, failed.
+    /// Completed calls that failed.
     pub failed: u32,
     /// Attempts beyond each message's first.
     pub retries: u32,
@@ -63,7 +63,7 @@
 pub struct Estimate {
     /// Extrapolated to all senders.
     pub count: Count,
-    /// Senders that it is based on, this one counted.
+    /// Number of senders that it is based on, including this one.
     pub samples: usize,
     /// Age of the oldest sample.
     pub age: Micros,
@@ -80,14 +80,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     own: BTreeMap<u16, [Count; SLOTS]>,
-    /// The slot that is counted in, and since when.
+    /// The current slot, and when it started.
     slot: usize,
     slot_started_at: Micros,
     samples: BTreeMap<u16, BTreeMap<MemberIndex, Sample>>,
 }
 
 impl Counts {
-    /// Moves on to the slot of this time, and clears those that are reused.
+    /// Advances to the slot of this time and clears those that are reused.
     fn advance(&mut self, now: Micros) {
         let slot_span = SPAN / SLOTS as Micros;
         if now >= self.slot_started_at + SPAN {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// This sender's counts of the last span, the busiest destination first.
+    /// Returns this sender's counts of the last span, the busiest destination first.
     pub fn own(&mut self, now: Micros) -> Vec<(u16, Count)> {
         self.advance(now);
         let mut own: Vec<_> =
@@ -124,7 +124,7 @@
         own
     }
 
-    /// Another sender published its counts, `age` ago. A duplicate, or one that is older than the last, is ignored.
+    /// Records the counts that another sender published `age` ago. Duplicates and counts older than the latest are ignored.
     pub fn received(&mut self, from: MemberIndex, destination: u16, count: Count, age: Micros, now: Micros) {
         if self.samples.len() >= MAX_DESTINATIONS && !self.samples.contains_key(&destination) {
             return;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The traffic of a fleet of so many senders at a destination.
+    /// Estimates the traffic of a fleet of `senders` at a destination.
     pub fn estimate(&mut self, destination: u16, senders: usize, now: Micros) -> Estimate {
         self.advance(now);
         let mut total = self.own.get(&destination).map(sum).unwrap_or_default();
--- a/crates/gossip/src/counts/tests.rs
+++ b/crates/gossip/src/counts/tests.rs
@@ -1,4 +1,4 @@
-//! Own counts cover the last span; samples of others are deduplicated, expire and are bounded.
+//! Counts of this sender cover the last span; samples of other senders are deduplicated, expire and are bounded.
 
 use super::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn duplicates_count_once_and_expired_samples_not_at_all() {
+fn duplicate_samples_count_once_and_expired_ones_are_dropped() {
     let mut counts = Counts::default();
     for _ in 0..3 {
         counts.received(1, 7, calls(10), 0, SPAN);
--- a/crates/gossip/src/escrow.rs
+++ b/crates/gossip/src/escrow.rs
@@ -1,7 +1,7 @@
-//! Transfer of a destination's quota between senders, as an escrow: the lender's share shrinks *before* it sends the grant, and
-//! the borrower counts the span from its *request*, which was earlier. So at no moment do the shares in use exceed the limit,
-//! whatever messages are lost, duplicated, delayed or reordered, and whichever processes are stopped. Clocks are not compared;
-//! they must only run at the same rate to within [`MAX_DRIFT`].
+//! Transfer of a destination's quota between senders, as an escrow: the granting sender's share shrinks *before* it sends the
+//! grant, and the requesting sender counts the span from its *request*, which was earlier. So at no moment do the shares in use
+//! exceed the limit, whatever messages are lost, duplicated, delayed or reordered, and whichever processes are stopped. Clocks
+//! are not compared; they must only run at the same rate to within [`MAX_DRIFT`].
 //!
 //! Shares are counted in units of an even share, so that a new limit changes nothing here.
 
@@ -14,20 +14,20 @@
 
 /// Units of an even share of the limit.
 pub const EVEN_SHARE: u32 = 1_024;
-/// Units of an even share that are never granted: what an isolated sender has in any case.
+/// Units of an even share that are never granted, so that an isolated sender can always use them.
 pub const RETAINED_UNITS: u32 = EVEN_SHARE / 2;
-/// A transfer ends after this time, for the borrower earlier by [`MAX_DRIFT`].
+/// A transfer ends after this time, for the receiving sender earlier by [`MAX_DRIFT`].
 pub const SPAN: Micros = 4_000_000;
-/// Two clocks differ by this much within a span at most.
+/// Maximum difference that two clocks accumulate within a [`SPAN`].
 pub const MAX_DRIFT: Micros = SPAN / 64;
-/// A request that is not granted within this time is abandoned: a later grant would soon end.
+/// A request that is not granted within this time is abandoned: a later grant would be valid for a short time only.
 pub const REQUEST_EXPIRY: Micros = SPAN / 2;
-/// Units that one sender receives beyond its even share at most.
+/// Maximum number of units that one sender receives beyond its even share.
 pub const MAX_RECEIVED: u32 = 8 * EVEN_SHARE;
-/// Pending requests, and grants, of all destinations together.
+/// Maximum number of pending requests, and of grants, of all destinations together.
 pub const MAX_OPEN: usize = 1_024;
 
-/// Identifies a request of one process.
+/// Identifies a request among those of one process.
 pub type RequestId = u32;
 
 /// Units granted to another sender.
@@ -61,8 +61,8 @@
     destination: u16,
     requested_at: Micros,
     units: u32,
-    /// Senders that granted it already.
-    lenders: Vec<MemberIndex>,
+    /// Senders that have granted it.
+    granted_by: Vec<MemberIndex>,
 }
 
 /// A request of another sender.
@@ -70,11 +70,11 @@
 pub struct QuotaRequest {
     /// Who sent it.
     pub from: MemberIndex,
-    /// Its number there.
+    /// Its number at that sender.
     pub request: RequestId,
-    /// Whose quota.
+    /// The destination whose quota is requested.
     pub destination: u16,
-    /// Units that are wanted.
+    /// Requested units.
     pub units: u32,
 }
 
@@ -87,36 +87,37 @@
     pub granted: u32,
 }
 
-/// The quota of one sender, by destination.
+/// The quota that one sender may use, by destination.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct QuotaEscrow {
     accounts: BTreeMap<u16, Account>,
     requests: BTreeMap<RequestId, PendingRequest>,
     last_request: RequestId,
-    /// Until then an earlier process of this sender may have granted units.
+    /// Until then grants of the previous process of this sender may still be valid.
     uncertain_until: Micros,
 }
 
 impl QuotaEscrow {
-    /// Of a process that starts now. Grants of its predecessor are unknown, so that all that could be granted counts as granted.
-    /// Requests are numbered after `first`: a grant to the predecessor must match none of this process's.
-    pub fn new(now: Micros, first: RequestId) -> Self {
+    /// Creates the escrow of a process that starts now. Grants of the previous process are unknown, so all that it could have
+    /// granted counts as granted for one [`SPAN`]. Requests are numbered after `last_request`, so that a grant to the previous
+    /// process matches none of them.
+    pub fn new(now: Micros, last_request: RequestId) -> Self {
         Self {
             accounts: BTreeMap::new(),
             requests: BTreeMap::new(),
-            last_request: first,
+            last_request,
             uncertain_until: now + SPAN,
         }
     }
 
-    /// Units of a destination's limit that this sender may use now.
+    /// Returns the units of a destination's limit that this sender may use now.
     pub fn usable_units(&self, destination: u16, now: Micros) -> u32 {
         let own = if now < self.uncertain_until { RETAINED_UNITS } else { EVEN_SHARE };
         let transferred = self.transferred(destination, now);
         own.saturating_sub(transferred.granted) + transferred.received
     }
 
-    /// Units that are transferred in either direction.
+    /// Returns the units that are transferred in each direction now.
     pub fn transferred(&self, destination: u16, now: Micros) -> Transferred {
         let Some(account) = self.accounts.get(&destination) else { return Transferred::default() };
         let received = account.received.iter().filter(|received| received.until > now);
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Starts a request for so many units. None where this sender has as many as it may, or too many requests are pending.
+    /// Starts a request for at most `units`. Returns `None` if this sender already receives or has requested the maximum, or if
+    /// too many requests are pending.
     pub fn request(&mut self, destination: u16, units: u32, now: Micros) -> Option<RequestId> {
         self.expire(now);
         let headroom = MAX_RECEIVED.saturating_sub(self.transferred(destination, now).received);
@@ -138,22 +140,22 @@
             return None;
         }
         self.last_request = self.last_request.wrapping_add(1);
-        let request = PendingRequest { destination, requested_at: now, units, lenders: Vec::new() };
+        let request = PendingRequest { destination, requested_at: now, units, granted_by: Vec::new() };
         self.requests.insert(self.last_request, request);
         Some(self.last_request)
     }
 
-    /// Grants units to another sender, of the `spare` ones that this sender does not use; its own share shrinks at once. A
-    /// duplicate of a request that was granted gets the same units once.
-    pub fn grant(&mut self, wanted: QuotaRequest, spare: u32, now: Micros) -> Option<u32> {
-        let QuotaRequest { from: to, request, destination, units } = wanted;
+    /// Grants units to another sender, out of `spare` units that this sender does not use; its own share shrinks at once. A
+    /// duplicate of a granted request returns the same units, which are granted once.
+    pub fn grant(&mut self, quota_request: QuotaRequest, spare: u32, now: Micros) -> Option<u32> {
+        let QuotaRequest { from: to, request, destination, units } = quota_request;
         self.expire(now);
         if now < self.uncertain_until {
             return None;
         }
         let open: usize = self.accounts.values().map(|account| account.granted.len()).sum();
         let account = self.accounts.entry(destination).or_default();
-        // A duplicate must not be granted anew: one of the two grants may be lost, and its units with it.
+        // A duplicate must not be granted again: if one of the two grants were lost, nobody could use its units.
         let duplicate = account.granted.iter().find(|granted| granted.to == to && granted.request == request);
         if let Some(granted) = duplicate {
             return Some(granted.units);
@@ -168,25 +170,25 @@
         Some(units)
     }
 
-    /// Another sender granted units. False where the grant has no effect: never requested, too late, or a duplicate.
+    /// Records a grant of another sender. Returns false if it has no effect: it was never requested, is too late or a duplicate.
     pub fn grant_received(&mut self, from: MemberIndex, request: RequestId, units: u32, now: Micros) -> bool {
         self.expire(now);
         let Some(pending) = self.requests.get_mut(&request) else { return false };
-        if pending.lenders.contains(&from) {
+        if pending.granted_by.contains(&from) {
             return false;
         }
-        // The lender counts its span from the grant, which was after the request: this one ends first.
+        // The granting sender counts its span from the grant, which is later than the request: this span ends first.
         let until = pending.requested_at + SPAN - MAX_DRIFT;
         if units == 0 || units > pending.units || until <= now {
             return false;
         }
-        pending.lenders.push(from);
+        pending.granted_by.push(from);
         let account = self.accounts.entry(pending.destination).or_default();
         account.received.push(Received { until, units, from, request });
         true
     }
 
-    /// Drops requests and transfers that have ended. No usable unit changes by it.
+    /// Drops requests and transfers that have ended. This does not change the usable units.
     fn expire(&mut self, now: Micros) {
         self.requests.retain(|_, request| request.requested_at + REQUEST_EXPIRY > now);
         self.accounts.retain(|_, account| {
@@ -196,7 +198,7 @@
         });
     }
 
-    /// Destinations whose quota is transferred in either direction.
+    /// Returns the destinations whose quota is transferred in either direction.
     pub(crate) fn destinations(&self, now: Micros) -> impl Iterator<Item = u16> + '_ {
         let active = move |account: &Account| {
             account.granted.iter().any(|granted| granted.until > now)
--- a/crates/gossip/src/escrow/tests.rs
+++ b/crates/gossip/src/escrow/tests.rs
@@ -1,9 +1,9 @@
-//! Transfers are used by one side at a time, whatever is duplicated or delayed.
+//! Transferred units are used by one side at a time, even where messages are duplicated or delayed.
 
 use super::*;
 
-/// Two senders, and the units that both may use at a time.
-fn both(a: &QuotaEscrow, b: &QuotaEscrow, now: Micros) -> u32 {
+/// Returns the units that two senders together may use.
+fn usable_by_both(a: &QuotaEscrow, b: &QuotaEscrow, now: Micros) -> u32 {
     a.usable_units(7, now) + b.usable_units(7, now)
 }
 
@@ -18,12 +18,12 @@
     assert!(a.grant_received(1, request, units, now + 20));
     assert_eq!(a.usable_units(7, now + 20), EVEN_SHARE + 300);
     for at in (0..3 * SPAN).step_by(10_000) {
-        assert!(both(&a, &b, now + at) <= 2 * EVEN_SHARE, "{at}");
+        assert!(usable_by_both(&a, &b, now + at) <= 2 * EVEN_SHARE, "{at}");
     }
-    assert_eq!(both(&a, &b, now + SPAN + 10), 2 * EVEN_SHARE);
+    assert_eq!(usable_by_both(&a, &b, now + SPAN + 10), 2 * EVEN_SHARE);
 }
 
-/// The message with the grant is delayed until the lender has its units back.
+/// The grant arrives after its span has ended, when the granting sender uses its units itself again.
 #[test]
 fn a_delayed_grant_has_no_effect() {
     let (mut a, mut b) = (QuotaEscrow::new(0, 0), QuotaEscrow::new(0, 0));
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,17 +1,18 @@
-//! Evidence on destinations, as gossip messages carry it, and what a sender believes because of it. Times are on the local
-//! clock: messages carry ages, which the receiver turns into times.
+//! Evidence on destinations, as gossip messages carry it, and the beliefs that follow from it. Times are on the local clock:
+//! messages carry ages, which the receiver converts to times.
 
 use crate::{MemberIndex, Micros};
 
-/// Numbers the evidence of one sender: its incarnation in the upper half, a sequence number in the lower. The higher is newer.
+/// Numbers the evidence of one sender, with its incarnation in the upper half and a sequence number in the lower. A higher
+/// number is newer.
 pub type Number = u64;
 
 /// Evidence of a single failure expires after this time, that of consecutive failures after [`EXPIRY`].
 pub const SINGLE_FAILURE_EXPIRY: Micros = 3_000_000;
-/// All evidence of failures expires after this time: an outage that no sender confirms again ends.
+/// All evidence of failures expires after this time, so that an outage that no sender confirms again ends.
 pub const EXPIRY: Micros = 10_000_000;
 
-/// Composes the number of the evidence `sequence` of an incarnation.
+/// Composes the number of an item of evidence from an incarnation and a sequence number.
 pub(crate) fn number(incarnation: u32, sequence: u32) -> Number {
     Number::from(incarnation) << 32 | Number::from(sequence)
 }
@@ -32,9 +33,9 @@
 /// One sender's evidence that a destination is unhealthy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Its number at the sender that observed it.
+    /// Its number among the evidence of the sender that observed it.
     pub number: Number,
-    /// When the last of the calls failed, on the local clock; never earlier than it did.
+    /// When the last of the calls failed, on the local clock; possibly later than it did, never earlier.
     pub at: Micros,
     /// How they failed.
     pub kind: FailureKind,
@@ -43,7 +44,8 @@
 }
 
 impl Failure {
-    /// The newer of two of the same sender; for the same number the earlier time, which came by the shorter path.
+    /// Returns the newer of two failures of the same sender. For the same number the earlier time counts, since it came by the
+    /// shorter path.
     pub(crate) fn join(self, other: Self) -> Self {
         match self.number.cmp(&other.number) {
             std::cmp::Ordering::Less => other,
@@ -57,7 +59,7 @@
         }
     }
 
-    /// What it counts for; 0 once it has expired.
+    /// Returns its weight as evidence of an outage; 0 once it has expired.
     pub(crate) fn weight(&self, now: Micros) -> u32 {
         let age = now.saturating_sub(self.at);
         match self.calls {
@@ -76,14 +78,14 @@
     pub origin: MemberIndex,
     /// The evidence's number at that sender.
     pub number: Number,
-    /// When it was reported, on the local clock; never earlier than it was.
+    /// When it was reported, on the local clock; possibly later than it was, never earlier.
     pub at: Micros,
-    /// Calls per second, of all senders.
+    /// Calls per second, of all senders together.
     pub rate: f32,
 }
 
 impl Limit {
-    /// The newer of two; of the same one the earlier time.
+    /// Returns the newer of two limits; of the same one with the earlier time and the lower rate.
     pub(crate) fn join(self, other: Self) -> Self {
         let same = (self.origin, self.number) == (other.origin, other.number);
         let order = |limit: &Self| (limit.at, limit.origin, limit.number);
@@ -100,11 +102,11 @@
 pub enum Evidence {
     /// A sender observed failures.
     Failure(MemberIndex, Failure),
-    /// A sender's evidence up to that number is outranked, as was published at that time.
+    /// A sender's evidence up to that number is outranked, as of that time.
     Cleared(MemberIndex, Number, Micros),
     /// A limit.
     Limit(Limit),
-    /// A Retry-After that is active until then.
+    /// A Retry-After that ends at that time.
     Wait(Micros),
 }
 
@@ -120,16 +122,16 @@
 /// A limit that is believed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BelievedLimit {
-    /// Calls per second, of all senders.
+    /// Calls per second, of all senders together.
     pub rate: f32,
     /// When it was reported.
     pub at: Micros,
 }
 
-/// What a sender believes of a destination at one time.
+/// What a sender believes about a destination at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Belief {
-    /// Set where the evidence suffices to take it for unhealthy.
+    /// Set if the evidence suffices to consider it unhealthy.
     pub unhealthy: Option<Outage>,
     /// Its limit.
     pub limit: Option<BelievedLimit>,
--- a/crates/gossip/src/evidence_set.rs
+++ b/crates/gossip/src/evidence_set.rs
@@ -4,7 +4,7 @@
 //! - A [`Failure`] is numbered by the sender that observed it. The higher number replaces the lower; of the same number the
 //!   earlier time counts, which is that of the shortest path.
 //! - A clearance names a sender's evidence up to a number: a call that *started* at a sender that had this evidence succeeded.
-//!   Success thus outranks failure by causality rather than by clocks, and a delayed message can't outrank what came after it.
+//!   Success thus outranks failure by causality rather than by clocks, and a delayed message can't outrank later evidence.
 //! - Of limits the newest report counts, of Retry-After the longest.
 
 use std::collections::BTreeMap;
@@ -14,12 +14,12 @@
 };
 use crate::{MemberIndex, Micros};
 
-/// Senders whose failures are retained: as many as it takes to believe in an outage, and one to spare.
+/// Maximum number of senders whose failures are retained: as many as an outage takes, and one more.
 pub const MAX_ORIGINS: usize = 4;
-/// Weight of evidence from which on a destination is taken for unhealthy; that of a single sender is always less.
+/// Minimum weight of evidence for a destination to be considered unhealthy; that of a single sender is always less.
 pub const OUTAGE_WEIGHT: u32 = 3;
 
-/// A sender's evidence up to a number is outranked.
+/// Outranks a sender's evidence up to a number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Clearance {
     number: Number,
@@ -27,7 +27,7 @@
 }
 
 impl Clearance {
-    /// The one of the higher number; of the same number the earlier time.
+    /// Returns the one with the higher number; of the same number with the earlier time.
     fn join(self, other: Self) -> Self {
         match self.number.cmp(&other.number) {
             std::cmp::Ordering::Less => other,
@@ -52,12 +52,12 @@
     /// By sender; at most twice as many, since a clearance may arrive before the evidence that it names.
     clearances: BTreeMap<MemberIndex, Clearance>,
     limit: Option<Limit>,
-    /// The end of the longest Retry-After; 0 where there is none.
+    /// The end of the longest Retry-After; 0 if there is none.
     wait_until: Micros,
 }
 
 impl EvidenceSet {
-    /// Joins one item, and returns whether the set has changed.
+    /// Joins one item and returns whether the set has changed.
     pub fn join(&mut self, item: Evidence) -> bool {
         match item {
             Evidence::Failure(origin, failure) => self.join_failure(origin, failure),
@@ -97,13 +97,13 @@
         self.clearances.get(&origin).copied() != before
     }
 
-    /// Joins all items of another set, and returns whether this one has changed.
+    /// Joins all items of another set and returns whether this one has changed.
     pub fn join_all(&mut self, other: &Self) -> bool {
         let items: Vec<_> = other.items().collect();
         items.into_iter().fold(false, |changed, item| self.join(item) | changed)
     }
 
-    /// The items that the set consists of.
+    /// Returns the items that the set consists of.
     pub fn items(&self) -> impl Iterator<Item = Evidence> + '_ {
         let failures = self.failures.iter().map(|(origin, failure)| Evidence::Failure(*origin, *failure));
         let clearances = self
@@ -114,7 +114,7 @@
         failures.chain(clearances).chain(self.limit.map(Evidence::Limit)).chain(wait)
     }
 
-    /// Failures that count: neither outranked nor expired.
+    /// Returns the failures that count: neither outranked nor expired.
     fn counted(&self, now: Micros) -> impl Iterator<Item = Counted<'_>> {
         self.failures.iter().filter_map(move |(origin, failure)| {
             let outranked =
@@ -124,8 +124,8 @@
         })
     }
 
-    /// What is believed now. Guards the fleet against a sender whose own network is faulty: whatever it publishes, its evidence
-    /// weighs less than [`OUTAGE_WEIGHT`], so that another sender has to confirm it.
+    /// Returns the belief that follows from the evidence. The evidence of a single sender always weighs less than
+    /// [`OUTAGE_WEIGHT`]: a sender whose own network is faulty can't cause an outage that no other sender confirms.
     pub fn belief(&self, now: Micros) -> Belief {
         let weight: u32 = self.counted(now).map(|counted| counted.weight).sum();
         let newest = self
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Whether a clearance of evidence up to these numbers would outrank any that counts.
+    /// Returns whether clearances up to these numbers would outrank any failure that counts.
     pub fn would_clear(&self, outranked: &[(MemberIndex, Number)], now: Micros) -> bool {
         let covers = |origin: MemberIndex, number: Number| {
             outranked.iter().any(|covered| covered.0 == origin && covered.1 >= number)
@@ -147,7 +147,7 @@
         self.counted(now).any(|counted| covers(counted.origin, counted.failure.number))
     }
 
-    /// Drops what has expired, and returns whether the set is empty.
+    /// Drops expired evidence and returns whether the set is empty.
     pub fn expire(&mut self, now: Micros, limit_retention: Micros) -> bool {
         self.failures.retain(|_, failure| now.saturating_sub(failure.at) < EXPIRY);
         // A clearance outlives what it outranks: delayed evidence must not take effect again.
@@ -160,15 +160,15 @@
         no_failures && self.limit.is_none() && self.wait_until == 0
     }
 
-    /// When the belief may change without new evidence.
+    /// Returns when the belief may change next without new evidence.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let expiry = |failure: &Failure| if failure.calls > 1 { EXPIRY } else { SINGLE_FAILURE_EXPIRY };
         let expiries = self.failures.values().map(|failure| failure.at + expiry(failure));
         expiries.chain((self.wait_until > 0).then_some(self.wait_until)).filter(|at| *at > now).min()
     }
 
-    /// A checksum of the belief; 0 where there is none. The evidence itself is not part of it: which of it is retained, and
-    /// since when, differs with the path that it took.
+    /// Returns a checksum of the belief; 0 if there is none. The evidence itself is left out: which items a sender retains, and
+    /// with which times, depends on the paths that they took.
     pub fn digest(&self, now: Micros) -> u32 {
         let belief = self.belief(now);
         let limit = belief.limit.map_or(0, |limit| limit.rate.to_bits());
--- a/crates/gossip/src/evidence_table.rs
+++ b/crates/gossip/src/evidence_table.rs
@@ -6,7 +6,7 @@
 use crate::evidence::{Belief, Evidence};
 use crate::evidence_set::EvidenceSet;
 
-/// Destinations that evidence is retained for at most.
+/// Maximum number of destinations with retained evidence.
 pub(crate) const MAX_DESTINATIONS: usize = 4_096;
 /// Reported limits are retained for this time.
 pub(crate) const LIMIT_RETENTION: Micros = 30_000_000;
@@ -15,14 +15,14 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EvidenceTable {
     pub(crate) sets: BTreeMap<u16, EvidenceSet>,
-    /// Beliefs as [`Self::take_changes`] last returned them; none where it is the default.
+    /// Beliefs as [`Self::take_changes`] last returned them, except those that are the default.
     reported: BTreeMap<u16, Belief>,
-    /// Destinations whose evidence has changed since.
+    /// Destinations whose evidence has changed since then.
     dirty: BTreeSet<u16>,
 }
 
 impl EvidenceTable {
-    /// Joins one item, and returns whether it changed the set. Evidence on a destination beyond the bound is dropped.
+    /// Joins one item and returns whether it changed the set. Evidence on a destination beyond [`MAX_DESTINATIONS`] is dropped.
     pub(crate) fn join(&mut self, destination: u16, item: Evidence) -> bool {
         if self.sets.len() >= MAX_DESTINATIONS && !self.sets.contains_key(&destination) {
             return false;
@@ -34,7 +34,7 @@
         changed
     }
 
-    /// A checksum of all beliefs, equal for two senders that believe the same.
+    /// Returns a checksum of all beliefs, which is equal for two senders with the same beliefs.
     pub(crate) fn digest(&self, now: Micros) -> u32 {
         let mut hasher = crc32fast::Hasher::new();
         for (destination, set) in &self.sets {
@@ -47,12 +47,12 @@
         hasher.finalize()
     }
 
-    /// What is believed of a destination.
+    /// Returns the belief about a destination.
     pub(crate) fn belief(&self, destination: u16, now: Micros) -> Belief {
         self.sets.get(&destination).map(|set| set.belief(now)).unwrap_or_default()
     }
 
-    /// Destinations whose belief differs from the one that was returned last, with the current one. Drops expired evidence.
+    /// Returns the destinations whose belief differs from the one returned last, with the current one. Drops expired evidence.
     pub(crate) fn take_changes(&mut self, now: Micros) -> Vec<(u16, Belief)> {
         let differs =
             |(destination, reported): &(&u16, &Belief)| **reported != self.belief(**destination, now);
@@ -68,7 +68,7 @@
         changes
     }
 
-    /// Drops expired evidence on a destination, and returns its belief where that has changed.
+    /// Drops expired evidence on a destination and returns its belief if that has changed.
     fn refresh(&mut self, destination: u16, now: Micros) -> Option<Belief> {
         if let Some(set) = self.sets.get_mut(&destination)
             && set.expire(now, LIMIT_RETENTION)
@@ -85,7 +85,7 @@
         (belief != before).then_some(belief)
     }
 
-    /// When a reported belief may change without new evidence.
+    /// Returns when a reported belief may change next without new evidence.
     pub(crate) fn next_change(&self, now: Micros) -> Option<Micros> {
         self.reported.keys().filter_map(|destination| self.sets.get(destination)?.next_change(now)).min()
     }
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -1,4 +1,4 @@
-//! One sender's part in the gossip: what it observed, what it received, and what it publishes when.
+//! One sender's state of the gossip protocol: what it has observed, received, and still has to publish.
 
 mod anti_entropy;
 mod observation;
@@ -23,39 +23,39 @@
 pub use publishing::OutgoingMessage;
 pub use reports::{DestinationReport, Traffic};
 
-/// From the last update until pings cease.
+/// Time from the last update until pings cease.
 const ACTIVE_SPAN: Micros = 10_000_000;
-/// Between two pings while there are updates.
+/// Time between two pings while there are updates.
 const PING_INTERVAL: Micros = 500_000;
-/// Peers that updates go to where they can't be broadcast.
+/// Number of peers that updates are sent to if they can't be broadcast.
 const FAN_OUT: usize = 3;
-/// Rounds in which a state of a member is forwarded.
+/// Rounds in which a member's state is forwarded.
 const FORWARDED_MEMBER_ROUNDS: u8 = 2;
-/// Rounds beyond those of evidence in which a state that this sender itself found is published.
+/// Rounds, in addition to those of evidence, in which a member's state that this sender itself detected is published.
 const EXTRA_MEMBER_ROUNDS: u8 = 2;
-/// Requests for all evidence that a new process sends.
+/// Number of requests for all evidence that a new process sends.
 const SYNC_REQUESTS: u8 = 2;
-/// Distinguishes the generator of this package from others with the caller's seed.
+/// Makes this package's random draws differ from those of other generators with the caller's seed.
 const SEED_SALT: u64 = 0x5AED;
 
 /// A failure that this sender has evidence of.
 #[derive(Clone, Copy, Debug)]
 struct SeenFailure {
-    /// Since when: a call that starts later and succeeds outranks it.
+    /// When this sender first had the evidence: a call that starts later and succeeds outranks it.
     since: Micros,
     origin: MemberIndex,
     number: Number,
 }
 
-/// What this sender itself has of a destination, beyond the evidence that it shares.
+/// Local state of a destination, beyond the evidence that is shared.
 #[derive(Clone, Debug, Default)]
 struct LocalState {
     seen_failures: Vec<SeenFailure>,
-    /// The limit that was reported to this sender last.
+    /// The limit that a load report to this sender last stated.
     reported_limit: Option<f32>,
     limit_published_at: Micros,
     clearance_published_at: Micros,
-    /// When it last requested units, and what it does not need of its own.
+    /// When this sender last requested units, and the units that it does not need itself.
     quota_requested_at: Option<Micros>,
     spare_units: u32,
     spare_at: Micros,
@@ -68,7 +68,7 @@
     parts: Vec<Part>,
 }
 
-/// A ping that is sent for another member.
+/// A ping that is sent on behalf of another member.
 #[derive(Clone, Copy, Debug)]
 struct RelayedPing {
     requester: MemberIndex,
@@ -83,7 +83,7 @@
     remaining_rounds: u8,
 }
 
-/// One sender's part in the gossip.
+/// One sender's state of the gossip protocol.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     config: Config,
@@ -98,21 +98,21 @@
     tokens: TokenBucket,
     /// Numbers this sender's evidence within its incarnation.
     sequence: u32,
-    /// Until when peers are pinged.
+    /// Peers are pinged until then.
     active_until: Micros,
     ping_at: Micros,
-    /// What is to be sent to single peers next.
+    /// Parts that are to be sent to single peers next.
     ready: Vec<Addressed>,
-    /// By this sender's own numbers.
+    /// Keyed by the number under which this sender pings the target.
     relayed_pings: BTreeMap<PingNumber, RelayedPing>,
-    /// Published along with the next pings.
+    /// Member states that are published along with the next pings.
     member_updates: Vec<PendingMemberUpdate>,
     remaining_sync_requests: u8,
     traffic: Traffic,
 }
 
 impl Gossip {
-    /// Of a process that starts now.
+    /// Creates the state of a process that starts now.
     pub fn new(config: Config, seed: u64, now: Micros) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ SEED_SALT);
         let first_request = rng.u32(..);
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A client's message was accepted, which refills the byte budget.
+    /// Refills the byte budget for a client's message that was accepted.
     pub fn message_accepted(&mut self) {
         self.tokens.refill(self.config.byte_budget.per_message);
     }
@@ -146,7 +146,7 @@
     /// Handles a message of a peer.
     ///
     /// # Errors
-    /// Fails where the message is rejected; it then has no effect but to be counted.
+    /// Fails if the message is rejected; it is then counted and has no other effect.
     pub fn receive(&mut self, from: MemberIndex, bytes: &[u8], now: Micros) -> Result<(), Rejected> {
         let received = self.decode(from, bytes, now);
         self.traffic.rejected_messages += u64::from(received.is_err());
@@ -163,14 +163,14 @@
         let message = Message::read(bytes)?;
         let delay = match self.delays.record(from, message.incarnation, message.sent_ms, now) {
             Delay::Stale => return Err(Rejected::Stale),
-            Delay::Beyond(delay) => delay,
+            Delay::Excess(delay) => delay,
             Delay::Unknown => 0,
         };
         let parts = message.parts(now, delay)?;
         match self.membership.message_received(from, message.incarnation, now) {
             SenderStatus::AsBelieved => {}
             SenderStatus::Back => self.activate(now),
-            // A new process that lost its incarnation: its evidence would rank below that of its predecessor.
+            // A new process without its last incarnation: its evidence would be outranked by that of the previous process.
             SenderStatus::Behind => {
                 let incarnation = self.membership.incarnation_of(from);
                 let update = MemberUpdate { member: from, incarnation, state: State::Gone };
@@ -198,12 +198,12 @@
         }
     }
 
-    /// Whether state of a destination may be retained.
+    /// Returns whether state of a destination may be retained.
     fn has_capacity_for(&self, destination: u16) -> bool {
         self.local.len() < MAX_DESTINATIONS || self.local.contains_key(&destination)
     }
 
-    /// Rounds in which evidence is published where it can't be broadcast: enough to reach all with a margin.
+    /// Returns the rounds in which evidence is published: one if it is broadcast, else enough to reach all with a margin.
     fn dissemination_rounds(&self) -> u8 {
         if self.config.broadcast {
             return 1;
@@ -218,7 +218,7 @@
         self.outbox.push(destination, evidence, rounds);
     }
 
-    /// There is an update: peers are pinged for a while.
+    /// Starts or prolongs the time in which peers are pinged, because there is an update.
     fn activate(&mut self, now: Micros) {
         if self.active_until <= now {
             self.ping_at = now + self.rng.u64(0..PING_INTERVAL);
@@ -226,33 +226,33 @@
         self.active_until = now + ACTIVE_SPAN;
     }
 
-    /// Destinations whose belief may differ from what was returned last, with what is believed now.
+    /// Returns the destinations whose belief differs from the one returned last, with the current one.
     pub fn take_changes(&mut self, now: Micros) -> Vec<(u16, Belief)> {
         self.evidence.take_changes(now)
     }
 
-    /// What is believed of a destination.
+    /// Returns the belief about a destination.
     pub fn belief(&self, destination: u16, now: Micros) -> Belief {
         self.evidence.belief(destination, now)
     }
 
-    /// The fleet's traffic at a destination.
+    /// Estimates the fleet's traffic at a destination.
     pub fn estimate(&mut self, destination: u16, now: Micros) -> Estimate {
         let present = self.membership.present();
         self.counts.estimate(destination, present, now)
     }
 
-    /// Whether this sender receives nothing, as far as it can tell.
+    /// Returns whether this sender receives nothing, so that it is probably cut off itself.
     pub fn is_isolated(&self, now: Micros) -> bool {
         self.membership.is_isolated(now)
     }
 
-    /// The members of the fleet.
+    /// Returns the members of the fleet.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The transfers of quota.
+    /// Returns the transfers of quota.
     pub fn escrow(&self) -> &QuotaEscrow {
         &self.escrow
     }
--- a/crates/gossip/src/gossip/anti_entropy.rs
+++ b/crates/gossip/src/gossip/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Evidence and states of members from peers, and anti-entropy: a ping and its acknowledgement carry a digest of the beliefs;
-//! where the two differ, both sides send their evidence.
+//! Handles evidence and member states from peers, and anti-entropy: a ping and its acknowledgement carry a digest of the
+//! beliefs; if the two differ, both sides send their evidence.
 
 use super::{
     Addressed, EXTRA_MEMBER_ROUNDS, FORWARDED_MEMBER_ROUNDS, Gossip, PendingMemberUpdate, RelayedPing,
@@ -12,15 +12,15 @@
 use crate::outbox::urgency;
 use crate::{MemberIndex, Micros};
 
-/// Destinations whose counts are published along with a ping or its acknowledgement.
+/// Number of destinations whose counts are published along with a ping or its acknowledgement.
 const PUBLISHED_COUNTS: usize = 4;
-/// Messages that answer a request for all evidence.
+/// Maximum number of messages in response to a request for all evidence.
 const SYNC_MESSAGES: usize = 4;
-/// Items of evidence in one of them; some 13 fit.
+/// Items of evidence in each of these messages; about 13 fit.
 const SYNC_ITEMS: usize = 12;
-/// Pings for other members that may be pending.
+/// Maximum number of pending pings on behalf of other members.
 const MAX_RELAYED_PINGS: usize = 64;
-/// Sets the numbers of relayed pings apart from those of this sender's own.
+/// Distinguishes the numbers of relayed pings from those of this sender's own pings.
 const RELAYED_PING_BIT: PingNumber = 1 << 31;
 
 impl Gossip {
@@ -32,7 +32,7 @@
         if !self.has_capacity_for(destination) || !self.evidence.join(destination, evidence) {
             return;
         }
-        self.remember_failure(destination, evidence, now);
+        self.record_failure(destination, evidence, now);
         let after = self.evidence.belief(destination, now);
         if !is_update(evidence, &before, &after) {
             return;
@@ -43,15 +43,15 @@
         self.activate(now);
     }
 
-    /// Whether a failure was published by this sender, in this incarnation or a higher one.
+    /// Returns whether evidence is a failure that this sender published, in this incarnation or a higher one.
     fn is_own(&self, evidence: Evidence) -> bool {
         let incarnation = u64::from(self.membership.incarnation());
         matches!(evidence, Evidence::Failure(origin, failure)
             if origin == self.config.member && failure.number >> 32 >= incarnation)
     }
 
-    /// Notes since when a failure is known here; the latest of each origin.
-    fn remember_failure(&mut self, destination: u16, evidence: Evidence, now: Micros) {
+    /// Records when a failure became known here; the latest of each origin.
+    fn record_failure(&mut self, destination: u16, evidence: Evidence, now: Micros) {
         let local = self.local.entry(destination).or_default();
         if let Evidence::Failure(origin, failure) = evidence {
             local.seen_failures.retain(|seen| seen.origin != origin);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Pings the target for the requester, under a number of this sender's own.
+    /// Pings the target on behalf of the requester, under a new number.
     pub(super) fn ping_request_received(
         &mut self,
         requester: MemberIndex,
@@ -93,7 +93,7 @@
         number: PingNumber,
         now: Micros,
     ) {
-        // Bounded, since an acknowledgement may never come.
+        // Bounded, since some pings are never acknowledged.
         if self.relayed_pings.len() >= MAX_RELAYED_PINGS {
             self.relayed_pings.pop_first();
         }
@@ -124,7 +124,7 @@
         self.send_evidence(from, SYNC_MESSAGES, now);
     }
 
-    /// Sends the most urgent evidence to one peer, in so many messages at most.
+    /// Sends the most urgent evidence to one peer, in at most `messages` messages.
     fn send_evidence(&mut self, to: MemberIndex, messages: usize, now: Micros) {
         let parts = self.evidence_by_urgency(now);
         for parts in parts.chunks(SYNC_ITEMS).take(messages) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// All evidence that has not expired, the most urgent and newest first.
+    /// Returns all evidence except ended Retry-Afters, the most urgent and newest first.
     fn evidence_by_urgency(&self, now: Micros) -> Vec<Part> {
         let mut items: Vec<(u8, Micros, Part)> = Vec::new();
         for (destination, set) in &self.evidence.sets {
@@ -152,14 +152,14 @@
         items.into_iter().map(|(_, _, part)| part).collect()
     }
 
-    /// This sender's counts at its busiest destinations.
+    /// Returns this sender's counts at its busiest destinations.
     pub(super) fn counts_to_publish(&mut self, now: Micros) -> Vec<Part> {
         let busiest = self.counts.own(now).into_iter().take(PUBLISHED_COUNTS);
         busiest.map(|(destination, count)| Part::Counts(destination, count)).collect()
     }
 }
 
-/// Whether evidence changed a belief, or may yet add up to an outage: only that is forwarded.
+/// Returns whether evidence changed a belief, or may yet add up to an outage; other evidence is not forwarded.
 fn is_update(evidence: Evidence, before: &Belief, after: &Belief) -> bool {
     let outage_changed = before.unhealthy.is_some() != after.unhealthy.is_some();
     let limit_changed = before.limit.map(|limit| limit.rate) != after.limit.map(|limit| limit.rate);
--- a/crates/gossip/src/gossip/observation.rs
+++ b/crates/gossip/src/gossip/observation.rs
@@ -5,24 +5,24 @@
 use crate::evidence::{self, Evidence, Failure, FailureKind, Limit};
 use crate::{MemberIndex, Micros};
 
-/// Between two clearances of one destination, and two limits of it, that this sender publishes.
+/// Minimum time between two clearances of one destination, and between two limits of it, that this sender publishes.
 const PUBLISH_INTERVAL: Micros = 1_000_000;
-/// A limit is an update where it differs from the one that is believed by more than this share of it.
+/// A limit is an update if it differs from the believed one by more than this share of that.
 const LIMIT_CHANGE: f32 = 0.2;
 
 /// The outcome of a call of this sender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// It succeeded; with when it started.
+    /// It succeeded; holds when it started.
     Success(Micros),
-    /// It failed; with the number of consecutive failures, itself counted.
+    /// It failed; holds the number of consecutive failures, including this one.
     Failure(FailureKind, u32),
     /// It was rejected at a limit, which is no evidence of an outage.
     Rejected,
 }
 
 impl Gossip {
-    /// A call of this sender completed.
+    /// Records a completed call of this sender.
     pub fn observe(&mut self, destination: u16, outcome: Observation, now: Micros) {
         let rejected = u32::from(outcome == Observation::Rejected);
         let failed = u32::from(matches!(outcome, Observation::Failure(..)));
@@ -37,7 +37,7 @@
     fn observe_success(&mut self, destination: u16, started: Micros, now: Micros) {
         let Some(set) = self.evidence.sets.get(&destination) else { return };
         let Some(local) = self.local.get_mut(&destination) else { return };
-        // Failures that this sender had evidence of when the call started are outranked, whatever clocks show.
+        // The success outranks failures that this sender had evidence of when the call started, independently of clocks.
         let outranked: Vec<_> = local
             .seen_failures
             .iter()
@@ -53,7 +53,7 @@
         for (origin, number) in outranked {
             let clearance = Evidence::Cleared(origin, number, now);
             self.evidence.join(destination, clearance);
-            // Failures that no outage followed from expire by themselves: nothing has to be published.
+            // Failures that did not add up to an outage expire without a clearance: nothing has to be published.
             if was_unhealthy {
                 self.publish_evidence(destination, clearance);
             }
@@ -66,7 +66,7 @@
             return;
         }
         let before = self.evidence.belief(destination, now);
-        // An outage that is believed already needs no further evidence, unless that is about to expire.
+        // An outage that is already believed needs no further evidence, unless its evidence expires soon.
         let expiring_after = evidence::SINGLE_FAILURE_EXPIRY / 2;
         if before.unhealthy.is_some_and(|outage| now < outage.at + expiring_after) {
             return;
@@ -83,13 +83,13 @@
         self.activate(now);
     }
 
-    /// Numbers new evidence of this sender.
+    /// Returns the number for new evidence of this sender.
     fn next_number(&mut self) -> evidence::Number {
         self.sequence += 1;
         evidence::number(self.membership.incarnation(), self.sequence)
     }
 
-    /// A load report stated a limit, in calls per second.
+    /// Records a limit from a load report, in calls per second.
     pub fn observe_limit(&mut self, destination: u16, rate: f32, now: Micros) {
         if !(rate.is_finite() && rate > 0.0 && self.has_capacity_for(destination)) {
             return;
@@ -99,7 +99,7 @@
         let is_first = local.reported_limit.is_none();
         local.reported_limit = Some(rate);
         let differs = |before: f32| (rate - before).abs() > LIMIT_CHANGE * before;
-        // The first report mostly repeats what the endpoint list's weight implies: no update to others.
+        // The first report mostly repeats what the endpoint list's weight implies, so it is not published.
         let is_update = believed.map_or(!is_first, |believed| differs(believed.rate));
         if believed.is_some() && !is_update || now < local.limit_published_at + PUBLISH_INTERVAL {
             return;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A destination sent this sender a Retry-After that ends then.
+    /// Records a Retry-After that a destination sent to this sender and that ends at `until`.
     pub fn observe_wait(&mut self, destination: u16, until: Micros, now: Micros) {
         let wait = Evidence::Wait(until);
         if self.has_capacity_for(destination) && self.evidence.join(destination, wait) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A message is attempted again.
+    /// Counts a retry.
     pub fn count_retry(&mut self, destination: u16, now: Micros) {
         self.counts.record(destination, Count { retries: 1, ..Count::default() }, now);
     }
--- a/crates/gossip/src/gossip/publishing.rs
+++ b/crates/gossip/src/gossip/publishing.rs
@@ -1,4 +1,4 @@
-//! What is sent, when, and to whom, within the byte budget.
+//! Selects what is sent to which peers at what time, within the byte budget.
 
 use std::collections::BTreeSet;
 
@@ -7,30 +7,30 @@
 use crate::message::{Part, Writer};
 use crate::{MAX_MESSAGE_BYTES, MemberIndex, Micros};
 
-/// What is ready is sent within this time.
+/// Pending parts and updates are sent within this time.
 const SEND_DELAY: Micros = 1_000;
-/// Random draws for each peer that is to be picked, at most.
+/// Maximum number of random draws for each peer that is to be picked.
 const DRAWS_PER_PEER: usize = 4;
 
 /// An encoded message that is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutgoingMessage {
-    /// To whom; none is to all peers.
+    /// The peer that it is sent to; `None` for all peers.
     pub to: Option<MemberIndex>,
     /// Its bytes.
     pub content: Vec<u8>,
 }
 
-/// The most urgent updates, as many as fit into a message.
+/// A message with as many of the most urgent updates as fit.
 struct UpdateMessage {
     content: Vec<u8>,
-    /// Updates that it holds or, where the first has expired, that are dropped.
+    /// Number of updates that it holds; 1 if the first has expired, which is then dropped.
     updates: usize,
     is_empty: bool,
 }
 
 impl Gossip {
-    /// The messages that are to be sent now.
+    /// Returns the messages that are to be sent now.
     pub fn publish(&mut self, now: Micros) -> Vec<OutgoingMessage> {
         self.tokens.refill_until(now);
         self.request_sync();
@@ -43,7 +43,7 @@
         messages
     }
 
-    /// Has a new process ask a peer for all evidence.
+    /// Asks a random peer for all evidence, if this process is new.
     fn request_sync(&mut self) {
         if self.remaining_sync_requests == 0 || self.config.senders <= 1 {
             return;
@@ -88,7 +88,7 @@
             pending.remaining_rounds = pending.remaining_rounds.saturating_sub(1);
             parts.push(Part::Member(pending.update));
         }
-        // The target receives what is believed of it, so that it can refute that.
+        // The target receives the state that it has here, so that it can refute it.
         let state = self.membership.state(to);
         if state != State::Alive {
             let incarnation = self.membership.incarnation_of(to);
@@ -99,7 +99,7 @@
         self.ready.push(Addressed { to, parts });
     }
 
-    /// Broadcasts the most urgent updates where the network and the budget allow it, else sends them to a few peers, who
+    /// Broadcasts the most urgent updates if the network and the budget allow it, else sends them to a few peers, which
     /// forward them.
     fn publish_updates(&mut self, now: Micros, messages: &mut Vec<OutgoingMessage>) {
         if self.outbox.updates.is_empty() {
@@ -114,7 +114,7 @@
             self.outbox.updates.drain(..updates);
             return;
         }
-        // Without the budget for all, anti-entropy spreads what a few peers receive.
+        // If the budget does not suffice for all peers, anti-entropy disseminates what a few of them receive.
         for to in self.pick_peers(FAN_OUT) {
             if !is_empty && self.tokens.try_take(content.len()) {
                 self.traffic.sent_bytes += content.len() as u64;
@@ -140,8 +140,8 @@
 
     /// Encodes as many of the parts as fit, and as the budget allows.
     fn encode_for(&mut self, to: MemberIndex, parts: &[Part], now: Micros) -> Option<OutgoingMessage> {
-        // Failure detection ignores the budget, and is bounded by its interval: a sender that stayed silent for want of tokens
-        // would be taken for gone.
+        // Failure detection ignores the budget, since a sender that did not respond for lack of tokens would be declared gone.
+        // Its traffic is bounded by its interval.
         let is_exempt = |part: &&Part| {
             matches!(part, Part::Ping { .. } | Part::Ack { .. } | Part::PingRequest { .. } | Part::Member(_))
         };
@@ -149,7 +149,7 @@
         let (exempt, budgeted): (Vec<&Part>, Vec<&Part>) = parts.iter().partition(is_exempt);
         let mut writer = Writer::new(self.membership.incarnation(), now);
         for part in exempt.into_iter().chain(budgeted.into_iter().filter(|_| has_budget)) {
-            // What does not fit is requested again.
+            // Parts that do not fit are requested again.
             writer.add(part);
         }
         if writer.is_empty() {
@@ -161,7 +161,7 @@
         Some(OutgoingMessage { to: Some(to), content })
     }
 
-    /// Random peers that are not taken for gone.
+    /// Returns at most `count` random peers that are not gone.
     pub(super) fn pick_peers(&mut self, count: usize) -> Vec<MemberIndex> {
         let mut picked = BTreeSet::new();
         for _ in 0..DRAWS_PER_PEER * count {
@@ -176,7 +176,7 @@
         picked.into_iter().collect()
     }
 
-    /// When there is something to send, or a belief may change without new evidence.
+    /// Returns when there is next something to send, or a belief may change without new evidence.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         let ping = (now < self.active_until).then_some(self.ping_at);
         let has_pending = !self.ready.is_empty() || !self.outbox.updates.is_empty();
--- a/crates/gossip/src/gossip/quota.rs
+++ b/crates/gossip/src/gossip/quota.rs
@@ -5,22 +5,22 @@
 use crate::message::Part;
 use crate::{MemberIndex, Micros};
 
-/// Peers that are asked for units at a time.
-const LENDERS: usize = 4;
-/// Between two requests for units of one destination's quota.
+/// Number of peers that are asked for units at a time.
+const REQUESTED_PEERS: usize = 4;
+/// Minimum time between two requests for units of one destination's quota.
 const REQUEST_INTERVAL: Micros = 500_000;
-/// What this sender reported to need is trusted for this time.
+/// The spare units that follow from a reported demand are valid for this time.
 const SPARE_EXPIRY: Micros = 2 * REQUEST_INTERVAL;
-/// Units that are requested of one peer at least.
+/// Minimum number of units that are requested from one peer.
 const MIN_REQUEST: u32 = EVEN_SHARE / 16;
-/// Even shares that a demand counts for at most.
+/// Maximum demand that is considered, in even shares.
 const MAX_DEMAND: f64 = 64.0;
-/// Of the units it needs, a multiple that a sender reserves before it lends.
+/// A sender grants only units beyond this multiple of what it needs itself.
 const RESERVE_FACTOR: u32 = 2;
 
 impl Gossip {
-    /// Reports what this sender needs of a destination's limit, as a multiple of its even share. It requests units where both it
-    /// and the limit are short, and lends those that it does not need.
+    /// Reports this sender's demand for a destination's limit, as a multiple of its even share. Requests units if `is_short` and
+    /// the demand exceeds the usable units; units that are not needed may be granted to other senders.
     pub fn report_demand(&mut self, destination: u16, share: f64, is_short: bool, now: Micros) {
         if !self.config.quota_transfer || !self.has_capacity_for(destination) {
             return;
@@ -38,8 +38,8 @@
     }
 
     fn request_quota(&mut self, destination: u16, missing: u32, now: Micros) {
-        let units = missing.div_ceil(LENDERS as u32).clamp(MIN_REQUEST, EVEN_SHARE - RETAINED_UNITS);
-        for to in self.pick_peers(LENDERS) {
+        let units = missing.div_ceil(REQUESTED_PEERS as u32).clamp(MIN_REQUEST, EVEN_SHARE - RETAINED_UNITS);
+        for to in self.pick_peers(REQUESTED_PEERS) {
             if let Some(request) = self.escrow.request(destination, units, now) {
                 let part = Part::QuotaRequest { destination, request, units };
                 self.ready.push(Addressed { to, parts: vec![part] });
@@ -58,19 +58,19 @@
         if !self.config.quota_transfer || self.membership.is_isolated(now) {
             return;
         }
-        // Without a recent demand of its own this sender has its whole share to spare.
+        // Without a recent demand of its own this sender can grant its whole share.
         let spare = match self.local.get(&destination) {
             Some(local) if now < local.spare_at + SPARE_EXPIRY => local.spare_units,
             _ => EVEN_SHARE,
         };
-        let wanted = QuotaRequest { from, request, destination, units };
-        if let Some(units) = self.escrow.grant(wanted, spare, now) {
+        let quota_request = QuotaRequest { from, request, destination, units };
+        if let Some(units) = self.escrow.grant(quota_request, spare, now) {
             let grant = Part::QuotaGrant { request, units };
             self.ready.push(Addressed { to: from, parts: vec![grant] });
         }
     }
 
-    /// What may be used of a destination's limit, as a multiple of the even share.
+    /// Returns the part of a destination's limit that this sender may use, as a multiple of the even share.
     pub fn quota_share(&self, destination: u16, now: Micros) -> f64 {
         if !self.config.quota_transfer {
             return 1.0;
--- a/crates/gossip/src/gossip/reports.rs
+++ b/crates/gossip/src/gossip/reports.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the gossip.
+//! State of the gossip protocol as operators inspect it.
 
 use std::collections::BTreeSet;
 
@@ -6,18 +6,18 @@
 use crate::Micros;
 use crate::evidence::{Belief, Evidence};
 
-/// What is known of one destination.
+/// The gossip state of one destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationReport {
     /// The destination.
     pub destination: u16,
-    /// What is believed of it.
+    /// The belief about it.
     pub belief: Belief,
     /// The evidence that the belief follows from.
     pub evidence: Vec<Evidence>,
     /// Units of its quota that this sender may use.
     pub usable_units: u32,
-    /// Of them, received from other senders.
+    /// Usable units that were received from other senders.
     pub received_units: u32,
     /// Units that are granted to other senders.
     pub granted_units: u32,
@@ -26,19 +26,19 @@
 /// Totals since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes that peers were sent; a broadcast counts once for each.
+    /// Bytes sent to peers; a broadcast counts once for each peer.
     pub sent_bytes: u64,
-    /// Messages of peers that were rejected.
+    /// Messages from peers that were rejected.
     pub rejected_messages: u64,
 }
 
 impl Gossip {
-    /// Bytes sent, and messages rejected.
+    /// Returns the bytes sent and the messages rejected since the process started.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// All destinations that there is evidence on, or whose quota is transferred.
+    /// Returns all destinations that there is evidence on, or whose quota is transferred.
     pub fn inspect(&self, now: Micros) -> Vec<DestinationReport> {
         let with_evidence = self.evidence.sets.keys().copied();
         let destinations: BTreeSet<u16> = with_evidence.chain(self.escrow.destinations(now)).collect();
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -4,8 +4,8 @@
 //! clock; randomness comes from a generator that the caller seeds. `docs/gossip.md` weighs the alternatives and states the
 //! bounds.
 //!
-//! Evidence of other senders may make this one more careful at once. It permits more only by a quota that was granted, or
-//! where it outranks the evidence that was observed locally; the decision module has the last word, in one place.
+//! Evidence of other senders may make this one more cautious at once. It permits more calls only through granted quota, or
+//! where it outranks the evidence that was observed locally; the decision module alone decides what is done because of it.
 
 mod config;
 pub mod counts;
@@ -29,5 +29,5 @@
 pub type Micros = u64;
 /// A sender's index among those of the fleet.
 pub type MemberIndex = u16;
-/// Size of an encoded message at most.
+/// Maximum size of an encoded message.
 pub const MAX_MESSAGE_BYTES: usize = 256;
--- a/crates/gossip/src/membership.rs
+++ b/crates/gossip/src/membership.rs
@@ -1,36 +1,37 @@
-//! Membership and failure detection after SWIM: each member pings another now and then, and before it suspects one that does
-//! not acknowledge, it has two others ping it. A suspected member is pinged repeatedly until it acknowledges or is taken for
-//! gone. Unlike in SWIM, no member is declared gone by an update alone: who receives one suspects, and pings itself. States are
-//! ordered by incarnation, which a member raises whenever it receives an update that calls it anything but alive. One that
-//! receives nothing suspects itself, and declares nobody unavailable.
+//! Membership and failure detection after SWIM: each member periodically pings another, and asks two others to ping one that
+//! does not acknowledge before it suspects that one. A suspected member is pinged repeatedly until it acknowledges or is
+//! declared gone. Unlike in SWIM, an update alone declares no member gone: its receiver only suspects the member, and pings it.
+//! States are ordered by incarnation, which a member raises whenever it receives an update that declares it anything but alive.
+//! A member that receives nothing considers itself isolated, and declares nobody unavailable.
 //!
-//! Bounds: a member that ended is gone for whoever pings it next [`PING_EXPIRY`] and [`SUSPICION_TIMEOUT`] after that, and for
-//! those that receive its update [`SUSPICION_TIMEOUT`] later. At loss `p` of each message, one that lives is suspected by a
-//! round of pings with (1 - (1 - p)^2) (1 - (1 - p)^4)^2, one in 8 at a fifth; it is taken for gone if none of six further
-//! pings is acknowledged, with (1 - (1 - p)^2)^6 of that: one in 3,700 pings.
+//! Bounds: the member that next pings one that has ended declares it gone [`PING_EXPIRY`] plus [`SUSPICION_TIMEOUT`] after that
+//! ping; those that receive its update do so another [`SUSPICION_TIMEOUT`] later. If each message is lost with probability `p`,
+//! a ping makes a live member suspected with probability (1 - (1 - p)^2) (1 - (1 - p)^4)^2, which is one in 8 at `p` = 0.2. It
+//! is declared gone if none of six further pings is acknowledged, with (1 - (1 - p)^2)^6 times that: one in 3,700 pings.
 
 use std::collections::BTreeMap;
 
 use crate::{MemberIndex, Micros};
 
-/// A ping that is not acknowledged within this time is repeated by other members.
+/// If a ping is not acknowledged within this time, other members are asked to ping the target.
 pub const PING_TIMEOUT: Micros = 300_000;
-/// Who acknowledges neither within this time is suspected.
+/// A member that has acknowledged neither the ping nor the indirect ones within this time is suspected.
 pub const PING_EXPIRY: Micros = 3 * PING_TIMEOUT;
-/// A member that is suspected for this time is taken for gone.
+/// A member that is suspected for this time is declared gone.
 pub const SUSPICION_TIMEOUT: Micros = 3_000_000;
 /// A suspected member is pinged at this interval.
 pub const SUSPECT_PING_INTERVAL: Micros = 500_000;
-/// A sender whose last pings, so many, were not acknowledged is isolated ...
+/// A sender considers itself isolated if this many consecutive pings were not acknowledged, and it has received no message for
+/// [`ISOLATION_SILENCE`].
 pub const ISOLATION_PINGS: u32 = 3;
-/// ... where it has not received a message for this time either.
+/// Minimum time without a received message for a sender to consider itself isolated.
 pub const ISOLATION_SILENCE: Micros = 2_000_000;
-/// Members that are asked to ping one that does not acknowledge.
+/// Number of members that are asked to ping one that does not acknowledge.
 const INDIRECT_PINGS: usize = 2;
-/// Of pings to members that are gone, one in so many is sent.
+/// One in this many pings to members that are gone is sent.
 const GONE_PING_RATIO: u8 = 4;
 
-/// Identifies a ping of one process.
+/// Identifies a ping among those of one process.
 pub type PingNumber = u32;
 
 /// The state of a member in one of its incarnations; the later outranks the earlier.
@@ -47,22 +48,22 @@
 /// The state of a member as messages carry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
-    /// Whose state.
+    /// The member whose state it is.
     pub member: MemberIndex,
-    /// In which incarnation.
+    /// The incarnation that the state applies to.
     pub incarnation: u32,
     /// The state.
     pub state: State,
 }
 
-/// A member that is not taken for alive.
+/// A member that is not considered alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnavailableMember {
-    /// Which one.
+    /// The member.
     pub member: MemberIndex,
     /// Suspected or gone.
     pub state: State,
-    /// Since when.
+    /// When it entered that state.
     pub since: Micros,
 }
 
@@ -71,7 +72,7 @@
     incarnation: u32,
     state: State,
     since: Micros,
-    /// When it was last pinged for being suspected.
+    /// When it was last pinged because it is suspected.
     pinged_at: Micros,
 }
 
@@ -80,20 +81,20 @@
 struct PendingPing {
     target: MemberIndex,
     at: Micros,
-    /// Other members were asked to ping the target.
+    /// Whether other members were asked to ping the target.
     is_indirect: bool,
-    /// The target was suspected already: a timeout is no further evidence.
+    /// Whether the target was already suspected; a timeout then has no further effect.
     of_suspect: bool,
 }
 
-/// What a message shows of its sender.
+/// How a message relates to the state that its sender had here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SenderStatus {
-    /// It was taken for alive.
+    /// The sender was considered alive.
     AsBelieved,
-    /// It was suspected or gone.
+    /// The sender was suspected or gone.
     Back,
-    /// A higher incarnation of it is known here.
+    /// A higher incarnation of the sender is known here.
     Behind,
 }
 
@@ -104,16 +105,16 @@
     Direct(MemberIndex, PingNumber),
     /// Ask `via` to ping `target`.
     Indirect {
-        /// Who is asked.
+        /// The member that is asked.
         via: MemberIndex,
-        /// Who is to be pinged.
+        /// The member to ping.
         target: MemberIndex,
         /// The number of this sender's ping.
         number: PingNumber,
     },
 }
 
-/// What follows from timeouts.
+/// The consequences of timeouts.
 #[derive(Clone, Debug, Default)]
 pub struct Timeouts {
     /// Pings to send.
@@ -133,13 +134,13 @@
     last_ping: PingNumber,
     /// Members still to be pinged in this round, each once.
     round: Vec<MemberIndex>,
-    /// Pings in a row that were not acknowledged.
+    /// Consecutive pings that were not acknowledged.
     unacknowledged: u32,
     last_received_at: Micros,
 }
 
 impl Membership {
-    /// All members are taken for alive until there is evidence.
+    /// Creates a membership in which all members are considered alive until there is evidence against it.
     pub fn new(own_index: MemberIndex, senders: MemberIndex, incarnation: u32, now: Micros) -> Self {
         Self {
             own_index,
@@ -154,28 +155,28 @@
         }
     }
 
-    /// This process's incarnation.
+    /// Returns this process's incarnation.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// The state of a member.
+    /// Returns the state of a member.
     pub fn state(&self, member: MemberIndex) -> State {
         self.members.get(&member).map_or(State::Alive, |member| member.state)
     }
 
-    /// The highest incarnation of a member that is known; 0 where none is.
+    /// Returns the highest known incarnation of a member; 0 if none is known.
     pub fn incarnation_of(&self, member: MemberIndex) -> u32 {
         self.members.get(&member).map_or(0, |member| member.incarnation)
     }
 
-    /// Members that are not taken for gone, this one counted.
+    /// Returns the number of members that are not gone, including this one.
     pub fn present(&self) -> usize {
         let gone = self.members.values().filter(|member| member.state == State::Gone).count();
         usize::from(self.senders).saturating_sub(gone).max(1)
     }
 
-    /// Members that are suspected or gone.
+    /// Returns the members that are suspected or gone.
     pub fn unavailable(&self) -> impl Iterator<Item = UnavailableMember> + '_ {
         let unavailable = self.members.iter().filter(|(_, member)| member.state != State::Alive);
         unavailable.map(|(index, member)| UnavailableMember {
@@ -185,17 +186,18 @@
         })
     }
 
-    /// Whether this sender receives nothing, so that it is itself cut off as far as it can tell.
+    /// Returns whether this sender receives nothing, so that it is probably cut off itself.
     pub fn is_isolated(&self, now: Micros) -> bool {
         let silent = now >= self.last_received_at + ISOLATION_SILENCE;
         self.senders > 1 && self.unacknowledged >= ISOLATION_PINGS && silent
     }
 
-    /// A message of that incarnation was received from a member.
+    /// Records a message that was received from a member in that incarnation.
     pub fn message_received(&mut self, from: MemberIndex, incarnation: u32, now: Micros) -> SenderStatus {
         (self.last_received_at, self.unacknowledged) = (now, 0);
         let before = self.members.get(&from).copied();
-        // Its own message outranks updates on an earlier incarnation, and on this one, which it refutes elsewhere by raising it.
+        // A member's own message outranks updates on this or an earlier incarnation. Other members accept that it is alive once
+        // it has raised its incarnation.
         if before.is_some_and(|before| before.incarnation > incarnation) {
             return SenderStatus::Behind;
         }
@@ -207,7 +209,8 @@
         }
     }
 
-    /// An update was received. Returns whether it changed anything; one on this sender itself raises its incarnation.
+    /// Records a received update and returns whether it changed anything. An update on this sender itself may raise its
+    /// incarnation.
     pub fn update_received(&mut self, update: MemberUpdate, now: Micros) -> bool {
         let MemberUpdate { member, incarnation, state } = update;
         if member == self.own_index {
@@ -216,7 +219,7 @@
         if member >= self.senders {
             return false;
         }
-        // An update alone does not make a member gone: it is pinged first.
+        // An update alone does not declare a member gone: it is pinged first.
         let state = state.min(State::Suspected);
         let before = self.members.get(&member).map(|before| (before.incarnation, before.state));
         let changed = before.map_or(state != State::Alive, |before| (incarnation, state) > before);
@@ -226,7 +229,7 @@
         changed
     }
 
-    /// Raises this sender's incarnation above one that others take for unavailable, or that is higher than its own.
+    /// Raises this sender's incarnation above one that others consider unavailable, or that is higher than its own.
     fn refute(&mut self, incarnation: u32, state: State) -> bool {
         let raised =
             incarnation >= self.incarnation && (state != State::Alive || incarnation > self.incarnation);
@@ -236,14 +239,14 @@
         raised
     }
 
-    /// The next member to ping: each once in a round, in random order.
+    /// Returns the next member to ping: each once in a round, in random order.
     fn next_target(&mut self, rng: &mut fastrand::Rng) -> Option<MemberIndex> {
         if self.round.is_empty() {
             self.round = (0..self.senders).filter(|member| *member != self.own_index).collect();
             rng.shuffle(&mut self.round);
         }
         let target = self.round.pop()?;
-        // One that is gone is still pinged now and then: it may be back.
+        // Members that are gone are still pinged occasionally: they may be back.
         let skip = self.state(target) == State::Gone && rng.u8(..GONE_PING_RATIO) > 0;
         if skip { self.round.pop() } else { Some(target) }
     }
@@ -261,7 +264,8 @@
         Some(self.start_ping(target, false, now))
     }
 
-    /// A ping was acknowledged, directly or through another member. False where none is pending by that number.
+    /// Records that a ping was acknowledged, directly or through another member. Returns false if no ping of that number is
+    /// pending.
     pub fn ack_received(&mut self, number: PingNumber, now: Micros) -> bool {
         let Some(ping) = self.pending_pings.remove(&number) else { return false };
         let incarnation = self.incarnation_of(ping.target);
@@ -288,7 +292,7 @@
         timeouts
     }
 
-    /// Has other members ping the target, or suspects it where they did so in vain.
+    /// Asks other members to ping the target, or suspects it if they have been asked and it still did not acknowledge.
     fn ping_timed_out(&mut self, number: PingNumber, now: Micros, rng: &mut fastrand::Rng) -> Vec<Ping> {
         let Some(ping) = self.pending_pings.get_mut(&number) else { return Vec::new() };
         let target = ping.target;
@@ -308,7 +312,7 @@
         Vec::new()
     }
 
-    /// A ping was acknowledged neither directly nor indirectly.
+    /// Suspects a member that acknowledged neither directly nor indirectly, unless this sender may be isolated itself.
     fn suspect(&mut self, member: MemberIndex, now: Micros) {
         self.unacknowledged += 1;
         if !self.is_isolated(now) && self.unacknowledged < ISOLATION_PINGS {
@@ -317,7 +321,7 @@
         }
     }
 
-    /// Takes members for gone that have been suspected for long enough.
+    /// Declares members gone that have been suspected for [`SUSPICION_TIMEOUT`].
     fn expire_suspicions(&mut self, now: Micros) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
         for (index, member) in &mut self.members {
@@ -330,7 +334,7 @@
         updates
     }
 
-    /// Pings the suspected members that are due.
+    /// Pings the suspected members whose next ping is due.
     fn ping_suspects(&mut self, now: Micros) -> Vec<Ping> {
         let mut due = Vec::new();
         for (index, member) in &mut self.members {
@@ -342,7 +346,7 @@
         due.into_iter().map(|target| self.start_ping(target, true, now)).collect()
     }
 
-    /// When [`Self::check_timeouts`] has something to do.
+    /// Returns when [`Self::check_timeouts`] next has something to do.
     pub fn next_due(&self) -> Option<Micros> {
         let timeout = |ping: &PendingPing| if ping.is_indirect { PING_EXPIRY } else { PING_TIMEOUT };
         let pings = self.pending_pings.values().map(|ping| ping.at + timeout(ping));
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -1,5 +1,5 @@
 //! Encoding of gossip messages: a version, a checksum, the sender's incarnation and clock, then parts, each with its tag and
-//! length, so that a part with an unknown tag is skipped. A message that is damaged, of another version, or invalid is rejected
+//! length, so that parts with unknown tags can be skipped. A message that is damaged, of another version, or invalid is rejected
 //! as a whole. The body of each part is a postcard value.
 //!
 //! | bytes | content |
@@ -27,9 +27,9 @@
 pub const VERSION: u8 = 1;
 /// Bytes before the first part.
 const HEADER_BYTES: usize = 13;
-/// Where the checksum begins, and where what it covers does.
+/// Offset of the checksum, and of the first byte that it covers.
 const CHECKSUM_AT: usize = 1;
-const CHECKED_FROM: usize = 5;
+const CHECKSUMMED_FROM: usize = 5;
 const INCARNATION_AT: usize = 5;
 const SENT_AT: usize = 9;
 /// Tag and length of a part.
@@ -43,12 +43,12 @@
     Evidence(u16, Evidence),
     /// Asks the receiver to acknowledge, with a digest of what the sender believes.
     Ping {
-        /// Returned by the acknowledgement.
+        /// Identifies the ping; the acknowledgement returns it.
         number: PingNumber,
         /// Digest of the sender's beliefs.
         digest: u32,
     },
-    /// Acknowledges that ping.
+    /// Acknowledges a ping.
     Ack {
         /// The ping's number.
         number: PingNumber,
@@ -57,7 +57,7 @@
     },
     /// Asks the receiver to ping another member and to forward its acknowledgement.
     PingRequest {
-        /// Who is to be pinged.
+        /// The member to ping.
         target: MemberIndex,
         /// The number of the requester's ping.
         number: PingNumber,
@@ -66,18 +66,18 @@
     Member(MemberUpdate),
     /// Asks for units of a destination's quota.
     QuotaRequest {
-        /// Whose quota.
+        /// The destination whose quota is requested.
         destination: u16,
-        /// Returned by the grant.
+        /// Identifies the request; the grant returns it.
         request: RequestId,
-        /// Units that are wanted.
+        /// Requested units.
         units: u32,
     },
-    /// Grants units to that request.
+    /// Grants units to a request.
     QuotaGrant {
         /// The request's number.
         request: RequestId,
-        /// Units that are transferred.
+        /// Transferred units.
         units: u32,
     },
     /// The sender's own counts at a destination.
@@ -93,7 +93,7 @@
 }
 
 impl Writer {
-    /// An empty message of that incarnation, sent now.
+    /// Starts an empty message of a sender's incarnation that is sent now.
     pub fn new(incarnation: u32, now: Micros) -> Self {
         let mut bytes = vec![VERSION, 0, 0, 0, 0];
         bytes.extend(incarnation.to_le_bytes());
@@ -101,7 +101,7 @@
         Self { bytes, now }
     }
 
-    /// Adds a part. Returns false, and leaves the message as it was, where the part doesn't fit or has expired.
+    /// Adds a part. Returns false and leaves the message unchanged if the part doesn't fit or has expired.
     pub fn add(&mut self, part: &Part) -> bool {
         let Some((tag, body)) = body::encode(part, self.now) else { return false };
         if self.bytes.len() + PART_HEADER_BYTES + body.len() > MAX_MESSAGE_BYTES {
@@ -112,15 +112,15 @@
         true
     }
 
-    /// Whether no part was added.
+    /// Returns whether no part was added.
     pub fn is_empty(&self) -> bool {
         self.bytes.len() == HEADER_BYTES
     }
 
-    /// The encoded message.
+    /// Completes the checksum and returns the encoded message.
     pub fn finish(mut self) -> Vec<u8> {
-        let checksum = crc32fast::hash(&self.bytes[CHECKED_FROM..]);
-        self.bytes[CHECKSUM_AT..CHECKED_FROM].copy_from_slice(&checksum.to_le_bytes());
+        let checksum = crc32fast::hash(&self.bytes[CHECKSUMMED_FROM..]);
+        self.bytes[CHECKSUM_AT..CHECKSUMMED_FROM].copy_from_slice(&checksum.to_le_bytes());
         self.bytes
     }
 }
@@ -143,10 +143,10 @@
 }
 
 impl Message {
-    /// Reads the header and the limits of the parts.
+    /// Reads the header and splits the rest into parts, which are not decoded yet.
     ///
     /// # Errors
-    /// Fails where the message has to be rejected.
+    /// Fails if the message has to be rejected.
     pub fn read(bytes: &[u8]) -> Result<Self, Rejected> {
         let Some((header, parts)) = bytes.split_at_checked(HEADER_BYTES) else {
             return Err(Rejected::Foreign);
@@ -157,21 +157,21 @@
         let word =
             |at: usize| u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
         let version = header[0];
-        if crc32fast::hash(&bytes[CHECKED_FROM..]) != word(CHECKSUM_AT) {
+        if crc32fast::hash(&bytes[CHECKSUMMED_FROM..]) != word(CHECKSUM_AT) {
             return Err(if version == VERSION { Rejected::Damaged } else { Rejected::Foreign });
         }
-        // After the checksum: a valid message of another version is not reported as damaged.
+        // Checked after the checksum, so that a valid message of another version is not reported as damaged.
         if version != VERSION {
             return Err(Rejected::Version(version));
         }
         Ok(Self { incarnation: word(INCARNATION_AT), sent_ms: word(SENT_AT), parts: split(parts)? })
     }
 
-    /// Decodes the parts; those with unknown tags are skipped. Times are on the local clock, and earlier by `delay`, which the
-    /// message took beyond the usual.
+    /// Decodes the parts; those with unknown tags are skipped. Ages become times on the local clock, which are earlier by
+    /// `delay`: how much longer than usual the message took.
     ///
     /// # Errors
-    /// Fails where a part is invalid; then none of them counts.
+    /// Fails if a part is invalid; all parts are then discarded.
     pub fn parts(&self, now: Micros, delay: Micros) -> Result<Vec<Part>, Rejected> {
         let decoder = body::Decoder { now, delay };
         let mut parts = Vec::with_capacity(self.parts.len());
@@ -182,7 +182,7 @@
     }
 }
 
-/// Splits what follows the header into parts.
+/// Splits the bytes after the header into parts.
 fn split(mut bytes: &[u8]) -> Result<Vec<EncodedPart>, Rejected> {
     let mut parts = Vec::new();
     while let [tag, length, following @ ..] = bytes {
--- a/crates/gossip/src/message/body.rs
+++ b/crates/gossip/src/message/body.rs
@@ -1,5 +1,5 @@
-//! Bodies of parts. Each is a postcard value, encoded by position: neither the order nor the types of fields may change, nor
-//! may the tags.
+//! Bodies of parts. Each is a postcard value, encoded by position: the order and types of fields must not change, and neither
+//! must the tags.
 
 use serde::{Deserialize, Serialize};
 
@@ -26,9 +26,9 @@
     pub(super) const SYNC_REQUEST: u8 = 12;
 }
 
-/// Resolution of ages, which are rounded down: evidence is never taken for older than it is.
+/// Resolution of ages, which are rounded down: evidence never appears older than it is.
 const AGE_UNIT: Micros = 10_000;
-/// Evidence of this age is not sent any more.
+/// Evidence of this age or more is not sent.
 const MAX_AGE: Micros = 60_000_000;
 
 /// Kinds of failure by their encoded number.
@@ -70,7 +70,7 @@
     remaining: u32,
 }
 
-/// Of a ping and of its acknowledgement.
+/// The body of a ping and of its acknowledgement.
 #[derive(Serialize, Deserialize)]
 struct PingBody {
     number: PingNumber,
@@ -109,12 +109,12 @@
     count: Count,
 }
 
-/// Units of [`AGE_UNIT`] from one time to another, rounded down.
+/// Returns the time between two points in units of [`AGE_UNIT`], rounded down.
 fn age_units(from: Micros, until: Micros) -> u32 {
     (until.saturating_sub(from) / AGE_UNIT) as u32
 }
 
-/// Tag and body of a part; none where its evidence has expired.
+/// Encodes a part to its tag and body. Returns `None` if its evidence has expired.
 pub(super) fn encode(part: &Part, now: Micros) -> Option<(u8, Vec<u8>)> {
     match *part {
         Part::Evidence(destination, evidence) => encode_evidence(destination, evidence, now),
@@ -155,7 +155,7 @@
             encoded(tag::LIMIT, &LimitBody { destination, origin, number, age: age(at)?, rate })
         }
         Evidence::Wait(until) if until > now => {
-            // Unlike ages, what remains is rounded up.
+            // Unlike ages, the remaining time is rounded up.
             let remaining = age_units(now, until + AGE_UNIT - 1);
             encoded(tag::WAIT, &WaitBody { destination, remaining })
         }
@@ -165,14 +165,14 @@
 
 /// Decodes the bodies of one message.
 pub(super) struct Decoder {
-    /// When it was received.
+    /// When the message was received.
     pub(super) now: Micros,
-    /// What it took beyond the usual.
+    /// How much longer than usual the message took.
     pub(super) delay: Micros,
 }
 
 impl Decoder {
-    /// One part; none where its tag is unknown.
+    /// Decodes one part. Returns `None` if its tag is unknown.
     pub(super) fn decode(&self, tag: u8, bytes: &[u8]) -> Result<Option<Part>, Rejected> {
         let part = match tag {
             tag::FAILURE => self.failure(bytes)?,
@@ -208,7 +208,7 @@
         Ok(Some(part))
     }
 
-    /// The local time of what had that age when the message was sent.
+    /// Converts an age at the time of sending to a time on the local clock.
     fn time(&self, age: u32) -> Result<Micros, Rejected> {
         let age = Micros::from(age) * AGE_UNIT;
         require(age < MAX_AGE)?;
@@ -256,12 +256,12 @@
     Ok(Part::Counts(destination, count))
 }
 
-/// Rejects a message that violates a constraint.
+/// Rejects the message unless the condition holds.
 fn require(valid: bool) -> Result<(), Rejected> {
     if valid { Ok(()) } else { Err(Rejected::Contradicts) }
 }
 
-/// Decodes a body that takes up all of its bytes.
+/// Decodes a body, which must take up all of the bytes.
 fn decoded<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Rejected> {
     match postcard::take_from_bytes(bytes) {
         Ok((body, [])) => Ok(body),
--- a/crates/gossip/src/message/error.rs
+++ b/crates/gossip/src/message/error.rs
@@ -1,23 +1,23 @@
-//! Why messages are rejected.
+//! Reasons for rejecting a message.
 
 use std::fmt;
 
 use super::VERSION;
 
-/// Why a message is rejected.
+/// The reason why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejected {
     /// It is not a gossip message.
     Foreign,
-    /// It is of another version.
+    /// It is encoded in another version of the protocol.
     Version(u8),
     /// Its checksum does not match.
     Damaged,
     /// Its content is invalid.
     Contradicts,
-    /// It was delayed for too long.
+    /// It was delayed by more than a second.
     Stale,
-    /// Its sender is not a member.
+    /// Its sender is not a peer in the fleet.
     Unknown,
 }
 
--- a/crates/gossip/src/outbox.rs
+++ b/crates/gossip/src/outbox.rs
@@ -9,7 +9,7 @@
 pub(crate) struct Update {
     pub(crate) destination: u16,
     pub(crate) evidence: Evidence,
-    /// Rounds of dissemination that are left.
+    /// Number of rounds in which it is still to be sent.
     pub(crate) remaining_rounds: u8,
 }
 
@@ -20,10 +20,10 @@
 }
 
 impl Outbox {
-    /// Updates that are queued at most; the least urgent are dropped.
+    /// Maximum number of queued updates; beyond it the least urgent are dropped.
     const CAPACITY: usize = 256;
 
-    /// Queues an update in place of those that it supersedes.
+    /// Queues an update and removes those that it supersedes.
     pub(crate) fn push(&mut self, destination: u16, evidence: Evidence, remaining_rounds: u8) {
         let superseded =
             |update: &Update| update.destination == destination && supersedes(&evidence, &update.evidence);
@@ -34,7 +34,7 @@
     }
 }
 
-/// Order of dissemination, the lower first: outages and Retry-After, then what ends them, then limits.
+/// Returns the position in the order of dissemination: outages and Retry-After first, then clearances, then limits.
 pub(crate) fn urgency(evidence: &Evidence) -> u8 {
     match evidence {
         Evidence::Failure(..) | Evidence::Wait(_) => 0,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether new evidence makes older evidence on the same destination redundant.
+/// Returns whether new evidence makes older evidence on the same destination redundant.
 fn supersedes(new: &Evidence, old: &Evidence) -> bool {
     match (new, old) {
         (Evidence::Failure(a, new), Evidence::Failure(b, old)) => a == b && new.number >= old.number,
--- a/crates/gossip/src/token_bucket.rs
+++ b/crates/gossip/src/token_bucket.rs
@@ -1,10 +1,10 @@
-//! The token bucket that bounds the bytes a sender publishes.
+//! Token bucket that bounds the bytes that a sender publishes.
 
 use crate::{Config, Micros};
 
-/// Tokens that one member costs in a full bucket, in bytes: a message about an outage, twice.
+/// Capacity of the bucket for each member, in bytes: enough for two messages about an outage.
 const BYTES_PER_MEMBER: f64 = 2.0 * 64.0;
-/// Members that a bucket is sized for at least.
+/// Minimum number of members that the capacity is computed for.
 const MIN_MEMBERS: u16 = 4;
 
 /// Bytes that may be published now. Refilled by time and by accepted messages, up to a capacity.
@@ -17,13 +17,13 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(config: &Config, now: Micros) -> Self {
         let capacity = BYTES_PER_MEMBER * f64::from(config.senders.max(MIN_MEMBERS));
         Self { tokens: capacity, refilled_at: now, capacity, per_second: config.byte_budget.per_second }
     }
 
-    /// Tokens that are available, below zero where the bucket is overdrawn.
+    /// Returns the available tokens; negative while the bucket is overdrawn.
     pub(crate) fn available(&self) -> f64 {
         self.tokens
     }
@@ -33,19 +33,19 @@
         self.tokens = (self.tokens + bytes).min(self.capacity);
     }
 
-    /// Adds the tokens of the time since the last call.
+    /// Adds the tokens for the time since the last refill by time.
     pub(crate) fn refill_until(&mut self, now: Micros) {
         let seconds = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = now;
         self.refill(seconds * self.per_second);
     }
 
-    /// Takes tokens for bytes that are sent in any case: the bucket may be overdrawn by its capacity.
+    /// Takes tokens for bytes that are sent in any case, overdrawing the bucket by at most its capacity.
     pub(crate) fn overdraw(&mut self, bytes: usize) {
         self.tokens = (self.tokens - bytes as f64).max(-self.capacity);
     }
 
-    /// Takes tokens where there are enough, and says whether it did.
+    /// Takes tokens if there are enough, and returns whether it did.
     pub(crate) fn try_take(&mut self, bytes: usize) -> bool {
         let enough = self.tokens >= bytes as f64;
         if enough {
--- a/crates/gossip/tests/escrow.rs
+++ b/crates/gossip/tests/escrow.rs
@@ -1,5 +1,5 @@
-//! Quota transfers, checked over all orders in which messages are received, duplicated, delayed or lost, and processes end: at
-//! no moment do the shares in use exceed the limit, and none is used beyond its span.
+//! Model checking of quota transfers over all orders in which messages are received, duplicated, delayed or lost and in which
+//! a process ends: the shares in use never exceed the limit, and no transfer is used beyond its span.
 
 use std::collections::BTreeSet;
 
@@ -7,10 +7,10 @@
 use stateright::{Checker, Model, Property};
 
 const SENDERS: usize = 3;
-const DEST: u16 = 7;
+const DESTINATION: u16 = 7;
 /// Time advances by this much: a quarter of a span.
-const STEP: u64 = SPAN / 4;
-const BEGIN: u64 = 2 * SPAN;
+const TIME_STEP: u64 = SPAN / 4;
+const STARTED_AT: u64 = 2 * SPAN;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
@@ -22,7 +22,7 @@
 struct World {
     now: u64,
     escrows: Vec<QuotaEscrow>,
-    /// Messages that were sent: each may be delivered any number of times, at any time, or never.
+    /// Messages that were sent. Each may be delivered any number of times, at any time, or never.
     network: BTreeSet<Message>,
     requests: usize,
     is_killed: bool,
@@ -50,7 +50,7 @@
     fn init_states(&self) -> Vec<World> {
         let escrows = (0..SENDERS).map(|n| QuotaEscrow::new(0, 1_000 * n as u32)).collect();
         vec![World {
-            now: BEGIN,
+            now: STARTED_AT,
             escrows,
             network: BTreeSet::new(),
             requests: 0,
@@ -60,7 +60,7 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
-        if world.now < BEGIN + self.steps * STEP {
+        if world.now < STARTED_AT + self.steps * TIME_STEP {
             actions.push(Step::Advance);
         }
         if world.requests < self.requests {
@@ -77,10 +77,10 @@
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
         let mut world = world.clone();
         match step {
-            Step::Advance => world.now += STEP,
+            Step::Advance => world.now += TIME_STEP,
             Step::Request(from) => {
                 world.requests += 1;
-                let request = world.escrows[from].request(DEST, EVEN_SHARE / 2, world.now)?;
+                let request = world.escrows[from].request(DESTINATION, EVEN_SHARE / 2, world.now)?;
                 let others = (0..SENDERS).filter(|to| *to != from);
                 world.network.extend(others.map(|to| Message::Request {
                     from,
@@ -93,8 +93,9 @@
                 world.deliveries += 1;
                 match message {
                     Message::Request { from, to, request, units } => {
-                        let wanted = QuotaRequest { from: from as u16, request, destination: DEST, units };
-                        let granted = world.escrows[to].grant(wanted, EVEN_SHARE, world.now)?;
+                        let quota_request =
+                            QuotaRequest { from: from as u16, request, destination: DESTINATION, units };
+                        let granted = world.escrows[to].grant(quota_request, EVEN_SHARE, world.now)?;
                         world.network.insert(Message::Grant { from: to, to: from, request, units: granted });
                     }
                     Message::Grant { from, to, request, units } => {
@@ -113,22 +114,23 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("the shares in use do not exceed the limit", |_, world: &World| {
-                let all: u32 = world.escrows.iter().map(|escrow| escrow.usable_units(DEST, world.now)).sum();
+                let all: u32 =
+                    world.escrows.iter().map(|escrow| escrow.usable_units(DESTINATION, world.now)).sum();
                 all <= SENDERS as u32 * EVEN_SHARE
             }),
             Property::always("no transfer is used beyond its span", |_, world: &World| {
                 let later = world.now + SPAN;
-                world.escrows.iter().all(|escrow| escrow.usable_units(DEST, later) <= EVEN_SHARE)
+                world.escrows.iter().all(|escrow| escrow.usable_units(DESTINATION, later) <= EVEN_SHARE)
             }),
             Property::sometimes("a transfer is used", |_, world: &World| {
-                world.escrows.iter().any(|escrow| escrow.usable_units(DEST, world.now) > EVEN_SHARE)
+                world.escrows.iter().any(|escrow| escrow.usable_units(DESTINATION, world.now) > EVEN_SHARE)
             }),
         ]
     }
 }
 
 #[test]
-fn no_order_of_messages_and_ends_exceeds_the_limit() {
+fn shares_in_use_never_exceed_the_limit_in_any_order_of_messages_and_kills() {
     let checker =
         EscrowModel { steps: 5, requests: 2, deliveries: 4 }.checker().threads(2).spawn_bfs().join();
     println!("{} states", checker.unique_state_count());
--- a/crates/gossip/tests/joins.rs
+++ b/crates/gossip/tests/joins.rs
@@ -1,4 +1,5 @@
-//! Evidence is a join semilattice: joined in any order, any number of times and by any path it gives the same state.
+//! Evidence is a join semilattice: joining the same items in any order, any number of times and by any path gives the same
+//! state.
 
 use gossip::evidence::{EXPIRY, Evidence, Failure, FailureKind, Limit, SINGLE_FAILURE_EXPIRY};
 use gossip::evidence_set::{EvidenceSet, MAX_ORIGINS, OUTAGE_WEIGHT};
@@ -6,7 +7,7 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// Evidence as honest senders number it: the higher number of one sender is the later.
+/// Generates evidence as correct senders number it: of one sender, a higher number has a later time.
 fn evidence() -> impl Strategy<Value = Evidence> {
     let kind =
         prop_oneof![Just(FailureKind::Unreachable), Just(FailureKind::Silent), Just(FailureKind::Failing)];
@@ -23,7 +24,7 @@
     ]
 }
 
-fn all(items: &[Evidence]) -> EvidenceSet {
+fn joined(items: &[Evidence]) -> EvidenceSet {
     let mut set = EvidenceSet::default();
     for item in items {
         set.join(*item);
@@ -31,7 +32,7 @@
     set
 }
 
-/// What is compared of two states: outranked evidence may be retained by one and evicted by the other.
+/// Returns the part of a state that must be equal: outranked evidence may be retained in one and evicted in the other.
 fn effective(set: &EvidenceSet, now: u64) -> (bool, Option<f32>, u64) {
     let belief = set.belief(now);
     (belief.unhealthy.is_some(), belief.limit.map(|limit| limit.rate), belief.wait_until)
@@ -42,9 +43,9 @@
 
     #[test]
     fn joins_are_commutative(a in prop::collection::vec(evidence(), 0..12), b in prop::collection::vec(evidence(), 0..12)) {
-        let (mut ab, mut ba) = (all(&a), all(&b));
-        ab.join_all(&all(&b));
-        ba.join_all(&all(&a));
+        let (mut ab, mut ba) = (joined(&a), joined(&b));
+        ab.join_all(&joined(&b));
+        ba.join_all(&joined(&a));
         prop_assert_eq!(ab, ba);
     }
 
@@ -54,46 +55,46 @@
         b in prop::collection::vec(evidence(), 0..9),
         c in prop::collection::vec(evidence(), 0..9),
     ) {
-        let (mut left, mut right) = (all(&a), all(&b));
-        left.join_all(&all(&b));
-        left.join_all(&all(&c));
-        right.join_all(&all(&c));
-        let mut joined = all(&a);
-        joined.join_all(&right);
-        prop_assert_eq!(left, joined);
+        let (mut left, mut right) = (joined(&a), joined(&b));
+        left.join_all(&joined(&b));
+        left.join_all(&joined(&c));
+        right.join_all(&joined(&c));
+        let mut other = joined(&a);
+        other.join_all(&right);
+        prop_assert_eq!(left, other);
     }
 
     #[test]
-    fn joins_are_idempotent_and_only_grow(a in prop::collection::vec(evidence(), 0..12)) {
-        let once = all(&a);
+    fn joins_are_idempotent(a in prop::collection::vec(evidence(), 0..12)) {
+        let once = joined(&a);
         let mut twice = once.clone();
         prop_assert!(!twice.join_all(&once));
         prop_assert_eq!(&twice, &once);
     }
 
     #[test]
-    fn the_order_of_evidence_does_not_matter(
+    fn order_and_duplicates_of_evidence_do_not_matter(
         mut items in prop::collection::vec(evidence(), 0..14), seed: u64,
     ) {
-        let one = all(&items);
+        let in_order = joined(&items);
         fastrand::Rng::with_seed(seed).shuffle(&mut items);
         items.extend_from_within(..items.len() / 2);
-        prop_assert_eq!(effective(&all(&items), 9 * SECOND), effective(&one, 9 * SECOND));
+        prop_assert_eq!(effective(&joined(&items), 9 * SECOND), effective(&in_order, 9 * SECOND));
     }
 
     #[test]
     fn every_outage_expires(items in prop::collection::vec(evidence(), 0..14)) {
-        let set = all(&items);
+        let set = joined(&items);
         prop_assert!(set.belief(9 * SECOND + EXPIRY).unhealthy.is_none());
     }
 
-    /// However much evidence one sender publishes, under whatever numbers, it alone is no outage.
+    /// One sender publishes any number of failures, under any numbers.
     #[test]
     fn evidence_of_one_sender_is_never_an_outage(numbers in prop::collection::vec((1..90u64, 1..255u8), 1..30)) {
         let failure = |(number, calls): &(u64, u8)| {
             Evidence::Failure(3, Failure { number: *number, at: 90 * SECOND, kind: FailureKind::Unreachable, calls: *calls })
         };
-        let set = all(&numbers.iter().map(failure).collect::<Vec<_>>());
+        let set = joined(&numbers.iter().map(failure).collect::<Vec<_>>());
         prop_assert!(set.belief(90 * SECOND).unhealthy.is_none());
     }
 }
@@ -104,26 +105,29 @@
 
 #[test]
 fn two_senders_with_consecutive_failures_or_three_with_one_are_an_outage() {
-    let mut set = all(&[failure(1, 1, SECOND, 2)]);
+    let mut set = joined(&[failure(1, 1, SECOND, 2)]);
     assert!(set.belief(SECOND).unhealthy.is_none());
     set.join(failure(2, 1, SECOND, 1));
     assert!(set.belief(SECOND).unhealthy.is_some(), "{OUTAGE_WEIGHT} in weight");
-    let three = all(&[failure(1, 1, SECOND, 1), failure(2, 1, SECOND, 1), failure(3, 1, SECOND, 1)]);
+    let three = joined(&[failure(1, 1, SECOND, 1), failure(2, 1, SECOND, 1), failure(3, 1, SECOND, 1)]);
     assert!(three.belief(SECOND).unhealthy.is_some());
     assert!(three.belief(SECOND + SINGLE_FAILURE_EXPIRY).unhealthy.is_none());
 }
 
-/// A clearance outranks the evidence that its sender had, and nothing else, however late either is received.
+/// A clearance outranks evidence up to the number that it names and no newer one, in whichever order they are received.
 #[test]
 fn a_success_outranks_the_evidence_from_before_its_call_started() {
-    let mut set = all(&[failure(1, 5, SECOND, 3), failure(2, 7, SECOND, 3)]);
+    let mut set = joined(&[failure(1, 5, SECOND, 3), failure(2, 7, SECOND, 3)]);
     set.join(Evidence::Cleared(1, 5, SECOND));
     set.join(Evidence::Cleared(2, 6, SECOND));
-    assert!(set.belief(SECOND).unhealthy.is_none(), "one sender is left, which alone is no outage");
+    assert!(set.belief(SECOND).unhealthy.is_none(), "one sender's evidence is left, which is no outage");
     set.join(failure(1, 5, SECOND, 3));
-    assert!(set.belief(SECOND).unhealthy.is_none(), "outranked evidence has no effect again");
+    assert!(
+        set.belief(SECOND).unhealthy.is_none(),
+        "outranked evidence takes no effect when it is received again"
+    );
     set.join(failure(1, 6, SECOND, 3));
-    assert!(set.belief(SECOND).unhealthy.is_some(), "newer evidence has");
+    assert!(set.belief(SECOND).unhealthy.is_some(), "newer evidence takes effect");
 }
 
 #[test]
--- a/crates/gossip/tests/network/net.rs
+++ b/crates/gossip/tests/network/net.rs
@@ -1,5 +1,5 @@
-//! Senders on a network that loses, duplicates, delays and cuts off messages, each with a clock of its own. One seed gives one
-//! run.
+//! Simulates senders, each with a clock of its own, on a network that loses, duplicates and delays messages and that can be
+//! partitioned. A simulation is determined by its seed.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 /// Senders are polled at this interval.
 const TICK: Micros = 20_000;
 
-/// What the network does to messages.
+/// How the network treats messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
     pub loss: f64,
@@ -27,13 +27,13 @@
 struct Node {
     gossip: Gossip,
     /// Its clock is ahead of the simulation's by this much.
-    ahead: Micros,
+    clock_offset: Micros,
     is_running: bool,
-    /// It is stopped until then.
+    /// It is paused until then.
     paused_until: Micros,
 }
 
-/// Ordered by when it is delivered, then by when it was sent.
+/// A message on the network, ordered by when it is delivered, then by when it was sent.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct InFlight {
     deliver_at: Micros,
@@ -53,7 +53,7 @@
     in_flight: BinaryHeap<Reverse<InFlight>>,
     copies_sent: u64,
     pub rng: fastrand::Rng,
-    /// Whether a message from the first can't reach the second.
+    /// Returns whether messages from the first member can't reach the second.
     pub cut: Box<dyn Fn(MemberIndex, MemberIndex) -> bool>,
     /// Largest share of a watched limit that was in use.
     pub max_in_use: f64,
@@ -77,10 +77,10 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let config = config(senders, broadcast);
         let begin = 100 * SECOND;
-        let node = |me: MemberIndex| {
-            let ahead = rng.u64(0..1_000 * SECOND);
-            let gossip = Gossip::new(Config { member: me, ..config }, rng.u64(..), begin + ahead);
-            Node { gossip, ahead, is_running: true, paused_until: 0 }
+        let node = |member: MemberIndex| {
+            let clock_offset = rng.u64(0..1_000 * SECOND);
+            let gossip = Gossip::new(Config { member, ..config }, rng.u64(..), begin + clock_offset);
+            Node { gossip, clock_offset, is_running: true, paused_until: 0 }
         };
         let nodes = (0..senders).map(node).collect();
         Self {
@@ -100,26 +100,26 @@
     }
 
     pub fn clock(&self, member: MemberIndex) -> Micros {
-        self.now + self.nodes[usize::from(member)].ahead
+        self.now + self.nodes[usize::from(member)].clock_offset
     }
 
-    pub fn observe(&mut self, member: MemberIndex, destination: u16, seen: Observation) {
+    pub fn observe(&mut self, member: MemberIndex, destination: u16, outcome: Observation) {
         let now = self.clock(member);
-        let seen = match seen {
+        let outcome = match outcome {
             // The caller uses the simulation's clock.
             Observation::Success(started) => {
-                Observation::Success(started + self.nodes[usize::from(member)].ahead)
+                Observation::Success(started + self.nodes[usize::from(member)].clock_offset)
             }
             other => other,
         };
         if self.is_scheduled(member) {
-            self.nodes[usize::from(member)].gossip.observe(destination, seen, now);
+            self.nodes[usize::from(member)].gossip.observe(destination, outcome, now);
         }
     }
 
-    pub fn with<T>(&mut self, member: MemberIndex, act: impl FnOnce(&mut Gossip, Micros) -> T) -> T {
+    pub fn with<T>(&mut self, member: MemberIndex, action: impl FnOnce(&mut Gossip, Micros) -> T) -> T {
         let now = self.clock(member);
-        act(&mut self.nodes[usize::from(member)].gossip, now)
+        action(&mut self.nodes[usize::from(member)].gossip, now)
     }
 
     pub fn belief(&self, member: MemberIndex, destination: u16) -> Belief {
@@ -134,7 +134,7 @@
         self.nodes.len() as MemberIndex
     }
 
-    /// Of the running senders, the share that takes the destination for unhealthy.
+    /// Returns the share of the running senders that believe the destination to be unhealthy.
     pub fn share_believing(&self, destination: u16) -> f64 {
         let running: Vec<MemberIndex> =
             (0..self.senders()).filter(|member| self.nodes[usize::from(*member)].is_running).collect();
@@ -150,9 +150,9 @@
     pub fn start(&mut self, member: MemberIndex) {
         let (config, seed) = (Config { member, ..self.config }, self.rng.u64(..));
         let node = &mut self.nodes[usize::from(member)];
-        // With an incarnation that is not higher: its peers raise it.
+        // The incarnation is not higher: messages of its peers make the sender raise it.
         node.is_running = true;
-        node.gossip = Gossip::new(config, seed, self.now + node.ahead);
+        node.gossip = Gossip::new(config, seed, self.now + node.clock_offset);
     }
 
     pub fn pause(&mut self, member: MemberIndex, span: Micros) {
@@ -180,19 +180,19 @@
         }
     }
 
-    /// Runs for a span; `each` is called in every tick.
-    pub fn run(&mut self, span: Micros, mut each: impl FnMut(&mut Self)) {
+    /// Advances the simulation by a span, and calls `on_tick` in every tick.
+    pub fn run(&mut self, span: Micros, mut on_tick: impl FnMut(&mut Self)) {
         let until = self.now + span;
         while self.now < until {
             self.now += TICK;
             self.deliver();
-            each(self);
+            on_tick(self);
             self.poll_senders();
             self.count_in_use();
         }
     }
 
-    /// Delivers what is due; a stopped sender receives it when it runs again.
+    /// Delivers the messages that are due; a paused sender receives them when it continues.
     fn deliver(&mut self) {
         let mut deferred = Vec::new();
         while self.in_flight.peek().is_some_and(|next| next.0.deliver_at <= self.now) {
@@ -210,7 +210,7 @@
         self.in_flight.extend(deferred);
     }
 
-    /// Has every running sender publish what is due.
+    /// Lets every scheduled sender publish what is due.
     fn poll_senders(&mut self) {
         for member in 0..self.senders() {
             if !self.is_scheduled(member) {
@@ -231,7 +231,8 @@
         }
     }
 
-    /// Sums up the quota in use; a stopped sender may continue at any moment, by its clock as it is then.
+    /// Records the largest share of the watched limits in use. Paused senders count, since they may continue at any moment, with
+    /// their clocks as they are then.
     fn count_in_use(&mut self) {
         for destination in self.watched.clone() {
             let units: u64 = (0..self.senders())
@@ -246,7 +247,7 @@
     }
 }
 
-/// Random calls to a destination: each sender makes them at this rate on average, and observes their outcome.
+/// Simulates random calls to a destination: each sender makes `per_second` calls on average and observes their outcomes.
 pub struct Calls {
     pub destination: u16,
     pub per_second: f64,
@@ -266,14 +267,14 @@
         }
     }
 
-    /// Whether a sender backs off: it believes in an outage, and none of its calls succeeded for three seconds.
+    /// Returns whether a sender backs off: it believes in an outage, and none of its calls succeeded for three seconds.
     pub fn is_backing_off(&self, net: &Net, member: MemberIndex) -> bool {
         let recently_succeeded = self.succeeded_at.get(&member).is_some_and(|at| net.now < at + 3 * SECOND);
         !recently_succeeded && net.belief(member, self.destination).unhealthy.is_some()
     }
 
-    /// The calls of one tick, at a destination that fails for the senders that `is_unhealthy` selects. Senders that back off call
-    /// a tenth as often.
+    /// Makes the calls of one tick. They fail for the senders that `is_unhealthy` selects, and for the others with probability
+    /// `noise`. Senders that back off call a tenth as often.
     pub fn tick(
         &mut self,
         net: &mut Net,
