--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,10 +1,11 @@
 //! Sharding of one process over several threads: which shard owns which destination, how shared capacity is leased to shards,
-//! and who receives what while destinations migrate. `docs/sharding.md` explains what is partitioned and what is shared.
+//! and which shard is notified of what while destinations migrate. `docs/sharding.md` explains what is partitioned and what is
+//! shared.
 //!
-//! - [`OwnershipMap`]: each destination's one owner, as an immutable value that is replaced atomically.
-//! - [`AttemptRouter`]: a shard's view of attempts on its connections that other shards own, and vice versa.
+//! - [`OwnershipMap`]: the owner of each destination, as an immutable value that is replaced atomically.
+//! - [`AttemptRouter`]: a shard's view of attempts on its connections that other shards own, and of its attempts on theirs.
 //! - [`LeasePool`]: capacity of the whole process (call slots, messages, descriptors), leased to shards.
-//! - [`Planner`]: when it is worth it to migrate a destination.
+//! - [`Planner`]: proposes migrations of destinations to even out the load.
 //!
 //! The package must not do I/O, read a clock or decide on a message.
 #![forbid(unsafe_code)]
@@ -22,5 +23,5 @@
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
 
-/// Shards of one process at most.
+/// Maximum number of shards in one process.
 pub const MAX_SHARDS: usize = 64;
--- a/crates/sharding/src/ownership.rs
+++ b/crates/sharding/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Which shard owns which destination.
+//! Ownership of destinations by shards.
 
 use rpds::RedBlackTreeMapSync;
 
@@ -10,28 +10,28 @@
 /// Multiplier of a Fibonacci hash of 32 bits.
 const HASH_MULTIPLIER: u32 = 0x9e37_79b9;
 
-/// A shard of the process, from 0.
+/// Identifies a shard of the process, from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardId(pub u8);
 
 impl ShardId {
-    /// The shard that the others are drained to.
+    /// The shard that others are drained to.
     const FIRST: Self = Self(0);
 
-    /// Its index among the shards.
+    /// Returns its index among the shards.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// Each destination's owner. A value never changes; [`Self::with`] makes the next version, which shares structure with the
-/// previous one, so that a reader sees one version for as long as it needs.
+/// The owner of each destination. A value is immutable; [`Self::with`] returns the next version, which shares structure with the
+/// previous one, so that a reader sees one consistent version for as long as it needs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OwnershipMap {
     shards: u8,
-    /// The home of all destinations, if it is one shard; else they are hashed.
+    /// The home of all destinations; if `None`, they are hashed over the shards.
     common_home: Option<ShardId>,
-    /// Owners of destinations that are not at home.
+    /// Owners of destinations that are not owned by their home.
     overrides: RedBlackTreeMapSync<u16, ShardId>,
     /// Shards that were drained to the first, one bit each.
     drained: u64,
@@ -46,33 +46,33 @@
         Self { shards, common_home: None, overrides, drained: 0, version: 0 }
     }
 
-    /// Gives all destinations to one shard, as after a process with a single one.
+    /// Assigns all destinations to one shard, as after a hand-over, which a predecessor makes from a single shard.
     pub fn all_on(shards: usize, owner: ShardId) -> Self {
         Self { common_home: Some(owner), ..Self::hashed(shards) }
     }
 
-    /// Number of shards.
+    /// Returns the number of shards.
     pub fn shards(&self) -> usize {
         self.shards.into()
     }
 
-    /// Number of changes.
+    /// Returns the number of changes since the first version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Number of destinations that are not at home.
+    /// Returns the number of destinations that are not owned by their home.
     pub fn overrides(&self) -> usize {
         self.overrides.size()
     }
 
-    /// A destination's owner.
+    /// Returns a destination's owner.
     pub fn owner(&self, destination: u16) -> ShardId {
         self.overrides.get(&destination).copied().unwrap_or_else(|| self.home(destination))
     }
 
-    /// A destination's owner without a migration. The hash guards against neighbours on one shard: numbers are assigned
-    /// consecutively, and often by size.
+    /// Returns a destination's owner without migrations. The hash places consecutive numbers on different shards, since numbers
+    /// are assigned consecutively, and often by size.
     fn home(&self, destination: u16) -> ShardId {
         let hash = u32::from(destination).wrapping_mul(HASH_MULTIPLIER);
         let index = (u64::from(hash) * u64::from(self.shards)) >> u32::BITS;
@@ -80,17 +80,17 @@
         if self.is_drained(home) { ShardId::FIRST } else { home }
     }
 
-    /// Whether a shard was drained to the first.
+    /// Returns whether a shard was drained to the first.
     pub fn is_drained(&self, shard: ShardId) -> bool {
         self.drained >> shard.0 & 1 == 1
     }
 
-    /// Whether all shards but the first were drained.
+    /// Returns whether all shards but the first were drained.
     pub fn all_drained(&self) -> bool {
         (1..self.shards).all(|shard| self.is_drained(ShardId(shard)))
     }
 
-    /// The next version, in which the first shard owns all that this one did, including destinations not seen yet.
+    /// Returns the next version, in which the first shard owns all destinations of `shard`, including those not seen yet.
     #[must_use]
     pub fn with_drained(&self, shard: ShardId) -> Self {
         let drained = self.drained | 1 << shard.0;
@@ -102,7 +102,7 @@
         next
     }
 
-    /// The next version, in which one destination has another owner.
+    /// Returns the next version, in which one destination has another owner.
     #[must_use]
     pub fn with(&self, destination: u16, owner: ShardId) -> Self {
         let overrides = if self.home(destination) == owner {
--- a/crates/sharding/src/ownership/tests.rs
+++ b/crates/sharding/src/ownership/tests.rs
@@ -1,9 +1,9 @@
-//! Destinations are spread evenly, and a migration changes one owner alone.
+//! Destinations are spread evenly, and a migration changes the owner of one destination only.
 
 use super::*;
 
 #[test]
-fn all_shards_own_some_and_a_migration_changes_one_owner_alone() {
+fn destinations_are_spread_evenly_and_a_migration_changes_one_owner_only() {
     for count in [1, 2, 3, 4, 8] {
         let ownership = OwnershipMap::hashed(count);
         for range in [7..15u16, 0..64, 1000..1064] {
@@ -18,7 +18,7 @@
         assert_eq!(
             migrated.with(7, ownership.owner(7)).overrides(),
             0,
-            "back at its home, it has no override"
+            "migrated back to its home, it has no override"
         );
     }
     assert!((0..500).all(|d| OwnershipMap::all_on(4, ShardId(0)).owner(d) == ShardId(0)));
@@ -27,9 +27,9 @@
     assert!((0..500).all(|d| drained.owner(d)
         == if ownership.owner(d) == ShardId(1) { ShardId(0) } else { ownership.owner(d) }));
     assert!(!drained.all_drained() && drained.with_drained(ShardId(2)).all_drained());
-    let back = drained.with_drained(ShardId(2)).with(7, ShardId(2));
+    let migrated_later = drained.with_drained(ShardId(2)).with(7, ShardId(2));
     assert!(
-        (0..500).all(|d| back.owner(d) == ShardId(if d == 7 { 2 } else { 0 })),
+        (0..500).all(|d| migrated_later.owner(d) == ShardId(if d == 7 { 2 } else { 0 })),
         "a later migration takes effect"
     );
 }
--- a/crates/sharding/src/planner.rs
+++ b/crates/sharding/src/planner.rs
@@ -1,4 +1,4 @@
-//! When it is worth it to migrate a destination to another shard.
+//! Planning of migrations of destinations to other shards, to even out the load.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,23 @@
 #[cfg(test)]
 mod tests;
 
-/// Share of the mean load by which the busiest shard may exceed the idlest before anything migrates.
+/// A destination migrates only if the load of the busiest shard exceeds that of the idlest by more than this share of the mean.
 const MAX_IMBALANCE: f64 = 0.25;
-/// Consecutive rounds for which it has to: guards against migrations for a burst that has ended by the time they are made.
+/// Consecutive rounds with such an imbalance before a destination migrates, so that a short burst, which would have ended before
+/// the migration takes effect, causes none.
 const MIN_UNEVEN_ROUNDS: u32 = 4;
-/// Share of the gap that a migration may leave: guards against migrations back and forth.
+/// Maximum share of the gap that may remain after a migration, so that destinations do not migrate back and forth.
 const MAX_REMAINING_GAP: f64 = 0.75;
-/// A destination that has migrated, or could not, stays for this time.
+/// A destination for which a migration was planned, successful or not, stays for this time.
 const COOLDOWN: Micros = 10_000_000;
-/// Weight of a round in the smoothed load.
+/// Weight of the latest round in the smoothed load.
 const SMOOTHING: f64 = 0.15;
-/// Destinations with less smoothed load per round are dropped.
+/// Destinations with less smoothed load per round are no longer tracked.
 const MIN_TRACKED_LOAD: f64 = 0.01;
-/// With less load per round on the busiest shard nothing migrates: there is nothing to gain.
+/// If the busiest shard has less load per round, nothing migrates, since it would gain nothing.
 const MIN_PEAK_LOAD: f64 = 20.0;
 
-/// The load of a destination in one round, in any unit that is the same for all.
+/// The load of a destination in one round, in any unit that is the same for all destinations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DestinationLoad {
     /// The destination.
@@ -33,12 +34,12 @@
     pub work: f64,
 }
 
-/// A destination that is to have another owner.
+/// A migration of a destination to another owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Migration {
     /// The destination.
     pub destination: u16,
-    /// Its owner.
+    /// Its current owner.
     pub from: ShardId,
     /// Its next owner.
     pub to: ShardId,
@@ -47,18 +48,19 @@
 /// The outcome of a round.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Plan {
-    /// The load is even enough, or was not uneven for long.
+    /// The load is even enough, or has not been uneven for long enough.
     Stay,
-    /// The load is uneven, and no migration improves that: most of it is of one destination, or of those in their cooldown.
+    /// The load is uneven, but no migration improves that: most of it belongs to one destination, or to destinations in their
+    /// cooldown.
     Hotspot {
         /// The busiest shard.
         shard: ShardId,
         /// Its busiest destination.
         destination: u16,
-        /// That one's share of the shard's load, from 0 to 1.
+        /// That destination's share of the shard's load, from 0 to 1.
         share: f64,
     },
-    /// One destination is to migrate.
+    /// One destination should migrate.
     Migrate(Migration),
 }
 
@@ -76,7 +78,7 @@
     idlest: ShardId,
     /// Load of the busiest.
     peak: f64,
-    /// What the busiest has more than the idlest.
+    /// Difference in load between the busiest and the idlest.
     gap: f64,
     mean: f64,
 }
@@ -86,30 +88,30 @@
         self.peak >= MIN_PEAK_LOAD && self.gap > MAX_IMBALANCE * self.mean
     }
 
-    /// The gap that the migration of a destination with that load would leave.
+    /// Returns the gap that would remain after the migration of a destination with that load.
     fn remaining_gap(&self, work: f64) -> f64 {
         (self.gap - 2.0 * work).abs()
     }
 }
 
-/// Tracks smoothed loads, and proposes at most one migration a round.
+/// Tracks smoothed loads and proposes at most one migration per round.
 #[derive(Debug, Clone)]
 pub struct Planner {
     shards: usize,
     work: BTreeMap<u16, TrackedLoad>,
     /// Consecutive rounds with a relevant imbalance.
     uneven_rounds: u32,
-    /// When cooldowns end.
+    /// When the cooldown of a destination ends.
     cooldowns: BTreeMap<u16, Micros>,
 }
 
 impl Planner {
-    /// For so many shards.
+    /// Creates a planner for `shards` shards.
     pub fn new(shards: usize) -> Self {
         Self { shards: shards.max(1), work: BTreeMap::new(), uneven_rounds: 0, cooldowns: BTreeMap::new() }
     }
 
-    /// A round has ended with these loads; destinations that are not among them had none.
+    /// Ends a round with these loads and returns its plan. Destinations that are not among them had no load.
     pub fn round(&mut self, now: Micros, loads: &[DestinationLoad]) -> Plan {
         self.cooldowns.retain(|_, until| *until > now);
         self.track(loads);
@@ -128,7 +130,7 @@
         Plan::Migrate(Migration { destination, from: imbalance.busiest, to: imbalance.idlest })
     }
 
-    /// Smooths the loads of a round.
+    /// Adds the loads of a round to the smoothed ones.
     fn track(&mut self, loads: &[DestinationLoad]) {
         for tracked in self.work.values_mut() {
             tracked.work *= 1.0 - SMOOTHING;
@@ -157,13 +159,13 @@
         }
     }
 
-    /// Destinations of a shard with their loads.
+    /// Returns the destinations of a shard with their smoothed loads.
     fn loads_of(&self, shard: ShardId) -> impl Iterator<Item = (u16, f64)> {
         let on_shard = self.work.iter().filter(move |(_, tracked)| tracked.shard == shard);
         on_shard.map(|(destination, tracked)| (*destination, tracked.work))
     }
 
-    /// The destination whose migration leaves the smallest gap, if that is small enough.
+    /// Returns the destination whose migration leaves the smallest gap, if that is small enough.
     fn candidate(&self, imbalance: &Imbalance) -> Option<u16> {
         let movable = self
             .loads_of(imbalance.busiest)
@@ -174,7 +176,7 @@
         best.map(|(destination, _)| destination)
     }
 
-    /// The busiest destination of the busiest shard.
+    /// Reports the busiest destination of the busiest shard.
     fn hotspot(&self, imbalance: &Imbalance) -> Plan {
         let shard = imbalance.busiest;
         match self.loads_of(shard).max_by(|a, b| a.1.total_cmp(&b.1)) {
@@ -183,7 +185,7 @@
         }
     }
 
-    /// A migration was made: the destination's load counts for its new owner.
+    /// Records a completed migration: the destination's load counts for its new owner.
     pub fn migrated(&mut self, migration: Migration) {
         if let Some(tracked) = self.work.get_mut(&migration.destination) {
             tracked.shard = migration.to;
--- a/crates/sharding/src/planner/tests.rs
+++ b/crates/sharding/src/planner/tests.rs
@@ -1,4 +1,4 @@
-//! Migrations even out lasting imbalances, and only those.
+//! Migrations even out lasting imbalances and no others.
 
 use super::*;
 use crate::OwnershipMap;
@@ -42,7 +42,7 @@
     Outcome { migrations, relative_peak, last_plan }
 }
 
-/// Guards `MAX_REMAINING_GAP`, `MIN_UNEVEN_ROUNDS` and the choice of the best: a heavy tail is evened out in few migrations.
+/// Covers `MAX_REMAINING_GAP`, `MIN_UNEVEN_ROUNDS` and the choice of the best candidate, which keep the migrations few.
 #[test]
 fn a_heavy_tail_is_evened_out_by_few_migrations() {
     for shards in [2, 4, 8] {
@@ -61,7 +61,7 @@
     assert!(is_hotspot, "{last_plan:?}");
 }
 
-/// Guards `MIN_UNEVEN_ROUNDS` and the smoothing: bursts of a round or two cause no migration.
+/// Covers `MIN_UNEVEN_ROUNDS` and the smoothing, which ignore bursts of one or two rounds.
 #[test]
 fn short_bursts_cause_no_migration() {
     let bursts = |round: u64| {
@@ -69,30 +69,30 @@
             .map(|d| (d, if round.is_multiple_of(8) && u64::from(d) == round / 8 % 16 { 90.0 } else { 50.0 }))
             .collect()
     };
-    // What is uneven from the start is evened out, and nothing after that.
+    // Only the initial imbalance is evened out; later rounds cause no migrations.
     let early = simulate(4, 60, bursts).migrations;
     let late = simulate(4, 1_000, bursts).migrations;
     assert!(early.len() <= 2 && late == early, "{early:?}, {late:?}");
 }
 
-/// Guards `COOLDOWN`: fluctuating loads cause few migrations, and a lasting change is followed.
+/// Covers `COOLDOWN`, which bounds the migrations that fluctuating loads cause; a lasting change is still evened out.
 #[test]
-fn fluctuating_loads_cause_few_migrations() {
+fn fluctuating_loads_cause_few_migrations_and_a_lasting_change_is_evened_out() {
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let fluctuating = |_| (0..12u16).map(|d| (d, 200.0 * rng.f64())).collect();
         let migrations = simulate(4, 400, fluctuating).migrations;
-        // Twelve destinations, each at most once in ten seconds of the hundred.
+        // Twelve destinations, each of which migrates at most once per ten seconds of the simulated hundred.
         assert!(migrations.len() <= 40, "seed {seed}: {} migrations", migrations.len());
     }
-    let jump =
+    let load_shift =
         |round: u64| (0..16u16).map(|d| (d, if (d < 8) == (round < 200) { 100.0 } else { 10.0 })).collect();
-    let relative_peak = simulate(4, 400, jump).relative_peak;
+    let relative_peak = simulate(4, 400, load_shift).relative_peak;
     assert!(relative_peak < 1.0 + MAX_IMBALANCE, "{relative_peak}");
 }
 
 #[test]
-fn little_work_causes_no_migration_and_state_of_inactive_destinations_is_dropped() {
+fn low_load_causes_no_migration_and_state_of_inactive_destinations_is_dropped() {
     assert_eq!(simulate(4, 100, |_| vec![(7, 10.0), (8, 1.0)]).migrations, []);
     let mut planner = Planner::new(2);
     planner.round(
--- a/crates/sharding/src/pool.rs
+++ b/crates/sharding/src/pool.rs
@@ -1,19 +1,20 @@
-//! Capacity of the whole process that can't be duplicated: call slots, messages, descriptors.
+//! Leases of capacity that the whole process has only once: call slots, messages, descriptors.
 
 use crate::ShardId;
 
 #[cfg(test)]
 mod tests;
 
-/// A shard's reserve is one part in so many of an even share.
+/// A shard's reserve is an even share divided by this.
 const RESERVE_DIVISOR: usize = 16;
 
-/// A shard's lease, and the shards that it concerns.
+/// A shard's lease after its report, and the shards that are affected by it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LeaseUpdate {
-    /// All that the shard may use.
+    /// Units that the shard may use in total.
     pub lease: usize,
-    /// Shards that should update their leases: they are short of what was released, or have what another is short of.
+    /// Shards that should report again: they are short and may lease what was released, or have unused units that the reporting
+    /// shard is short of.
     pub concerned: Vec<ShardId>,
 }
 
@@ -21,10 +22,10 @@
 /// lease is valid until its next report, so that no iteration waits for another shard. The sum of the leases never exceeds the
 /// total, and no shard has a lease below what it uses.
 ///
-/// A shard keeps a reserve beyond what it needs, so that it does not have to extend its lease for each call. While another is
-/// short it releases the reserve with its next report; one with more than an even share then releases what it does not use
-/// down to that. So nobody waits for unused capacity for longer than one iteration of the other shard and one of its own; a
-/// shard that is blocked keeps what it uses and its reserve meanwhile.
+/// A shard keeps a reserve beyond what it needs, so that it does not have to extend its lease for each call. While another shard
+/// is short, it releases the reserve with its next report; a shard with more than an even share then also releases what it does
+/// not use, down to its even share. So no shard waits for unused capacity for longer than one iteration of the other shard and
+/// one of its own. A shard that is blocked keeps what it uses and its reserve meanwhile.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeasePool {
     total: usize,
@@ -35,13 +36,13 @@
     wanted: Vec<usize>,
 }
 
-/// What a shard has beyond what it needs, at most.
+/// Returns what a shard's lease may exceed its need by.
 fn reserve(total: usize, shards: usize) -> usize {
     (total / shards / RESERVE_DIVISOR).max(1)
 }
 
 impl LeasePool {
-    /// Capacity for so many shards, none of which has a lease yet.
+    /// Creates a pool for `shards` shards, none of which has a lease yet.
     pub fn new(total: usize, shards: usize) -> Self {
         let shards = shards.max(1);
         let none = vec![0; shards];
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The whole capacity.
+    /// Returns the whole capacity.
     pub fn total(&self) -> usize {
         self.total
     }
@@ -65,12 +66,12 @@
         self.reserve = reserve(self.total, self.leased.len());
     }
 
-    /// What is not leased.
+    /// Returns the capacity that is not leased.
     pub fn free(&self) -> usize {
         self.total - self.leased.iter().sum::<usize>()
     }
 
-    /// A shard's lease.
+    /// Returns a shard's lease.
     pub fn lease(&self, shard: ShardId) -> usize {
         self.leased[shard.index()]
     }
@@ -79,7 +80,7 @@
         (self.total / self.leased.len()).max(1)
     }
 
-    /// What a shard wants beyond its lease.
+    /// Returns what a shard wants beyond its lease.
     fn shortage(&self, shard: usize) -> usize {
         self.wanted[shard].saturating_sub(self.leased[shard])
     }
@@ -88,18 +89,18 @@
         (0..self.leased.len()).filter(move |other| *other != shard)
     }
 
-    /// Whether another shard is short.
+    /// Returns whether another shard is short.
     fn another_is_short(&self, shard: usize) -> bool {
         self.others(shard).any(|other| self.shortage(other) > 0)
     }
 
-    /// Whether another shard is short with less than an even share.
+    /// Returns whether another shard is short while its lease is below an even share.
     fn another_is_short_of_even_share(&self, shard: usize) -> bool {
         let below_even = |other: usize| self.leased[other] < self.even_share();
         self.others(shard).any(|other| self.shortage(other) > 0 && below_even(other))
     }
 
-    /// A shard reports what it uses and what it wants to use. Returns its lease.
+    /// Handles a shard's report of what it uses and what it wants to use, and returns its lease.
     pub fn update(&mut self, shard: ShardId, used: usize, wanted: usize) -> LeaseUpdate {
         let index = shard.index();
         let free_before = self.free();
@@ -109,11 +110,11 @@
         LeaseUpdate { lease: self.leased[index], concerned: self.concerned(index, has_released) }
     }
 
-    /// Shrinks or extends a lease to what the last report asks for.
+    /// Shrinks or extends a lease according to the shard's last report.
     fn renew(&mut self, shard: usize) {
         let (used, needed) = (self.used[shard], self.wanted[shard]);
         let even = self.even_share();
-        // Guards a shard with less than an even share against one with more: what that one wants beyond it has to wait.
+        // A shard above its even share yields to one that is short below it: what it wants beyond the even share has to wait.
         let yields = self.another_is_short_of_even_share(shard) && self.free() == 0;
         let kept = if yields { used.max(needed.min(even)) } else { needed };
         let reserve = if self.another_is_short(shard) { 0 } else { self.reserve };
@@ -124,7 +125,7 @@
         }
         let extension = target.saturating_sub(self.leased[shard]).min(self.free());
         let exceeds_even = self.leased[shard] + extension > even;
-        // What is free is for shards below their even share first.
+        // Free capacity goes to shards below their even share first.
         if exceeds_even && self.another_is_short_of_even_share(shard) {
             self.leased[shard] += extension.min(even.saturating_sub(self.leased[shard]));
         } else {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Shards that are short of what was released, or that could release what this one is short of.
+    /// Returns the shards that are short and may lease what was released, or that could release what this shard is short of.
     fn concerned(&self, shard: usize, has_released: bool) -> Vec<ShardId> {
         let is_starved = self.shortage(shard) > 0 && self.free() == 0;
         let is_concerned = |other: &usize| {
@@ -142,10 +143,10 @@
         self.others(shard).filter(is_concerned).map(|other| ShardId(other as u8)).collect()
     }
 
-    /// What is in use for a destination migrates to another shard with it.
+    /// Moves the lease of units in use for a destination to the shard that the destination migrates to.
     pub fn transfer(&mut self, from: ShardId, to: ShardId, used: usize) {
         let (from, to) = (from.index(), to.index());
-        // Guards the sum: no more is transferred than is leased.
+        // No more is transferred than is leased, so that the sum of the leases stays the same.
         let transferred = used.min(self.leased[from]);
         self.leased[from] -= transferred;
         self.used[from] = self.used[from].saturating_sub(used).min(self.leased[from]);
--- a/crates/sharding/tests/model.rs
+++ b/crates/sharding/tests/model.rs
@@ -1,29 +1,30 @@
-//! Model checking of migrations, submissions, calls and their outcomes over a few shards, and of leases. Each guard of the
-//! protocol that is removed is found missing.
+//! Model checking of migrations, submissions, calls and their outcomes on a few shards, and of leases. The model checker detects
+//! each safeguard of the protocol that is removed.
 //!
-//! `stateright` rather than `loom` or `shuttle`: the risk is in the order of whole steps of different shards, over mailboxes and
-//! one shared value; memory ordering is the libraries' concern.
+//! Uses `stateright` rather than `loom` or `shuttle`: the risk is in the order of whole steps of different shards, which
+//! interact through mailboxes and one shared value; the libraries are responsible for memory ordering.
 
 use std::collections::BTreeMap;
 
 use sharding::{AttemptId, AttemptRouter, ForeignAttempt, LeasePool, OwnershipMap, ShardId};
 use stateright::{Checker, Model, Property};
 
-/// The guard that is removed.
+/// The safeguard of the protocol that is removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Fault {
     None,
     /// A shard drains its mailbox before it loads the ownership map.
     DrainsBeforeLoading,
-    /// Migrated state is handled in the order of the mailbox: after messages from when the shard owned the destination before.
+    /// Migrated state is handled in the order of the mailbox, hence after messages that were sent to the shard when it owned the
+    /// destination earlier.
     MigratedStateInOrder,
     /// The new owner is published before the state is sent.
     PublishesBeforeSending,
-    /// An outcome is handled by the shard that had the connection.
+    /// An outcome is handled by the shard that had the connection, even if it does not own the destination.
     OutcomesStay,
-    /// Messages for a destination that has migrated on are handled all the same.
+    /// Messages for a destination that has migrated away are handled instead of forwarded.
     ForwardsNothing,
-    /// State that does not fit into the mailbox is lost.
+    /// Migrated state that does not fit into the mailbox is lost.
     DropsWhenFull,
 }
 
@@ -46,9 +47,9 @@
     NotSubmitted,
     Forwarded,
     Pending,
-    /// On a connection of that shard.
+    /// Its call is on a connection of that shard.
     InFlight(ShardId),
-    /// Its call has ended, and its owner was not notified yet.
+    /// Its call has ended, and its owner has not been notified yet.
     Responded,
     Done,
 }
@@ -56,20 +57,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     ownership: OwnershipMap,
-    /// By destination: the shards that have its state, and how many outcomes they were notified of.
-    holds: Vec<BTreeMap<ShardId, u8>>,
+    /// By destination: the shards that have its state, and the number of outcomes that are recorded in it.
+    outcomes_by_holder: Vec<BTreeMap<ShardId, u8>>,
     mailboxes: Vec<Vec<ShardMessage>>,
     local: Vec<Vec<ShardMessage>>,
     phases: Vec<Phase>,
-    /// By shard: the migration that it has not finished.
+    /// By shard: the migration that it has started and not finished.
     active_migrations: Vec<Option<(u16, ShardId)>>,
     has_migrated: Vec<bool>,
     routers: Vec<AttemptRouter<u16>>,
     messages: Vec<Message>,
-    /// By message: the shard that holds it.
-    holder: Vec<Option<ShardId>>,
-    /// Outcomes that migrate with the state.
-    migrating_waits: BTreeMap<u16, u8>,
+    /// By message: the shard that owns it.
+    owning_shard: Vec<Option<ShardId>>,
+    /// By destination: the number of outcomes recorded in state that is migrating.
+    migrating_outcomes: BTreeMap<u16, u8>,
     started: Vec<u8>,
     violation: Option<&'static str>,
 }
@@ -88,7 +89,7 @@
 struct MigrationModel {
     fault: Fault,
     shards: u8,
-    /// The shard at which it is submitted, and its destination.
+    /// By message: the shard that it is submitted to, and its destination.
     messages: Vec<(ShardId, u16)>,
     migrations: Vec<(u16, ShardId)>,
     /// Capacity of a mailbox.
@@ -104,70 +105,70 @@
         self.messages[usize::from(message)].1
     }
 
-    /// A shard handles a message, with the ownership map of this iteration.
+    /// Lets a shard handle a message, with the ownership map of this iteration.
     fn handle(
         &self,
         s: &mut State,
         shard_id: ShardId,
         ownership: &OwnershipMap,
-        message_in: ShardMessage,
-        from_here: bool,
+        shard_message: ShardMessage,
+        is_local: bool,
     ) {
         let at = shard_id.index();
         let is_owned =
             |destination| ownership.owner(destination) == shard_id || self.fault == Fault::ForwardsNothing;
-        match message_in {
+        match shard_message {
             ShardMessage::MigratedState(destination) => {
-                let waits = s.migrating_waits.remove(&destination).unwrap_or(0);
-                s.holds[usize::from(destination)].insert(shard_id, waits);
-                let arriving =
-                    s.holder.iter_mut().enumerate().filter(|(message, holder)| {
-                        holder.is_none() && self.messages[*message].1 == destination
-                    });
-                let mut out = Vec::new();
-                for (message, holder) in arriving {
+                let outcomes = s.migrating_outcomes.remove(&destination).unwrap_or(0);
+                s.outcomes_by_holder[usize::from(destination)].insert(shard_id, outcomes);
+                let arriving = s.owning_shard.iter_mut().enumerate().filter(|(message, owning_shard)| {
+                    owning_shard.is_none() && self.messages[*message].1 == destination
+                });
+                let mut in_flight = Vec::new();
+                for (message, owning_shard) in arriving {
                     match s.messages[message] {
-                        Message::Pending => *holder = Some(shard_id),
+                        Message::Pending => *owning_shard = Some(shard_id),
                         Message::InFlight(shard) => {
-                            *holder = Some(shard_id);
-                            out.push(ForeignAttempt { attempt: attempt(message as u8), shard });
+                            *owning_shard = Some(shard_id);
+                            in_flight.push(ForeignAttempt { attempt: attempt(message as u8), shard });
                         }
-                        // Its outcome is on the way.
-                        Message::Responded => *holder = Some(shard_id),
+                        // Its outcome has not been handled yet.
+                        Message::Responded => *owning_shard = Some(shard_id),
                         _ => {}
                     }
                 }
-                s.routers[at].attach(out);
+                s.routers[at].attach(in_flight);
             }
             ShardMessage::Submitted(message) => {
                 let destination = self.destination(message);
                 if !is_owned(destination) {
-                    s.mailboxes[ownership.owner(destination).index()].push(message_in);
+                    s.mailboxes[ownership.owner(destination).index()].push(shard_message);
                     return;
                 }
-                if !s.holds[usize::from(destination)].contains_key(&shard_id) {
-                    s.violation = Some("submitted to a shard that does not have the destination");
+                if !s.outcomes_by_holder[usize::from(destination)].contains_key(&shard_id) {
+                    s.violation =
+                        Some("message submitted to a shard that does not have the destination's state");
                 }
                 s.messages[usize::from(message)] = Message::Pending;
-                s.holder[usize::from(message)] = Some(shard_id);
+                s.owning_shard[usize::from(message)] = Some(shard_id);
             }
             ShardMessage::Ended(message) => {
                 let destination = self.destination(message);
-                if from_here && s.routers[at].attempt_ended(attempt(message)) != Some(destination) {
-                    s.violation = Some("an outcome of a call that did not start here");
+                if is_local && s.routers[at].attempt_ended(attempt(message)) != Some(destination) {
+                    s.violation = Some("outcome of a call that did not start on this shard");
                 }
-                let stays_local = self.fault == Fault::OutcomesStay && from_here;
-                if !is_owned(destination) && !stays_local {
-                    s.mailboxes[ownership.owner(destination).index()].push(message_in);
+                let is_handled_locally = self.fault == Fault::OutcomesStay && is_local;
+                if !is_owned(destination) && !is_handled_locally {
+                    s.mailboxes[ownership.owner(destination).index()].push(shard_message);
                     return;
                 }
                 s.routers[at].foreign_attempt_ended(attempt(message));
-                if let Some(waits) = s.holds[usize::from(destination)].get_mut(&shard_id) {
-                    *waits += 1;
+                if let Some(outcomes) = s.outcomes_by_holder[usize::from(destination)].get_mut(&shard_id) {
+                    *outcomes += 1;
                 }
-                if s.holder[usize::from(message)] == Some(shard_id) {
+                if s.owning_shard[usize::from(message)] == Some(shard_id) {
                     s.messages[usize::from(message)] = Message::Done;
-                    s.holder[usize::from(message)] = None;
+                    s.owning_shard[usize::from(message)] = None;
                 }
             }
         }
@@ -179,8 +180,9 @@
             self.messages.iter().enumerate().filter(of).count()
         };
         s.messages.iter().all(|m| *m == Message::Done)
-            && (0..s.holds.len()).all(|d| {
-                s.holds[d].values().map(|n| usize::from(*n)).sum::<usize>() == completed_calls(d as u16)
+            && (0..s.outcomes_by_holder.len()).all(|d| {
+                s.outcomes_by_holder[d].values().map(|n| usize::from(*n)).sum::<usize>()
+                    == completed_calls(d as u16)
             })
     }
 }
@@ -195,7 +197,7 @@
         let destinations = usize::from(self.messages.iter().map(|m| m.1).max().unwrap_or(0)) + 1;
         vec![State {
             ownership,
-            holds: vec![BTreeMap::from([(ShardId(0), 0)]); destinations],
+            outcomes_by_holder: vec![BTreeMap::from([(ShardId(0), 0)]); destinations],
             mailboxes: vec![vec![]; shards],
             local: vec![vec![]; shards],
             phases: vec![Phase::Idle; shards],
@@ -203,8 +205,8 @@
             has_migrated: vec![false; self.migrations.len()],
             routers: (0..self.shards).map(|shard| AttemptRouter::new(ShardId(shard))).collect(),
             messages: vec![Message::NotSubmitted; self.messages.len()],
-            holder: vec![None; self.messages.len()],
-            migrating_waits: BTreeMap::new(),
+            owning_shard: vec![None; self.messages.len()],
+            migrating_outcomes: BTreeMap::new(),
             started: vec![0; self.messages.len()],
             violation: None,
         }]
@@ -225,11 +227,11 @@
                 continue;
             }
             let has_input = !s.mailboxes[at].is_empty() || !s.local[at].is_empty();
-            let first = |shard| {
+            let first_step = |shard| {
                 if self.fault == Fault::DrainsBeforeLoading { Step::Drain(shard) } else { Step::Load(shard) }
             };
             match &s.phases[at] {
-                Phase::Idle if has_input => steps.push(first(shard)),
+                Phase::Idle if has_input => steps.push(first_step(shard)),
                 Phase::Idle => {}
                 Phase::Loaded(_) => steps.push(Step::Drain(shard)),
                 Phase::Drained(None) => steps.push(Step::Load(shard)),
@@ -238,9 +240,10 @@
         }
         for (number, (destination, to)) in self.migrations.iter().enumerate() {
             let from = s.ownership.owner(*destination);
-            let has = s.holds[usize::from(*destination)].contains_key(&from);
-            let idle = s.phases[from.index()] == Phase::Idle && s.active_migrations[from.index()].is_none();
-            if !s.has_migrated[number] && from != *to && has && idle {
+            let has_state = s.outcomes_by_holder[usize::from(*destination)].contains_key(&from);
+            let is_idle =
+                s.phases[from.index()] == Phase::Idle && s.active_migrations[from.index()].is_none();
+            if !s.has_migrated[number] && from != *to && has_state && is_idle {
                 steps.push(Step::Detach(number));
             }
         }
@@ -281,20 +284,22 @@
                 };
                 let mut arriving = std::mem::take(&mut s.mailboxes[shard.index()]);
                 if self.fault != Fault::MigratedStateInOrder {
-                    arriving.sort_by_key(|message_in| !matches!(message_in, ShardMessage::MigratedState(_)));
+                    arriving.sort_by_key(|shard_message| {
+                        !matches!(shard_message, ShardMessage::MigratedState(_))
+                    });
                 }
-                for message_in in arriving {
-                    self.handle(&mut s, shard, &ownership, message_in, false);
+                for shard_message in arriving {
+                    self.handle(&mut s, shard, &ownership, shard_message, false);
                 }
                 s.phases[shard.index()] = next;
             }
             Step::Decide(shard) => {
                 let Phase::Drained(Some(ownership)) = s.phases[shard.index()].clone() else { return None };
-                for message_in in std::mem::take(&mut s.local[shard.index()]) {
-                    self.handle(&mut s, shard, &ownership, message_in, true);
+                for shard_message in std::mem::take(&mut s.local[shard.index()]) {
+                    self.handle(&mut s, shard, &ownership, shard_message, true);
                 }
                 for message in 0..self.messages.len() {
-                    if s.holder[message] == Some(shard) && s.messages[message] == Message::Pending {
+                    if s.owning_shard[message] == Some(shard) && s.messages[message] == Message::Pending {
                         s.messages[message] = Message::InFlight(shard);
                         s.started[message] += 1;
                         let destination = self.messages[message].1;
@@ -311,24 +316,24 @@
                 let (destination, to) = self.migrations[number];
                 let from = s.ownership.owner(destination);
                 s.has_migrated[number] = true;
-                let capacity = s.mailboxes[to.index()].len() < self.capacity;
-                if !capacity && self.fault != Fault::DropsWhenFull {
-                    // It stays where it was.
+                let has_capacity = s.mailboxes[to.index()].len() < self.capacity;
+                if !has_capacity && self.fault != Fault::DropsWhenFull {
+                    // The destination stays with its owner.
                     return Some(s);
                 }
-                let waits = s.holds[usize::from(destination)].remove(&from)?;
-                s.migrating_waits.insert(destination, waits);
-                let pending: Vec<usize> = (0..s.holder.len())
-                    .filter(|m| s.holder[*m] == Some(from) && self.messages[*m].1 == destination)
+                let outcomes = s.outcomes_by_holder[usize::from(destination)].remove(&from)?;
+                s.migrating_outcomes.insert(destination, outcomes);
+                let pending: Vec<usize> = (0..s.owning_shard.len())
+                    .filter(|m| s.owning_shard[*m] == Some(from) && self.messages[*m].1 == destination)
                     .collect();
-                pending.iter().for_each(|m| s.holder[*m] = None);
-                let out = pending
+                pending.iter().for_each(|m| s.owning_shard[*m] = None);
+                let in_flight = pending
                     .iter()
                     .filter(|m| matches!(s.messages[**m], Message::InFlight(_) | Message::Responded));
-                s.routers[from.index()].detach(out.map(|m| attempt(*m as u8)));
+                s.routers[from.index()].detach(in_flight.map(|m| attempt(*m as u8)));
                 if self.fault == Fault::PublishesBeforeSending {
                     s.ownership = s.ownership.with(destination, to);
-                } else if capacity {
+                } else if has_capacity {
                     s.mailboxes[to.index()].push(ShardMessage::MigratedState(destination));
                 }
                 s.active_migrations[from.index()] = Some((destination, to));
@@ -347,38 +352,37 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one owner", |m: &MigrationModel, s: &State| {
+            Property::always("each destination has one owner", |m: &MigrationModel, s: &State| {
                 let in_mailboxes = |d: u16| {
                     s.mailboxes
                         .iter()
                         .flatten()
-                        .filter(|message_in| **message_in == ShardMessage::MigratedState(d))
+                        .filter(|shard_message| **shard_message == ShardMessage::MigratedState(d))
                         .count()
                 };
                 let unsent = |d: u16| {
                     m.fault == Fault::PublishesBeforeSending
-                        && s.active_migrations
-                            .iter()
-                            .flatten()
-                            .any(|active_migrations| active_migrations.0 == d)
+                        && s.active_migrations.iter().flatten().any(|migration| migration.0 == d)
                 };
-                (0..s.holds.len())
-                    .all(|d| s.holds[d].len() + in_mailboxes(d as u16) + usize::from(unsent(d as u16)) == 1)
+                (0..s.outcomes_by_holder.len()).all(|d| {
+                    s.outcomes_by_holder[d].len() + in_mailboxes(d as u16) + usize::from(unsent(d as u16))
+                        == 1
+                })
             }),
             Property::always("no violation", |_: &MigrationModel, s: &State| s.violation.is_none()),
             Property::always("no call starts twice", |_: &MigrationModel, s: &State| {
                 s.started.iter().all(|n| *n <= 1)
             }),
             Property::always("the shard that can cancel a call is known", |_: &MigrationModel, s: &State| {
-                (0..s.messages.len()).all(|m| match (s.messages[m], s.holder[m]) {
-                    (Message::InFlight(shard), Some(holder)) => {
-                        s.routers[holder.index()].connection(attempt(m as u8)) == shard
+                (0..s.messages.len()).all(|m| match (s.messages[m], s.owning_shard[m]) {
+                    (Message::InFlight(shard), Some(owning_shard)) => {
+                        s.routers[owning_shard.index()].connection(attempt(m as u8)) == shard
                     }
                     _ => true,
                 })
             }),
             Property::always(
-                "when nothing is left to do all are done and each outcome was handled",
+                "when no step is left, all messages are done and each outcome was handled",
                 |m: &MigrationModel, s: &State| {
                     let mut steps = Vec::new();
                     m.actions(s, &mut steps);
@@ -389,7 +393,7 @@
     }
 }
 
-fn model(fault: Fault) -> MigrationModel {
+fn two_shard_model(fault: Fault) -> MigrationModel {
     MigrationModel {
         fault,
         shards: 2,
@@ -399,8 +403,8 @@
     }
 }
 
-/// Three shards, and a destination that migrates in a circle.
-fn round(fault: Fault) -> MigrationModel {
+/// Three shards, and a destination that migrates to each of them in turn.
+fn circular_model(fault: Fault) -> MigrationModel {
     MigrationModel {
         fault,
         shards: 3,
@@ -411,17 +415,17 @@
 }
 
 #[test]
-fn no_interleaving_makes_two_owners_or_loses_or_duplicates_a_message() {
-    for model in [model(Fault::None), round(Fault::None)] {
+fn no_interleaving_leads_to_two_owners_or_loses_or_duplicates_a_message() {
+    for model in [two_shard_model(Fault::None), circular_model(Fault::None)] {
         let checker = model.checker().threads(4).spawn_bfs().join();
-        println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+        println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
         assert!(checker.unique_state_count() > 10_000);
         checker.assert_properties();
     }
 }
 
 #[test]
-fn each_guard_that_is_removed_is_found_missing() {
+fn model_checker_detects_each_removed_safeguard() {
     let faults = [
         Fault::DrainsBeforeLoading,
         Fault::MigratedStateInOrder,
@@ -432,17 +436,17 @@
     ];
     for fault in faults {
         // The search ends with the first violation.
-        let found = [model(fault), round(fault)].into_iter().find_map(|model| {
+        let found = [two_shard_model(fault), circular_model(fault)].into_iter().find_map(|model| {
             let when = stateright::HasDiscoveries::Any;
             let checker = model.checker().threads(4).finish_when(when).spawn_bfs().join();
             checker.discoveries().keys().next().copied()
         });
         println!("{fault:?}: {found:?}");
-        assert!(found.is_some(), "{fault:?} is not found");
+        assert!(found.is_some(), "{fault:?} is not detected");
     }
 }
 
-/// Shards that start and end calls, report what they want, and transfer what they use.
+/// Shards that start and end calls, report what they want, and transfer units in use.
 struct LeaseModel {
     shards: u8,
     total: usize,
@@ -511,15 +515,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the sum respects the total", |m: &LeaseModel, s: &LeaseState| {
-                (0..m.shards).map(|shard| s.pool.lease(ShardId(shard))).sum::<usize>() + s.pool.free()
-                    == m.total
-            }),
-            Property::always("no lease is below what is used", |m: &LeaseModel, s: &LeaseState| {
+            Property::always(
+                "the leases and the free capacity add up to the total",
+                |m: &LeaseModel, s: &LeaseState| {
+                    (0..m.shards).map(|shard| s.pool.lease(ShardId(shard))).sum::<usize>() + s.pool.free()
+                        == m.total
+                },
+            ),
+            Property::always("no lease is below the units in use", |m: &LeaseModel, s: &LeaseState| {
                 (0..m.shards).all(|shard| s.used[usize::from(shard)] <= s.pool.lease(ShardId(shard)))
             }),
-            // Where all want everything, nobody has less than an even share, unless another uses more.
-            Property::always("even shares", |m: &LeaseModel, s: &LeaseState| {
+            // If all shards want everything, none has less than an even share, unless another uses more.
+            Property::always("each shard gets an even share", |m: &LeaseModel, s: &LeaseState| {
                 let even = (m.total / usize::from(m.shards)).max(1);
                 if s.used.iter().any(|used| *used > even) || m.total < usize::from(m.shards) {
                     return true;
@@ -531,17 +538,17 @@
                 (0..m.shards).map(ShardId).all(|shard| pool.lease(shard) >= even)
             }),
             // Unused capacity is available after one report of each other shard and one of its own.
-            Property::always("nobody starves", |m: &LeaseModel, s: &LeaseState| {
+            Property::always("no shard starves", |m: &LeaseModel, s: &LeaseState| {
                 (0..m.shards).map(ShardId).all(|shard| {
                     let mut pool = s.pool.clone();
                     let used = s.used[shard.index()];
-                    let capacity = s.used.iter().sum::<usize>() < m.total;
+                    let has_free_capacity = s.used.iter().sum::<usize>() < m.total;
                     pool.update(shard, used, used + 1);
                     for other in (0..m.shards).map(ShardId).filter(|other| *other != shard) {
                         pool.update(other, s.used[other.index()], s.used[other.index()]);
                     }
                     pool.update(shard, used, used + 1);
-                    !capacity || pool.lease(shard) > used
+                    !has_free_capacity || pool.lease(shard) > used
                 })
             }),
         ]
@@ -549,7 +556,7 @@
 }
 
 #[test]
-fn leases_respect_the_total_and_nobody_starves() {
+fn leases_never_exceed_the_total_and_no_shard_starves() {
     for (shards, total) in [(2, 3), (3, 4), (2, 5), (3, 2)] {
         let checker = LeaseModel { shards, total }.checker().threads(4).spawn_bfs().join();
         println!("{shards} shards, total {total}: {} states", checker.unique_state_count());
