--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -186,10 +186,9 @@
 fn split(mut bytes: &[u8]) -> Result<Vec<EncodedPart>, Rejected> {
     let mut parts = Vec::new();
     while let [tag, length, following @ ..] = bytes {
-        let (body, following) =
-            following.split_at_checked(usize::from(*length)).ok_or(Rejected::Contradicts)?;
+        let (body, following) = following.split_at_checked(usize::from(*length)).ok_or(Rejected::Invalid)?;
         parts.push(EncodedPart { tag: *tag, body: body.to_vec() });
         bytes = following;
     }
-    if bytes.is_empty() { Ok(parts) } else { Err(Rejected::Contradicts) }
+    if bytes.is_empty() { Ok(parts) } else { Err(Rejected::Invalid) }
 }
--- a/crates/gossip/src/message/body.rs
+++ b/crates/gossip/src/message/body.rs
@@ -202,7 +202,7 @@
             }
             tag::COUNTS => counts(bytes)?,
             tag::SYNC_REQUEST if bytes.is_empty() => Part::SyncRequest,
-            tag::SYNC_REQUEST => return Err(Rejected::Contradicts),
+            tag::SYNC_REQUEST => return Err(Rejected::Invalid),
             _ => return Ok(None),
         };
         Ok(Some(part))
@@ -217,7 +217,7 @@
 
     fn failure(&self, bytes: &[u8]) -> Result<Part, Rejected> {
         let FailureBody { destination, origin, number, age, kind, calls } = decoded(bytes)?;
-        let kind = *FAILURE_KINDS.get(usize::from(kind)).ok_or(Rejected::Contradicts)?;
+        let kind = *FAILURE_KINDS.get(usize::from(kind)).ok_or(Rejected::Invalid)?;
         require(calls > 0)?;
         let failure = Failure { number, at: self.time(age)?, kind, calls };
         Ok(Part::Evidence(destination, Evidence::Failure(origin, failure)))
@@ -245,26 +245,26 @@
 
 fn member(bytes: &[u8]) -> Result<Part, Rejected> {
     let MemberBody { member, incarnation, state } = decoded(bytes)?;
-    let state = *STATES.get(usize::from(state)).ok_or(Rejected::Contradicts)?;
+    let state = *STATES.get(usize::from(state)).ok_or(Rejected::Invalid)?;
     Ok(Part::Member(MemberUpdate { member, incarnation, state }))
 }
 
 fn counts(bytes: &[u8]) -> Result<Part, Rejected> {
     let CountsBody { destination, count } = decoded(bytes)?;
-    let unsuccessful = count.rejected.checked_add(count.failed).ok_or(Rejected::Contradicts)?;
+    let unsuccessful = count.rejected.checked_add(count.failed).ok_or(Rejected::Invalid)?;
     require(unsuccessful <= count.calls)?;
     Ok(Part::Counts(destination, count))
 }
 
 /// Rejects the message unless the condition holds.
 fn require(valid: bool) -> Result<(), Rejected> {
-    if valid { Ok(()) } else { Err(Rejected::Contradicts) }
+    if valid { Ok(()) } else { Err(Rejected::Invalid) }
 }
 
 /// Decodes a body, which must take up all of the bytes.
 fn decoded<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Rejected> {
     match postcard::take_from_bytes(bytes) {
         Ok((body, [])) => Ok(body),
-        _ => Err(Rejected::Contradicts),
+        _ => Err(Rejected::Invalid),
     }
 }
--- a/crates/gossip/src/message/error.rs
+++ b/crates/gossip/src/message/error.rs
@@ -14,7 +14,7 @@
     /// Its checksum does not match.
     Damaged,
     /// Its content is invalid.
-    Contradicts,
+    Invalid,
     /// It was delayed by more than a second.
     Stale,
     /// Its sender is not a peer in the fleet.
@@ -32,7 +32,7 @@
                 "it is of version {version}, this sender reads {VERSION}: harmless during a release"
             ),
             Self::Damaged => f.write_str("it was damaged on its way"),
-            Self::Contradicts => f.write_str("it says what can't be"),
+            Self::Invalid => f.write_str("it says what can't be"),
             Self::Stale => f.write_str("it was held up for more than a second"),
             Self::Unknown => f.write_str("it comes from a rank that peers does not have"),
         }
