--- a/crates/golden/src/wire/gossip.rs
+++ b/crates/golden/src/wire/gossip.rs
@@ -69,7 +69,7 @@
     let _ = writeln!(text, "damaged: {}", rejected(&damaged));
     let _ = writeln!(text, "another version: {}", rejected(&other));
     let _ = writeln!(text, "too short: {}", rejected(b"short"));
-    for reason in [Rejected::Invalid, Rejected::Stale, Rejected::Unknown] {
+    for reason in [Rejected::Invalid, Rejected::Stale, Rejected::UnknownSender] {
         let _ = writeln!(text, "rejected: {reason}");
     }
     text
--- a/crates/gossip/src/gossip.rs
+++ b/crates/gossip/src/gossip.rs
@@ -158,7 +158,7 @@
 
     fn decode(&mut self, from: MemberIndex, bytes: &[u8], now: Micros) -> Result<Vec<Part>, Rejected> {
         if from == self.config.member || from >= self.config.senders {
-            return Err(Rejected::Unknown);
+            return Err(Rejected::UnknownSender);
         }
         let message = Message::read(bytes)?;
         let delay = match self.delays.record(from, message.incarnation, message.sent_ms, now) {
--- a/crates/gossip/src/message/error.rs
+++ b/crates/gossip/src/message/error.rs
@@ -18,7 +18,7 @@
     /// It was delayed by more than a second.
     Stale,
     /// Its sender is not a peer in the fleet.
-    Unknown,
+    UnknownSender,
 }
 
 impl fmt::Display for Rejected {
@@ -34,7 +34,7 @@
             Self::Damaged => f.write_str("it was damaged on its way"),
             Self::Invalid => f.write_str("it says what can't be"),
             Self::Stale => f.write_str("it was held up for more than a second"),
-            Self::Unknown => f.write_str("it comes from a rank that peers does not have"),
+            Self::UnknownSender => f.write_str("it comes from a rank that peers does not have"),
         }
     }
 }
