--- a/crates/idle-destinations/tests/idle.rs
+++ b/crates/idle-destinations/tests/idle.rs
@@ -119,9 +119,9 @@
     assert_eq!((active.take_due(10), active.take_due(10), active.contains(1)), (Some(1), None, false));
     active.activate(1, 10);
     assert_eq!((active.take_due(13), active.next_due()), (Some(2), Some(20)));
-    let mut unlimited = ActiveSet::new(None);
-    unlimited.activate(1, 0);
-    assert_eq!((unlimited.take_due(Micros::MAX), unlimited.contains(1)), (None, true));
+    let mut without_idle_time = ActiveSet::new(None);
+    without_idle_time.activate(1, 0);
+    assert_eq!((without_idle_time.take_due(Micros::MAX), without_idle_time.contains(1)), (None, true));
 }
 
 #[test]
--- a/crates/sender/src/discovery/directory/tests.rs
+++ b/crates/sender/src/discovery/directory/tests.rs
@@ -82,8 +82,8 @@
 
 fn list(rng: &mut fastrand::Rng) -> EndpointList {
     let snapshot = rng.u8(..3) == 0;
-    let max_entries = rng.usize(1..30);
-    let endpoints = (0..max_entries)
+    let entry_count = rng.usize(1..30);
+    let endpoints = (0..entry_count)
         .map(|_| Listed {
             name: format!("e{}", rng.u8(..40)),
             address: format!("address {}", rng.u8(..3)),
@@ -97,8 +97,8 @@
     EndpointList { index: 0, snapshot, endpoints }
 }
 
-/// Lists that are applied in slices have the same result as lists that are applied at once, whatever lists arrive in between.
-/// LIST_SEED sets the first seed.
+/// Lists that are applied in slices have the same result as lists that are applied at once, also if further lists
+/// arrive in between. LIST_SEED sets the first seed.
 #[test]
 fn applying_in_slices_has_same_result_as_at_once() {
     let first = std::env::var("LIST_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
