--- a/crates/admin/src/ejections.rs
+++ b/crates/admin/src/ejections.rs
@@ -5,7 +5,7 @@
 /// Maximum number of names that are retained after they were removed from the list.
 const MAX_RETIRED_NAMES: usize = 4_096;
 
-/// Why an endpoint can't be ejected.
+/// Why an endpoint can't be ejected or reinstated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectError {
     /// The name is neither in the endpoint list nor among the retained names of earlier lists; it may be misspelled.
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -28,7 +28,7 @@
     classes: Vec<ClassCounts>,
 }
 
-/// Current values.
+/// Metrics that are not divided by class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Messages that were written completely to endpoints since the start of the process.
--- a/crates/handover/src/outstanding.rs
+++ b/crates/handover/src/outstanding.rs
@@ -11,7 +11,7 @@
 pub struct OutstandingAttempts(BTreeMap<(MessageId, u16), EndpointId>);
 
 impl OutstandingAttempts {
-    /// Returns the attempts that were in flight when the predecessor stopped deciding.
+    /// Creates the set of the attempts that were in flight when the predecessor stopped deciding.
     pub fn new(in_flight: impl IntoIterator<Item = AttemptInFlight>) -> Self {
         let by_attempt = |attempt: AttemptInFlight| ((attempt.message, attempt.attempt), attempt.endpoint);
         Self(in_flight.into_iter().map(by_attempt).collect())
--- a/crates/operator-config/src/checks.rs
+++ b/crates/operator-config/src/checks.rs
@@ -18,7 +18,7 @@
 const MIN_IDLE_TIME: Span = Span { micros: 1_000_000 };
 /// Minimum size limit of a health snapshot.
 const MIN_SNAPSHOT_SIZE: Size = Size { bytes: 16 << 10 };
-/// Minimum gossip per second.
+/// Minimum limit of the gossip bytes per second.
 const MIN_GOSSIP_RATE: Size = Size { bytes: 16 };
 
 /// A key with an invalid value.
--- a/crates/operator-config/src/tables.rs
+++ b/crates/operator-config/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the file. A feature that the file leaves out is off, as on the platform.
+//! The tables of the file. A feature that the file leaves out is off, as it is without a file.
 
 use serde::Deserialize;
 
--- a/crates/sender/src/cli/snapshot.rs
+++ b/crates/sender/src/cli/snapshot.rs
@@ -39,7 +39,7 @@
     Ok((snapshot, restored))
 }
 
-/// The destination, and the endpoint where the route belongs to one.
+/// Formats the destination of a route, and its endpoint if the route belongs to one.
 fn route_name(route: &RestoredRoute) -> String {
     match &route.endpoint {
         Some(endpoint) => format!("destination {} at {}", route.destination, printable(endpoint)),
--- a/crates/sender/src/config.rs
+++ b/crates/sender/src/config.rs
@@ -23,9 +23,9 @@
     pub state: PathBuf,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// The most open file descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// The most bytes that files in `NODE_STATE` may occupy.
+    /// Maximum disk space that files in `NODE_STATE` may occupy, in bytes.
     pub disk: u64,
     /// The address at which gossip is received, if the deployment has gossip.
     pub peer_listen: Option<SocketAddr>,
--- a/crates/sender/src/discovery/directory.rs
+++ b/crates/sender/src/discovery/directory.rs
@@ -15,7 +15,7 @@
 
 /// Entries of a long list that are applied in one iteration, which bounds the time that a list delays the event loop.
 pub const SLICE_ENTRIES: usize = 1_000;
-/// The most entries that wait to be applied: over twice the possible number of destinations.
+/// Maximum number of entries that wait to be applied: over twice the possible number of destinations.
 const MAX_PENDING_ENTRIES: usize = 200_000;
 
 /// An endpoint as the list has it.
@@ -26,15 +26,15 @@
     /// The transport that calls it; `None` if no transport can parse its address.
     transport: Option<Rc<dyn Transport>>,
     max_batch: usize,
-    /// Its status in the list. An ejected endpoint gets no new calls, whatever this says.
+    /// Its status in the list. An ejected endpoint gets no new calls, even if it is `Ready` here.
     listing: Listing,
     zone: u16,
     weight: f64,
     /// A hash of its address, by which a move of the endpoint is detected.
     address_hash: u32,
-    /// It is no longer in the list.
+    /// Whether it is no longer in the list.
     unlisted: bool,
-    /// The number of the last full list that named it, itself or by a change after it.
+    /// The number of the last full list that named it, or after which a change named it.
     last_listed: u64,
 }
 
@@ -54,13 +54,13 @@
     unlisted: BTreeSet<EndpointId>,
     /// Names that no list has, only attempts.
     attempt_only_names: BTreeSet<String>,
-    /// Endpoints that an operator has ejected, whatever the list says.
+    /// Endpoints that an operator has ejected, also those that the list has as active.
     ejections: Ejections,
     /// Names that the list had formerly.
     retired_names: RetiredNames,
     /// Number of full lists so far.
     lists: u64,
-    /// The last full list is not applied completely yet.
+    /// Whether the last full list is not applied completely yet.
     full_list_pending: bool,
     /// Lists and changes that wait to be applied.
     pending: VecDeque<PendingList>,
@@ -251,7 +251,7 @@
         self.endpoints.get(&endpoint).map_or_else(|| "".into(), |record| record.name.clone())
     }
 
-    /// The most messages that one call to an endpoint carries.
+    /// The maximum number of messages that one call to an endpoint carries.
     pub fn max_batch(&self, endpoint: EndpointId) -> usize {
         self.endpoints.get(&endpoint).map_or(1, |record| record.max_batch)
     }
@@ -479,7 +479,7 @@
             "left" => Listing::Gone,
             _ => Listing::Draining,
         };
-        // Whatever the list says, only an operator reinstates an ejected endpoint.
+        // Only an operator reinstates an ejected endpoint, even if the list has it as active.
         let ejected = listed == Listing::Ready && self.ejections.contains(&listing.name);
         let state = if ejected { Listing::Draining } else { listed };
         entry(endpoint, listing.group, state);
--- a/crates/sender/src/event_loop/calls.rs
+++ b/crates/sender/src/event_loop/calls.rs
@@ -102,8 +102,8 @@
         calls
     }
 
-    /// Returns a message for a call. Its deadlines count from the decision on the attempt: the decision module does not
-    /// give the message its final answer earlier.
+    /// Returns a message for a call. Its deadlines count from the time of the decision on the attempt: the decision
+    /// module does not abandon the message before they have passed.
     fn call_message(&self, now: Micros, planned: &PlannedAttempt) -> Option<CallMessage> {
         let pending = self.journal.live().get(&planned.message.0)?;
         let AcceptedMessage { id, key, body, .. } = (*pending.message).clone();
@@ -123,7 +123,7 @@
     fn start_call(&self, call: PlannedCall) {
         let PlannedCall { endpoint, mut messages, write_options } = call;
         // The message with the latest deadline comes first. The platform may attribute a call to its first message: if
-        // that one expired before the answer came, the answer counted for none of the messages.
+        // that one expired before the answer arrived, the answer would count for none of the messages.
         messages.sort_by_key(|message| Reverse(message.answer_deadline));
         let target = self.directory.transport(endpoint).zip(self.directory.route(endpoint));
         if let Some((transport, route)) = target {
@@ -138,8 +138,8 @@
     }
 
     /// Undoes an iteration whose records could not be written: its submissions are rejected and its attempts reported
-    /// as not sent. An accepted message must survive the process, so that nothing is accepted and no call starts
-    /// without the journal.
+    /// as not sent. Nothing is accepted and no call starts without its record in the journal, because an accepted
+    /// message must survive the process.
     pub(super) fn reject_unwritten(
         &mut self,
         records: Vec<Record>,
--- a/crates/sender/src/event_loop/iteration.rs
+++ b/crates/sender/src/event_loop/iteration.rs
@@ -17,7 +17,7 @@
 /// Decisions that have to be in the journal before they take effect.
 #[derive(Default)]
 struct Decisions {
-    /// Messages that this sender abandons, with the final answer that they get.
+    /// Messages that this sender abandons, each with its final answer.
     abandoned: Vec<(u32, Abandonment)>,
     /// The attempts to start.
     attempts: Vec<PlannedAttempt>,
@@ -166,7 +166,8 @@
     /// Runs one step of the journal's compaction, after answers and calls.
     fn compact(&mut self, now: Micros) {
         if let Err(error) = self.journal.compact_step(now) {
-            // Compaction takes precedence over the snapshot too: it continues in the next iteration.
+            // Compaction takes precedence over the snapshot too: once the snapshot's space is released, it continues in
+            // the next iteration.
             if !self.release_snapshot_space() {
                 self.warn_journal("compacted, retrying in the next iteration", &error);
             }
--- a/crates/sender/src/event_loop/messages.rs
+++ b/crates/sender/src/event_loop/messages.rs
@@ -24,8 +24,8 @@
             }
             return;
         }
-        // Messages that no endpoint accepts would use up capacity. The client retries, since the first list with a
-        // new destination may be about to arrive.
+        // A message for a destination that no list has named would only use up capacity. The client is asked to retry,
+        // since the first list with a new destination may be about to arrive.
         if !self.directory.names_destination(message.destination) {
             self.outcome_counts.count(&message.class, FinalOutcome::Throttled);
             let _ = answer.send(Answer::Rejected(RETRY_AFTER_UNLISTED));
@@ -94,7 +94,7 @@
         let pending = self.journal.live().get(&number);
         let pending_message =
             pending.filter(|pending| pending.abandoned.is_none()).map(|pending| pending.message.clone());
-        // Of a message that is completed or abandoned already, the outcome changes nothing.
+        // If the message is completed or abandoned already, the outcome changes nothing.
         let mut terminal = true;
         if let Some(message) = pending_message
             .filter(|message| self.pending_by_id.get(&message.id).is_some_and(|known| known.0 == number))
--- a/crates/sender/src/event_loop/mod.rs
+++ b/crates/sender/src/event_loop/mod.rs
@@ -81,9 +81,9 @@
 /// The state of one event loop.
 struct EventLoop {
     clock: Clock,
-    /// The time of this iteration, read once before any event is collected. The decision module gets remaining times
-    /// as of the instant at which it decides. With two readings of the clock a message outlived its deadline by the
-    /// time between them (up to 44 ms at startup), and an answer that arrived in this gap was lost.
+    /// The time of this iteration, read once before any event is collected. The decision module gets remaining times as
+    /// of the instant at which it decides. With two readings of the clock, a message would outlive its deadline by the
+    /// time between them (up to 44 ms at startup), and an answer that arrived in this gap would be lost.
     iteration_time: Micros,
     policy: Policy,
     journal: JournalStore,
@@ -99,7 +99,7 @@
     list_version: u64,
     /// When discovery last confirmed that there is no newer list. An open watch counts as continuous confirmation.
     list_confirmed_at: Micros,
-    /// No discovery failure was reported since the last update of the list.
+    /// Whether no discovery failure was reported since the last update of the list.
     list_is_current: bool,
     /// Writes the health snapshot for the next process.
     snapshot_store: Option<SnapshotStore>,
@@ -127,7 +127,8 @@
     attempts: HashMap<u32, u16>,
     /// Messages submitted since the last iteration, by message number.
     submissions: BTreeMap<u32, PendingSubmission>,
-    /// Records that could not be written yet. Nothing has been answered or sent on the strength of them.
+    /// Records that are not written yet: those of this iteration, and those of an append that failed. No client
+    /// was answered and no call started on the basis of them.
     unwritten_records: Vec<Record>,
     /// The earliest time at which a journal failure is logged again.
     next_journal_warning_at: Micros,
--- a/crates/sender/src/event_loop/recovery_report.rs
+++ b/crates/sender/src/event_loop/recovery_report.rs
@@ -1,5 +1,5 @@
 //! Counts the outcomes of messages that an earlier process accepted and never attempted, and reports them once. Each of
-//! them should get a call before its deadline. Nothing is decided here.
+//! them should get a call before its deadline. The report affects no decision.
 
 use std::collections::HashSet;
 
--- a/crates/sender/src/event_loop/run.rs
+++ b/crates/sender/src/event_loop/run.rs
@@ -163,7 +163,7 @@
         self.shard.as_ref().map_or(ShardId(0), super::Shard::id)
     }
 
-    /// Ends this event loop. Returns the state for the successor and what this process keeps.
+    /// Ends this event loop. Returns the state for the successor and the parts that this process keeps.
     fn into_hand_over(self, successor: HandoverLink, state: HandoverState) -> ExitReason {
         let shard = match (self.shard, self.journal) {
             (Some(shard), JournalStore::Sharded(mut journal_part)) => {
--- a/crates/sender/src/event_loop/shard/leases.rs
+++ b/crates/sender/src/event_loop/shard/leases.rs
@@ -14,7 +14,8 @@
             .count();
         let (pending, in_flight, queued) =
             (self.policy.pending_messages(), self.policy.calls_in_flight(), self.policy.queued_messages());
-        // The decision module begins to shed load when all but a sixteenth of its capacity is used.
+        // The decision module begins to shed load when all but a sixteenth of its capacity is used, so that the lease
+        // has to exceed the number of messages by a fifteenth.
         let wanted_messages = (pending + arriving) * 16 / 15 + 2;
         let open_connections: usize =
             self.directory.transports().iter().map(|transport| transport.connections()).sum();
--- a/crates/sender/src/event_loop/shard/mod.rs
+++ b/crates/sender/src/event_loop/shard/mod.rs
@@ -49,8 +49,9 @@
     gathering: bool,
     /// When the figures are published again.
     publish_at: Micros,
-    /// Destinations that migrated here, and those that migrated away.
+    /// How many destinations migrated to this shard.
     attached: u64,
+    /// How many destinations migrated away from this shard.
     detached: u64,
     /// The migration planner and when it is due next. Only the first shard has one.
     planner: Option<(Planner, Micros)>,
--- a/crates/sender/src/event_loop/snapshot.rs
+++ b/crates/sender/src/event_loop/snapshot.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Marks the destination of a call. Calls to a cold destination matter to the next process.
+    /// Marks the destination of a call as changed: the snapshot stores the recent calls to a destination, by which the
+    /// next process limits its own while the destination recovers from an outage.
     pub(super) fn record_call(&mut self, endpoint: EndpointId) {
         if self.snapshot_store.is_some() {
             self.touched_destinations.extend(self.directory.destination(endpoint));
--- a/crates/sender/src/event_loop/startup.rs
+++ b/crates/sender/src/event_loop/startup.rs
@@ -28,7 +28,7 @@
 /// A shard's call numbers start at its id shifted left by this many bits.
 const SHARD_CALL_BITS: u32 = 48;
 
-/// What the startup needs besides the event loop.
+/// The inputs of the startup besides the event loop.
 pub(super) struct Startup {
     pub(super) recovery: Recovery,
     pub(super) frontends: Vec<Rc<dyn Frontend>>,
@@ -56,7 +56,7 @@
 }
 
 impl EventLoop {
-    /// Creates an event loop that has not run yet. Returns it with what its startup needs.
+    /// Creates an event loop that has not run yet. Returns it with the inputs of its startup.
     pub(super) fn new(
         config: &Config,
         parts: EventLoopParts,
@@ -154,7 +154,7 @@
             let address = frontend.clone().start().map_err(|error| format!("listen: {error}"))?;
             addresses.push(address.to_string());
         }
-        // Not earlier: a process that answers administrative requests accepts clients.
+        // After the frontends have started: a process that answers administrative requests must already accept clients.
         if let (Some(address), false) = (config.ops, started) {
             let address = http::admin::listen(address, self.inbound.clone())
                 .map_err(|error| format!("ops: {error}"))?;
--- a/crates/sender/src/gossip_socket.rs
+++ b/crates/sender/src/gossip_socket.rs
@@ -12,7 +12,7 @@
 use crate::config::Config;
 use crate::ports::Inbound;
 
-/// The most bytes of a gossip message. Longer ones are not sent, and discarded when received.
+/// Maximum size of a gossip message, in bytes. Longer ones are not sent, and discarded when received.
 const MAX_MESSAGE_BYTES: usize = 256;
 
 /// The gossip socket.
@@ -35,7 +35,7 @@
         let task = tokio::task::spawn_local(async move {
             let mut datagram = [0; MAX_MESSAGE_BYTES + 1];
             loop {
-                // An error here belongs to an earlier datagram of ours that was not delivered.
+                // An error here reports that an earlier datagram from this socket was not delivered.
                 let Ok((size, from)) = receiver.recv_from(&mut datagram).await else {
                     tokio::task::yield_now().await;
                     continue;
--- a/crates/sender/src/hand_over/mod.rs
+++ b/crates/sender/src/hand_over/mod.rs
@@ -34,7 +34,8 @@
 /// Interval at which a predecessor checks whether it has nothing left to drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Returns the socket's path by way of the open folder, since a path to a socket is limited to about a hundred bytes.
+/// Returns a path to the socket through the descriptor of the open folder: the path of a Unix socket is limited to
+/// about a hundred bytes, which the folder's own path may exceed.
 fn socket_path(folder: &File) -> PathBuf {
     Path::new("/proc/self/fd").join(folder.as_raw_fd().to_string()).join(SOCKET_NAME)
 }
--- a/crates/sender/src/http/admin.rs
+++ b/crates/sender/src/http/admin.rs
@@ -23,13 +23,13 @@
 
 use crate::ports::{AdminResponse, Inbound};
 
-/// The most connections at a time, so that clients that connect and never finish a request don't use up the file
-/// descriptors or keep others out. The oldest connection is closed for a new one, which fails a request that is still
-/// open when this many others have connected after it.
+/// Maximum number of connections at a time, so that clients that connect and never finish a request don't use up the
+/// file descriptors or keep others out. The oldest connection is closed for a new one, which fails a request that is
+/// still open when this many others have connected after it.
 pub const MAX_ADMIN_CONNECTIONS: usize = 16;
 /// Maximum lifetime of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
-/// The most bytes of a request head.
+/// Maximum size of a request head, in bytes.
 const HEAD_LIMIT: usize = 8 * 1024;
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 64;
--- a/crates/sender/src/http/client.rs
+++ b/crates/sender/src/http/client.rs
@@ -46,7 +46,7 @@
     since: Instant,
 }
 
-/// How long sockets count as read up to date after [`TransportState::drain_readable`].
+/// For how long [`TransportState::drain_readable`] does not repeat a read of all sockets.
 const READ_FRESHNESS: Duration = Duration::from_millis(10);
 
 /// Cancels a call with all its messages. Shared by its attempts; empty once it was used.
@@ -54,7 +54,7 @@
 
 struct TransportState {
     limits: Limits,
-    /// The most connections to endpoints, idle ones included.
+    /// Maximum number of connections to endpoints, idle ones included.
     max_connections: Cell<usize>,
     /// The address of each endpoint.
     addresses: RefCell<HashMap<EndpointId, SocketAddr>>,
@@ -69,7 +69,7 @@
     waits: ActiveWaits,
     /// Endpoints that accept no new calls.
     not_accepting: RefCell<HashSet<EndpointId>>,
-    /// When the runtime last read all sockets up to date; see [`TransportState::drain_readable`].
+    /// When the runtime last read all data that had arrived; see [`TransportState::drain_readable`].
     read_up_to: Cell<Instant>,
 }
 
@@ -167,7 +167,7 @@
         transport
     }
 
-    /// Sets the most connections, idle ones included.
+    /// Sets the maximum number of connections, idle ones included.
     pub fn limit_connections(&self, most: usize) {
         self.0.max_connections.set(most);
     }
@@ -389,8 +389,8 @@
         Some(conns.pop()?.conn)
     }
 
-    /// Closes the connections that have been idle the longest until the limit is kept. Returns false if the connections in
-    /// use exceed it by themselves; the one that is to be opened is already counted among them.
+    /// Closes the connections that have been idle the longest until the limit is kept. Returns false if the connections
+    /// in use alone exceed it. A connection that is about to be opened counts as in use.
     fn free_connection(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let mut count: usize = idle.values().map(Vec::len).sum();
@@ -426,7 +426,8 @@
         }
     }
 
-    /// Records a Retry-After of a route. Calls on their way there, of which nothing has been sent, are not sent.
+    /// Records a Retry-After of a route. Calls on this route that are not sent yet will not be sent, and a delayed last
+    /// byte is withheld.
     fn record_wait(&self, route: RouteId, wait: Option<Micros>) {
         if let Some(wait) = wait {
             self.waits.record(route, Instant::now(), Duration::from_micros(wait));
@@ -445,10 +446,10 @@
         }
     }
 
-    /// Whether the next bytes of a call may be sent. False while a Retry-After of the route is active, or if the endpoint
-    /// drains or moved, also where that became known only after the call was decided: its connection took long to open, or
-    /// the process stalled. A Retry-After that was sent by mistake delays calls too; the decision module would believe it
-    /// as well. A stall between this check and the write that follows is not covered.
+    /// Whether the next bytes of a call may be sent. False while a Retry-After of the route is active, or if the
+    /// endpoint drains or moved. This may have become known only after the call was decided, because its connection
+    /// took long to open or the process stalled. A Retry-After that was sent by mistake delays calls too, as it does in
+    /// the decision module. A stall between this check and the write that follows is not covered.
     async fn may_send(&self, route: Option<RouteId>, target: EndpointAddress) -> bool {
         let Some(route) = route else { return true };
         self.drain_readable().await;
@@ -471,7 +472,7 @@
         let last_byte_delay = Duration::from_micros(options.last_byte_delay);
         let mut may_reuse = !options.new_connection;
         if options.new_connection {
-            // The endpoint's connection table has no room for both the idle and the new connection.
+            // Closes an idle connection: the endpoint's connection table has no room for both the idle and the new one.
             self.take_idle(target);
         }
         loop {
@@ -523,9 +524,10 @@
         progress: &Progress,
     ) -> Result<CallAnswer, Outcome> {
         let request = || {
-            // Leaves out messages past their send deadline, which a late connection may cause although other messages of the
-            // batch have more time. By then the decision module has given the message its one final outcome; and a retry that
-            // is sent once the endpoint may have forgotten its idempotency key would take effect a second time.
+            // Leaves out messages whose send deadline has passed, for example while the connection opened; other
+            // messages of the batch may have more time. By then the decision module has given the message its one final
+            // outcome; and a retry that is sent once the endpoint may have forgotten its idempotency key would take
+            // effect a second time.
             let last_byte = Instant::now() + Duration::from_micros(options.last_byte_delay);
             let sent: Vec<bool> = parts.iter().map(|part| last_byte < part.send_deadline).collect();
             let carried = selected(parts, &sent);
@@ -729,8 +731,8 @@
 }
 
 /// The outcome that the head of a response stands for. `new_without_report` is set if this was the first request on its
-/// connection and the response carries no load report: if the endpoint then also rejects it and closes the connection, it had no room for
-/// the connection.
+/// connection and the response carries no load report: if the endpoint then also rejects it and closes the connection,
+/// it had no room for the connection.
 fn outcome(status: StatusCode, headers: &HeaderMap, new_without_report: bool) -> Outcome {
     match status.as_u16() {
         200 => Outcome::Delivered,
--- a/crates/sender/src/http/connection.rs
+++ b/crates/sender/src/http/connection.rs
@@ -24,7 +24,7 @@
 
 use crate::ports::MAX_BODY_BYTES;
 
-/// The most bytes of a response head; a longer one is invalid.
+/// Maximum size of a response head, in bytes; a longer one is invalid.
 const HEAD_LIMIT: usize = 16 * 1024;
 /// Time from the first byte of a response to its end. Endpoints write a response in one go, so that a slower one is invalid.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -145,10 +145,10 @@
 
 /// A request body whose last byte is delayed until a broken connection has had time to fail. The endpoint starts to
 /// process a call with its last byte, so that a call that fails earlier never ran and may be repeated. This protects
-/// messages that must not be applied twice from every failure that shows once something is written: a connection that
-/// was closed while idle, one that a firewall or load balancer has dropped, a process that ended. Costs the delay, which
-/// is significant for short calls, and is useless where the round trip takes longer, since the failure is not seen in
-/// time. An empty body has no byte to delay.
+/// messages that must not be applied twice from every failure that is noticed once something is written: a connection
+/// that was closed while idle, one that a firewall or load balancer has dropped, a process that ended. Costs the delay,
+/// which is significant for short calls, and is useless where the round trip takes longer, since the failure is not
+/// seen in time. An empty body has no byte to delay.
 struct DelayedBody {
     remaining: Bytes,
     last_byte_delay: Duration,
@@ -223,7 +223,7 @@
 pub enum ExchangeError {
     /// The connection broke.
     Broken,
-    /// What was received is not a valid response.
+    /// The bytes that were received are not a valid response.
     InvalidResponse,
     /// Its last byte was withheld: after the delay it was not permitted to be sent.
     NotSent,
--- a/crates/sender/src/http/connection/tests.rs
+++ b/crates/sender/src/http/connection/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use std::io::{Read, Write};
 
-/// A request must not be written to a connection that the endpoint has just closed. The runtime is not polled between the
-/// close and the check, so that only a look at the socket itself can tell.
+/// A request must not be written to a connection that the endpoint has just closed. The runtime is not polled between
+/// the close and the check, so that only a peek at the socket itself detects the close.
 #[test]
 fn connection_closed_right_after_its_response_is_not_usable() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/sender/src/http/server.rs
+++ b/crates/sender/src/http/server.rs
@@ -38,7 +38,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// The most bytes of a request head; a longer one is not read to its end.
+/// Maximum size of a request head, in bytes; a longer one is not read to its end.
 const HEAD_LIMIT: usize = 16 * 1024;
 /// Interval at which a connection that is to be closed is checked again for the rest of a request.
 const POLL_INTERVAL: Micros = 50_000;
@@ -66,7 +66,7 @@
 /// The frontend for clients over HTTP; all client connections share it.
 pub struct HttpFrontend {
     address: SocketAddr,
-    /// The most connections at a time.
+    /// Maximum number of connections at a time.
     max_clients: Cell<usize>,
     clock: Clock,
     /// The name of each class and its longest deadline.
@@ -132,7 +132,7 @@
     }
 }
 
-/// Withdraws a message when it is dropped before the answer: the client has disconnected.
+/// Withdraws its message if it is dropped before the answer, which means that the client has disconnected.
 struct Withdrawal<'a> {
     id: Option<String>,
     request: u64,
@@ -179,7 +179,8 @@
     response
 }
 
-/// Rejects a request that is not valid, and closes its connection, since what follows on it can't be trusted either.
+/// Rejects a request that is not valid, and closes its connection, since the bytes that follow on it can't be trusted
+/// either.
 fn reject(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = plain_text(status, text);
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -275,13 +276,14 @@
         }
     }
 
-    /// Sets the most connections at a time. Closes idle ones if there are more.
+    /// Sets the maximum number of connections at a time. Closes idle ones if there are more.
     pub fn limit_connections(&self, max_clients: usize) {
         self.max_clients.set(max_clients);
         (max_clients..self.open_connections()).for_each(|_| self.close_idle_client());
     }
 
-    /// Sets the number of requests so far, which a predecessor has counted.
+    /// Sets the number that requests are counted from, so that they have other numbers than those of a predecessor or
+    /// of another shard.
     pub fn set_request_count(&self, requests: u64) {
         self.requests.set(requests);
     }
@@ -463,8 +465,8 @@
         Ok(response)
     }
 
-    /// Submits the message in a request and waits for its answer. Whatever a client sends that is not a valid message gets
-    /// status 400.
+    /// Submits the message in a request and waits for its answer. A request that is not a valid message gets status
+    /// 400, and one that announces a body over [`MAX_BODY_BYTES`] gets status 413.
     async fn submit(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let received_at =
             self.clock.now().saturating_sub(stall_detector::max_read_delay().as_micros() as Micros);
--- a/crates/sender/src/notifications.rs
+++ b/crates/sender/src/notifications.rs
@@ -28,8 +28,8 @@
 /// request is not cancelled: its response may still arrive before the second one.
 const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// Sends a request to the platform that may arrive twice without harm. It is hedged over a second connection after
-/// [`HEDGE_DELAY`].
+/// Sends a request to the platform. The request must be idempotent, since it may arrive twice. It is hedged over a
+/// second connection after [`HEDGE_DELAY`].
 async fn send_hedged(
     kept: &mut Option<Connection>,
     address: SocketAddr,
--- a/crates/sender/src/persistence/snapshot.rs
+++ b/crates/sender/src/persistence/snapshot.rs
@@ -19,7 +19,7 @@
 use crate::discovery::endpoint_list::{EndpointList, EndpointListing};
 use crate::ports::Clock;
 
-/// Default age up to which limits and answer times are restored, in microseconds.
+/// Default age up to which limits and response times are restored, in microseconds.
 const DEFAULT_SPAN: Micros = 3_600_000_000;
 /// By default the snapshot may use the disk quota divided by this.
 const DEFAULT_DISK_DIVISOR: u64 = 8;
@@ -102,7 +102,7 @@
     }
 }
 
-/// Returns what a process restores from this snapshot if its endpoint list has version `index`.
+/// Returns the state that a process restores from this snapshot if its endpoint list has version `index`.
 pub fn restore(
     snapshot: &health_snapshot::replay::Snapshot,
     options: &SnapshotOptions,
@@ -166,8 +166,8 @@
 }
 
 impl SnapshotStore {
-    /// Sets how far this process's clock is ahead of the one that the snapshot was written by. Stored times are
-    /// shifted by it.
+    /// Sets how far this process's clock is ahead of the one by which the snapshot was written. Stored times are
+    /// shifted by this.
     pub fn set_clock_shift(&mut self, shift: i64) {
         self.store.set_clock_shift(shift);
     }
@@ -218,9 +218,9 @@
     }
 }
 
-/// Returns the endpoint list that a process starts with: the snapshot's if it is newer, else the configuration's,
-/// with the endpoints marked as draining that may have begun to drain since. Also returns the version to watch the
-/// list from, or none if the full list has to be fetched.
+/// Returns the endpoint list that a process starts with: the snapshot's if it is newer, else the configuration's. In
+/// the latter, endpoints that may have begun to drain since are marked as draining. Also returns the version to watch
+/// the list from, or none if the full list has to be fetched.
 pub fn initial_list(configured: EndpointList, restored: &mut RestoredState) -> (EndpointList, Option<u64>) {
     if let Some(restore::NewerList { index, destinations }) = restored.list.newer.take() {
         let endpoints = destinations.into_iter().flat_map(|(group, listed)| {
--- a/crates/sender/src/platform_client.rs
+++ b/crates/sender/src/platform_client.rs
@@ -8,7 +8,7 @@
 
 use crate::http::connection::Connection;
 
-/// The most bytes of a response: enough for an endpoint list of about 200,000 entries.
+/// Maximum size of a response, in bytes: enough for an endpoint list of about 200,000 entries.
 const MAX_RESPONSE_BYTES: usize = 32 << 20;
 /// Time to receive the body of a response.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/sender/src/ports.rs
+++ b/crates/sender/src/ports.rs
@@ -32,7 +32,7 @@
     /// Number of open client connections.
     fn open_connections(&self) -> usize;
 
-    /// Sets the most client connections.
+    /// Sets the maximum number of client connections.
     fn set_max_clients(&self, max_clients: usize);
 
     /// Serves a connection that another shard accepted.
@@ -51,8 +51,8 @@
     /// Forgets an endpoint's address and closes idle connections to it.
     fn forget(&self, endpoint: EndpointId);
 
-    /// Sets whether an endpoint accepts new calls. A call to one that no longer does is not sent if nothing of it was sent
-    /// before.
+    /// Sets whether an endpoint accepts new calls. A call to an endpoint that no longer does is not sent, and a delayed
+    /// last byte is withheld.
     fn set_accepting(&self, _endpoint: EndpointId, _open: bool) {}
 
     /// Starts a call with one message or a batch, whose attempts are recorded in the journal already. Completes with
@@ -79,17 +79,17 @@
         0
     }
 
-    /// Sets the most connections, idle ones included.
+    /// Sets the maximum number of connections, idle ones included.
     fn set_max_connections(&self, _most: usize) {}
 
     /// The attempts in flight on connections of this process, with their endpoints.
     fn outstanding_attempts(&self) -> Vec<(MessageId, u16, EndpointId)>;
 }
 
-/// The most bytes of a message body.
+/// Maximum size of a message body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What other tasks send to the event loop.
+/// A message from another task to the event loop.
 #[derive(Debug)]
 pub enum Inbound {
     /// A client submits a message.
@@ -100,7 +100,7 @@
         id: String,
         /// The request's number.
         request: u64,
-        /// Its destination.
+        /// The message's destination.
         destination: u16,
     },
     /// All attempts of one call are completed.
@@ -152,11 +152,11 @@
     pub message: MessageId,
     /// The attempt's number.
     pub attempt: u16,
-    /// Its `Req-Id`.
+    /// The message's `Req-Id`.
     pub id: String,
-    /// Its `Idempotency-Key`.
+    /// The message's `Idempotency-Key`.
     pub key: Option<String>,
-    /// Its body.
+    /// The message's body.
     pub body: Bytes,
     /// Deadline of the answer.
     pub answer_deadline: tokio::time::Instant,
--- a/crates/sender/src/process/journal.rs
+++ b/crates/sender/src/process/journal.rs
@@ -97,8 +97,9 @@
     }
 }
 
-/// Returns the idempotency that applies to pending messages, by class: the stricter of the settings and of what was
-/// recorded when the messages were accepted. It is recorded for the next process before this one accepts any message.
+/// Returns the idempotency that applies to pending messages, by class: the stricter of the one in the settings and the
+/// one that was recorded when the messages were accepted. The result is recorded for the next process before this one
+/// accepts any message.
 pub(super) fn record_class_idempotency(config: &Config, journal: &Journal) -> ClassIdempotency {
     let idempotency = config.settings.classes.iter().map(|class| class.idempotency);
     let configured: ClassIdempotency = config.names.classes.iter().cloned().zip(idempotency).collect();
--- a/crates/sender/src/process/shards.rs
+++ b/crates/sender/src/process/shards.rs
@@ -21,13 +21,13 @@
 use crate::shards::{ShardGroup, ShardHandle, ShardQuotas};
 use crate::stall_detector;
 
-/// Upper limit of the settings' pending messages that a shard's mailbox reserves space for.
+/// A shard's mailbox has space for the pending messages that the settings allow, but for at most this many of them.
 const MAX_QUEUED_MESSAGES: usize = 16_384;
 /// Lower limit of the messages that a mailbox has space for, before it is doubled.
 const MIN_QUEUED_MESSAGES: usize = 1_024;
 
-/// Divides settings among the shards that are meant for the whole process but enforced by each decision module: the
-/// rate at which idle destinations are activated, and how many are active and retained.
+/// Divides among the shards those settings that apply to the whole process but are enforced by each decision module:
+/// the rate at which idle destinations are activated, and how many are active and retained.
 pub(super) fn divide_by_shards(settings: &mut Settings, shards: usize) {
     if let Some(idle) = &mut settings.idle {
         idle.activations_per_second /= shards as f64;
--- a/crates/sender/src/process/sockets.rs
+++ b/crates/sender/src/process/sockets.rs
@@ -21,8 +21,8 @@
 const OWN_SOCKETS: usize = 32;
 /// File descriptors of each shard: its runtime and its connection to the platform.
 const SHARD_SOCKETS: usize = 8;
-/// While two processes run, each divides its limits of connections to clients and endpoints by this. With what the
-/// predecessor still has in flight, both together stay within the file descriptors of one process.
+/// While two processes run, each divides its limits of connections to clients and endpoints by this. Together with the
+/// calls that the predecessor still has in flight, both stay within the file descriptors of one process.
 pub(super) const HANDOVER_DIVISOR: usize = 3;
 
 /// The frontend and the transport of a process or of one shard.
--- a/crates/sender/src/shards/group.rs
+++ b/crates/sender/src/shards/group.rs
@@ -27,7 +27,7 @@
 pub struct Figures {
     /// Final outcomes of messages, once the shard has published any.
     pub outcome_counts: Option<OutcomeCounts>,
-    /// The gauges. As endpoints out of rotation they count those whose breakers are open.
+    /// The gauges. Their `out_of_rotation` counts the endpoints whose breakers are open.
     pub gauges: Gauges,
     /// Calls in flight.
     pub calls_in_flight: usize,
@@ -47,8 +47,9 @@
     clients: Vec<AtomicUsize>,
     /// Whether each shard has nothing left to do and may end.
     done: Vec<AtomicBool>,
-    /// Migrations that happened, and those that did not.
+    /// How many migrations happened.
     migrations: AtomicU64,
+    /// How many migrations were requested and did not happen.
     failed_migrations: AtomicU64,
 }
 
--- a/crates/sender/src/shards/mailbox.rs
+++ b/crates/sender/src/shards/mailbox.rs
@@ -45,7 +45,7 @@
         id: String,
         /// The request's number.
         request: u64,
-        /// Its destination.
+        /// The message's destination.
         destination: u16,
     },
     /// An attempt completed on a connection of the sending shard.
@@ -159,8 +159,9 @@
 pub struct ShardHandle {
     id: ShardId,
     group: Arc<ShardGroup>,
-    /// Messages that must arrive and found the mailbox full, by receiving shard. Their number is bounded by calls in
-    /// flight, open connections and list entries. Later messages to the same shard wait here too, to keep the order.
+    /// Messages that must arrive and for which the mailbox was full, by receiving shard. Their number is bounded by
+    /// calls in flight, open connections and list entries. Later messages to the same shard wait here too, to keep the
+    /// order.
     outbox: RefCell<Vec<VecDeque<ShardMessage>>>,
 }
 
@@ -222,7 +223,7 @@
         self.outbox.borrow().iter().any(|waiting| !waiting.is_empty())
     }
 
-    /// Sends waiting messages as far as the mailboxes have capacity.
+    /// Sends waiting messages until their mailboxes are full.
     pub fn flush(&self) {
         for (to, queue) in self.outbox.borrow_mut().iter_mut().enumerate() {
             while let Some(message) = queue.pop_front() {
--- a/crates/sender/src/shards/mod.rs
+++ b/crates/sender/src/shards/mod.rs
@@ -1,8 +1,7 @@
 //! State and mailboxes of a sender that runs several shards.
 //!
 //! Each shard has a thread with an event loop, a decision module, clients' connections and calls of its own. The
-//! package
-//! `sharding` decides which shard owns a destination and which one receives a message (`docs/sharding.md`).
+//! package `sharding` decides which shard owns a destination and which one receives a message (`docs/sharding.md`).
 
 pub mod group;
 pub mod mailbox;
--- a/crates/sender/src/shards/remote.rs
+++ b/crates/sender/src/shards/remote.rs
@@ -90,7 +90,7 @@
         others.for_each(|shard| self.handle.send(shard, ShardMessage::MaxConnections(limit)));
     }
 
-    /// Closes the connection: there is none of its own here, and the client connects again.
+    /// Closes the connection, since this frontend serves none itself; the client connects again.
     fn adopt(self: Rc<Self>, stream: std::net::TcpStream) {
         drop(stream);
     }
--- a/crates/sender/src/stall_detector.rs
+++ b/crates/sender/src/stall_detector.rs
@@ -18,14 +18,14 @@
 /// that is read within this time after it may have arrived as early as the stall began.
 const AFTER_STALL: Duration = Duration::from_millis(20);
 
-/// When a thread's runtime was parked and unparked, from which the age of what it reads follows.
+/// When a runtime's thread was parked and unparked. The age of the data that it reads is derived from these times.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReadTimes {
     /// When the thread was parked last.
     parked_at: Option<Instant>,
     /// When the thread was unparked last.
     unparked_at: Option<Instant>,
-    /// Data that is read now arrived no earlier than this.
+    /// The earliest time at which data that is read now may have arrived.
     earliest_arrival: Option<Instant>,
     /// Begin and end of the last stall of the process.
     last_stall: Option<(Instant, Instant)>,
@@ -36,9 +36,10 @@
         Self { parked_at: Some(now), ..self }
     }
 
-    /// Determines the earliest arrival of what is read next. It lies back by a long iteration, during which a request
-    /// was not read, and by a stall of the process. A stall shorter than the tick interval is not detected. After a
-    /// longer one, the request may lose up to one tick interval of its time too much.
+    /// Determines the earliest time at which the data that is read next may have arrived. After a long iteration,
+    /// during which nothing was read, this is the iteration's beginning; after a stall of the process, the stall's
+    /// beginning. A stall shorter than the tick interval is not detected. After a longer one, up to one tick interval
+    /// too much may be deducted from a request's time.
     fn unpark(self, now: Instant) -> Self {
         let parked_for =
             self.parked_at.map_or(Duration::ZERO, |parked_at| now.saturating_duration_since(parked_at));
