--- a/crates/loadtest/src/stores.rs
+++ b/crates/loadtest/src/stores.rs
@@ -77,7 +77,7 @@
 mod embedded {
     use std::path::{Path, PathBuf};
 
-    use journal::{Record, Taken};
+    use journal::{AcceptedMessage, Record};
 
     use super::Store;
 
@@ -86,21 +86,22 @@
         u64::from(message) << 17 | attempt.map_or(0, |attempt| u64::from(attempt) + 1)
     }
 
-    /// Returns the rows that a record writes, with their content; none deletes the row.
+    /// Returns the rows that a record writes, with their content; `None` deletes the row.
     fn rows(record: &Record) -> Vec<(u64, Option<Vec<u8>>)> {
         match record {
-            Record::Taken(message, taken) => {
-                let Taken { id, key: idempotency, class, destination, deadline, body } = &**taken;
-                let head = format!("{id}\n{}\n{class}\n", idempotency.as_deref().unwrap_or_default());
+            Record::Accepted(message, accepted) => {
+                let AcceptedMessage { id, key: idempotency_key, class, destination, deadline, body } =
+                    &**accepted;
+                let head = format!("{id}\n{}\n{class}\n", idempotency_key.as_deref().unwrap_or_default());
                 let rest = [&destination.to_le_bytes()[..], &deadline.to_le_bytes()[..], body];
                 vec![(key(*message, None), Some([&[head.as_bytes()][..], &rest[..]].concat().concat()))]
             }
-            Record::Begun { message, attempt, endpoint, at } => {
+            Record::AttemptStarted { message, attempt, endpoint, at } => {
                 let row = [endpoint.as_bytes(), &at.to_le_bytes()].concat();
                 vec![(key(*message, Some(*attempt)), Some(row))]
             }
-            Record::Over(message) => vec![(key(*message, None), None), (key(*message, Some(0)), None)],
-            Record::Ended { .. } | Record::GivenUp(..) | Record::Remembered(_) => vec![],
+            Record::Completed(message) => vec![(key(*message, None), None), (key(*message, Some(0)), None)],
+            Record::AttemptEnded { .. } | Record::Abandoned(..) | Record::LedgerEntry(_) => vec![],
         }
     }
 
@@ -127,7 +128,7 @@
 
     const ROWS: redb::TableDefinition<u64, &[u8]> = redb::TableDefinition::new("rows");
 
-    /// Has no mode that survives SIGKILL without a sync.
+    /// Syncs on each commit: it has no mode without syncs in which commits survive SIGKILL.
     struct Redb(redb::Database);
 
     impl Store for Redb {
