--- a/crates/fleet-sim/src/partner.rs
+++ b/crates/fleet-sim/src/partner.rs
@@ -97,7 +97,7 @@
     pub count: Counts,
     /// The counts of each second.
     pub seconds: Vec<Counts>,
-    /// The highest load during a slow start, as a share of what it can bear then. Above 1 it is overloaded.
+    /// The highest load during a slow start, as a share of the load at which it becomes overloaded; above 1 it was overloaded.
     pub overload: f64,
     /// Arrival times of the calls counted for the slow start, in seconds since the start of the simulation.
     pub cold_calls: VecDeque<f64>,
@@ -140,7 +140,7 @@
         self.limit * reduction.map_or(1.0, |span| span.2)
     }
 
-    /// Changes the counts since the start and those of the current second.
+    /// Applies a change to the counts since the start and to those of the current second.
     pub(crate) fn count(&mut self, now: Micros, change: impl Fn(&mut Counts)) {
         let second = (now as f64 / MICROS_PER_SECOND) as usize;
         if self.seconds.len() <= second {
@@ -199,8 +199,8 @@
             self.reports.push_back((interval, current));
         }
         // Answers carry the report of the interval that was current one report delay ago.
-        let visible_period = ((at - self.report_delay) / self.report_interval) as u64;
-        while self.reports.len() > 1 && self.reports[1].0 <= visible_period {
+        let visible_interval = ((at - self.report_delay) / self.report_interval) as u64;
+        while self.reports.len() > 1 && self.reports[1].0 <= visible_interval {
             self.reports.pop_front();
         }
         let report = self.reports.front().map(|first| first.1.clone()).unwrap_or_default();
--- a/crates/fleet-sim/src/world.rs
+++ b/crates/fleet-sim/src/world.rs
@@ -44,7 +44,7 @@
 /// The wall-clock time at the start of the simulation. Health snapshots use the wall clock.
 const WALL_CLOCK_START: Micros = 1_000_000 * SECOND;
 
-/// Converts the times of a route snapshot to the wall clock.
+/// Converts the times of a route snapshot to the wall clock. A time of 0 means that there is none, and stays 0.
 fn to_wall_clock(snapshot: RouteSnapshot) -> RouteSnapshot {
     let at = |at: Micros| if at > 0 { WALL_CLOCK_START + at } else { 0 };
     RouteSnapshot {
@@ -79,7 +79,7 @@
     objective_at: Micros,
     /// When the call in flight was started.
     in_flight_since: Option<Micros>,
-    /// When it first took effect at the partner; its sender has not got that answer.
+    /// When it first took effect at the partner. The answer has not arrived at its sender.
     first_executed_at: Option<Micros>,
     /// Start times of the calls that were in flight when a process of the sender was killed.
     unresolved_calls: Vec<Micros>,
@@ -243,7 +243,7 @@
     }
 }
 
-/// Returns the message as its sender gets it, when it is submitted or recovered.
+/// Returns a pending message in the form in which the decision module gets it, when it is submitted or recovered.
 fn message(id: u32, pending_message: &PendingMessage, now: Micros) -> Message {
     Message {
         id: MessageId(id),
@@ -331,7 +331,7 @@
         self.run_at(seconds, &vec![rate; self.partners.len()]);
     }
 
-    /// Runs the simulation for a number of seconds with a rate of its own for each partner.
+    /// Runs the simulation like [`World::run`], with a message rate of its own for each partner.
     pub fn run_at(&mut self, seconds: f64, rates: &[f64]) {
         let until = self.now + (seconds * SECOND as f64) as Micros;
         for (partner, rate) in rates.iter().enumerate() {
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Draws the sender for a message that is submitted now; `None` if all are down.
+    /// Draws the sender for a message that is submitted now; `None` if no sender that gets traffic is up.
     fn draw_sender(&mut self) -> Option<usize> {
         let share = |node: &Node| if node.up { node.traffic_share } else { 0.0 };
         let mut at = self.rng.f64() * self.nodes.iter().map(share).sum::<f64>();
@@ -626,7 +626,8 @@
                         let rejected = matches!(action, Action::Reject { .. });
                         let is_harmful = rejected && pending_message.repeat_is_harmful(&self.settings, now);
                         self.violations.duplicates += u32::from(is_harmful);
-                        // After a restart a final outcome is not late before 1.5 s have passed.
+                        // A final outcome may come 5 ms after the deadline (the settings' `answer_slack`), and until 1.5 s after
+                        // a restart.
                         let grace_until =
                             self.nodes[sender].started_at + if process > 0 { 1_500_000 } else { 0 };
                         self.violations.missed_deadlines +=
--- a/crates/fleet-sim/tests/gossip.rs
+++ b/crates/fleet-sim/tests/gossip.rs
@@ -4,6 +4,7 @@
 
 const SENDERS: usize = 300;
 
+/// Runs a case, and returns the counts and the overload of its partner, and the bytes of gossip that a sender received per second.
 fn run(
     partner: &Partner,
     rate: f64,
--- a/crates/fleet-sim/tests/limits.rs
+++ b/crates/fleet-sim/tests/limits.rs
@@ -4,8 +4,8 @@
 
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// A hundred senders that each hit the limit now and then sent about as many calls as the limit in total, rejected ones
-/// included, and rejected calls use up the limit: in a benchmark not one call in three hundred was accepted for eight seconds.
+/// In a benchmark with a hundred senders, not one call in three hundred was accepted for eight seconds: each sender was rejected
+/// now and then, all together sent about as many calls as the limit allows, and rejected calls use up the limit too.
 #[test]
 fn lowered_limit_is_not_used_up_by_rejected_calls() {
     for seed in SEEDS {
@@ -68,8 +68,8 @@
     }
 }
 
-/// In a benchmark, calls that were rejected in the same second were retried in the same second. During the bursts the load
-/// exceeds the limit even with full batches, where single seeds vary widely; therefore the mean over the seeds is checked.
+/// In a benchmark, calls that were rejected within one second were also all retried within one second. During the bursts the load
+/// exceeds the limit even with full batches. Single seeds vary widely there, so the mean over the seeds is checked.
 #[test]
 fn retries_of_simultaneous_rejections_are_spread() {
     let counts = [1, 2, 3, 4, 5, 6].map(|seed| {
--- a/crates/fleet-sim/tests/restart_with_snapshot.rs
+++ b/crates/fleet-sim/tests/restart_with_snapshot.rs
@@ -5,7 +5,7 @@
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 /// The result of a run at the partner: its counts in the ten seconds after the rolling restart began, and its highest load
-/// during a slow start, as a share of what it can bear then.
+/// during a slow start, as a share of the load at which it becomes overloaded.
 #[derive(Debug, Clone, Copy)]
 struct RunResult {
     after_restart: Counts,
@@ -89,7 +89,7 @@
     }
 }
 
-/// The partner is down when most senders restart, and their snapshots say so.
+/// The partner is down when most senders restart, and their snapshots record the outage.
 #[test]
 fn rolling_restart_during_outage_fails_fewer_calls_with_snapshots() {
     let partner = Partner { outages: vec![(6.0, 12.0)], ..partner() };
@@ -97,21 +97,21 @@
     assert!(with.failed < without.failed, "{} and {}", with.failed, without.failed);
 }
 
-/// The limit was lowered by half before the senders are killed: their snapshots have that (age 0), or are from the time
-/// before (age 4 s).
+/// The limit is lowered by half at least two seconds before the senders are killed. Their snapshots contain the lowered limit (age 0),
+/// or were saved before it was lowered (age 4 s).
 #[test]
 fn lowered_limit_is_restored_or_detected_after_rolling_restart() {
-    let limit_reductions = Partner { limit_reductions: vec![(6.0, 16.0, 0.5)], ..partner() };
+    let partner = Partner { limit_reductions: vec![(6.0, 16.0, 0.5)], ..partner() };
     for age in [0.0, 4.0] {
-        compare(&format!("lowered limit, snapshot {age} s old"), &limit_reductions, 120.0, 2, age);
+        compare(&format!("lowered limit, snapshot {age} s old"), &partner, 120.0, 2, age);
     }
 }
 
-/// The snapshots are outdated: an outage has begun since they were saved, or one that they have is over.
+/// The snapshots are outdated: since they were saved, an outage has begun, or one that they record has ended.
 #[test]
 fn outdated_snapshots_do_not_harm_the_partner() {
-    for (name, down) in [("outage began since", (6.5, 12.0)), ("outage over since", (2.0, 5.5))] {
-        let partner = Partner { outages: vec![down], ..partner() };
+    for (name, outage) in [("outage began since", (6.5, 12.0)), ("outage over since", (2.0, 5.5))] {
+        let partner = Partner { outages: vec![outage], ..partner() };
         compare(name, &partner, 120.0, 2, 4.0);
     }
 }
--- a/crates/fleet-sim/tests/small_limits.rs
+++ b/crates/fleet-sim/tests/small_limits.rs
@@ -35,8 +35,8 @@
     (worlds.iter().map(|w| w.0).sum::<f64>() / seeds, worlds.iter().map(|w| w.1).sum::<f64>() / seeds)
 }
 
-/// In a benchmark each of 48 senders kept to one call in six seconds of a limit of 8 calls per second, while 0.7 of the limit
-/// was left.
+/// In a benchmark each of 48 senders kept to an equal share of a limit of 8 calls per second, which is one call in six seconds,
+/// while 0.7 of the limit was unused.
 #[test]
 fn many_senders_with_little_traffic_use_the_limits() {
     let (on_time, rejected) = means(|seed| {
--- a/crates/golden/src/handover.rs
+++ b/crates/golden/src/handover.rs
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-/// Returns each key path in the files, and whether any value at this path differs from its default.
+/// Returns each key path in the files, and whether any value at this path differs from its default (nil, false, 0 or empty).
 ///
 /// # Errors
 /// Fails when a file is not valid MessagePack.
@@ -147,7 +147,7 @@
     let bytes = |value: &Value| encode(value).unwrap_or_default();
     match value {
         Value::Map(entries) => {
-            let fields = entries.iter().all(|entry| entry.0.is_str());
+            let has_field_names = entries.iter().all(|entry| entry.0.is_str());
             let mut entries: Vec<_> = entries
                 .into_iter()
                 .map(|(key, value)| {
@@ -155,7 +155,7 @@
                     (key, sort_sets(value, &path))
                 })
                 .collect();
-            if !fields {
+            if !has_field_names {
                 entries.sort_by_key(|entry| bytes(&entry.0));
             }
             Value::Map(entries)
@@ -171,7 +171,8 @@
     }
 }
 
-/// Adds each path below a value. A variant without data is a string, and its path is listed with this value.
+/// Adds the path of a value and each path below it, with whether a value there is set: neither nil, false, 0 nor empty. The path of
+/// a string is also listed with its text, since an enum variant without data is stored as a string.
 fn collect_paths(value: &Value, path: &str, names: &mut BTreeMap<String, bool>) {
     let set = match value {
         Value::Nil => false,
--- a/crates/golden/src/stored.rs
+++ b/crates/golden/src/stored.rs
@@ -464,11 +464,11 @@
 
 /// Writes the list of endpoints that operators ejected, and the idempotency of classes.
 fn companion_files(folder: &Path) -> io::Result<()> {
-    let mut held_out = Ejections::new(MAX_EJECTIONS_BYTES);
+    let mut ejections = Ejections::new(MAX_EJECTIONS_BYTES);
     for name in ["endpoint-2", "endpoint-1", "an\\odd\nname"] {
-        held_out.eject(name).map_err(|refused| io::Error::other(refused.text()))?;
+        ejections.eject(name).map_err(|refused| io::Error::other(refused.text()))?;
     }
-    fs::write(folder.join("held-out"), held_out.text())?;
+    fs::write(folder.join("held-out"), ejections.text())?;
     let keyed = |group| Idempotency::Keyed { scope: group, window: 6 * SECOND };
     let classes: Classes = [
         ("all", keyed(IdempotencyScope::All)),
--- a/crates/golden/tests/handover.rs
+++ b/crates/golden/tests/handover.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Paths with their default value in all recorded files, each with the reason.
+/// Paths whose value is the default in all recorded files, each with the reason.
 const UNCOVERED_PATHS: [(&str, &str); 2] = [
     ("parcel.endpoints[][].gone", "the same type as in policy.endpoints.all, where the field is set"),
     (
@@ -51,8 +51,8 @@
     );
 }
 
-/// Guards against a field that a successor of another version drops or renames: files of an earlier version are read without any
-/// loss.
+/// Files that an earlier version wrote are read without loss: a field that the current code drops or renames would be missing when
+/// they are written again.
 #[test]
 fn recorded_files_round_trip_to_same_bytes() {
     let recorded = recorded();
@@ -70,7 +70,7 @@
     }
 }
 
-/// Guards against a policy state of an earlier version from which the current code can't continue.
+/// The current code can continue from the decision module's state of an earlier version.
 #[test]
 fn policy_resumes_from_recorded_state() {
     let recorded = recorded();
@@ -80,7 +80,7 @@
     assert!(!policy.messages().is_empty() && policy.calls_in_flight() > 0);
 }
 
-/// Guards the names of fields and variants at every level in the files that the current code writes.
+/// The files that the current code writes contain the recorded names of fields and variants at every level, and no others.
 #[test]
 fn written_names_match_recorded_names() {
     let written = listing(&names(current_files()).unwrap());
@@ -91,7 +91,7 @@
     assert!(added.is_empty() && removed.is_empty(), "added: {added:#?}, removed: {removed:#?}");
 }
 
-/// Guards the values and their order: the same events lead to the same bytes.
+/// The same events lead to the same bytes, that is to the same values in the same order.
 #[test]
 fn simulations_write_recorded_bytes() {
     let (written, recorded) = (current_files(), recorded());
@@ -101,8 +101,7 @@
     }
 }
 
-/// Guards against gaps in the recorded files: the loss of a field that has its default value in each recorded state would go
-/// unnoticed.
+/// The recorded files cover all fields: the loss of a field that has its default value in each recorded state would go unnoticed.
 #[test]
 fn no_recorded_field_has_its_default_value() {
     let names = names(&recorded()).unwrap();
--- a/crates/golden/tests/stored.rs
+++ b/crates/golden/tests/stored.rs
@@ -30,7 +30,7 @@
     text.lines().filter(is_message_line).collect()
 }
 
-/// Guards against a change that makes the code misread the files of an earlier version.
+/// The current code reads from the files of an earlier version what is described as their content.
 #[test]
 fn recorded_folder_matches_its_description() {
     for (case, _) in CASES {
@@ -40,8 +40,8 @@
     }
 }
 
-/// Guards against a loss of messages or ledger entries when a sender opens a recorded journal, which repairs it for writing, and
-/// when it opens that journal once more.
+/// No message or ledger entry is lost when a sender opens a recorded journal, which repairs it for writing, nor when it opens that
+/// journal once more.
 #[test]
 fn opening_recorded_journal_loses_nothing() {
     let mut messages = 0;
@@ -58,7 +58,7 @@
     assert!(messages > 20, "{messages}");
 }
 
-/// Guards the magic numbers, tags, order and file names that the current code writes.
+/// The current code writes the recorded files, with the same names, magic numbers, tags and order.
 #[test]
 fn scripts_write_recorded_bytes() {
     for (case, script) in CASES {
--- a/crates/golden/tests/wire.rs
+++ b/crates/golden/tests/wire.rs
@@ -4,8 +4,8 @@
 
 use golden::wire::{KINDS, current_text};
 
-/// Guards peers of other versions, partners, clients, the platform and operators' scripts against names on the wire that change
-/// together with names in the code.
+/// Asserts that the current code produces the recorded text of a kind. A name on the wire that changed together with a name in the
+/// code would break peers of other versions, partners, clients, the platform and operators' scripts.
 fn assert_unchanged(kind: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("data/wire").join(format!("{kind}.txt"));
     let recorded = std::fs::read_to_string(path).expect("the recorded file exists");
--- a/crates/loadtest/src/cores.rs
+++ b/crates/loadtest/src/cores.rs
@@ -1,5 +1,5 @@
 //! Measures one sender on one, two, four and eight cores, compared with a bare proxy on the same number: messages per second,
-//! response times under an open-loop load, and breaches of `Retry-After` waits and rate limits that partners counted.
+//! response times under an open-loop load, and the breaches of `Retry-After` waits and rate limits that the partners counted.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -28,7 +28,7 @@
 const CLIENTS: u64 = 384;
 /// Number of clients in the short form, low enough for a slow machine.
 const SHORT_CLIENTS: u64 = 32;
-/// Messages per second to partners with terms in the short form, low enough for a slow machine.
+/// `LIMITED_RATE` in the short form, low enough for a slow machine.
 const SHORT_RATE: f64 = 200.0;
 /// `WAIT` in the short form.
 const SHORT_WAIT: (u64, Duration) = (5, Duration::from_millis(800));
@@ -38,15 +38,15 @@
 const SLOTS: usize = 1_024;
 /// Size of a message body, in bytes.
 const BODY_BYTES: usize = 330;
-/// Load at which response times are measured, as a fraction of the highest throughput of the same row.
+/// Load at which response times are measured, as a fraction of the highest throughput with the same cores and traffic.
 const LATENCY_LOAD: f64 = 0.6;
-/// Every other partner with terms answers each n-th call with a `Retry-After` of this duration.
+/// In the run with limits, every other partner answers each n-th call with a `Retry-After` of this duration.
 const WAIT: (u64, Duration) = (40, Duration::from_millis(800));
-/// Every fourth partner with terms has this limit of calls in two seconds, which is less than the load for it.
+/// In the run with limits, every fourth partner accepts this number of calls in two seconds, which is less than the load for it.
 const LIMIT: u32 = 40;
-/// Messages per second to partners with terms.
-const TERMS_RATE: f64 = 3_000.0;
-/// Number of senders that share the partners with terms, according to the configuration.
+/// Messages per second to all partners in the run with limits.
+const LIMITED_RATE: f64 = 3_000.0;
+/// Number of senders in the configuration of the run with limits; only one of them runs.
 const SENDERS: u32 = 4;
 /// Targets: number of cores, and the throughput on them as a multiple of that of one core.
 const SPEEDUP_TARGETS: [(usize, f64); 2] = [(2, 1.8), (4, 3.2)];
@@ -56,7 +56,7 @@
 enum Traffic {
     /// Each partner gets the same share.
     Uniform,
-    /// The first partner gets a quarter of the messages, each further one less.
+    /// The n-th partner gets a share in proportion to 1/n, so the first one gets a quarter of the messages.
     HeavyTail,
 }
 
@@ -146,8 +146,8 @@
                     connection.write(&submission_with(&id, "order", dest, 20_000, &[b'x'; BODY_BYTES]));
                     let Some(answer) = connection.answer() else { break };
                     if due >= start + warm_up {
-                        let count = if answer.status() == 202 { accepted } else { rejected };
-                        count.fetch_add(1, Ordering::Relaxed);
+                        let counter = if answer.status() == 202 { accepted } else { rejected };
+                        counter.fetch_add(1, Ordering::Relaxed);
                         let _ = client_times.record((due.elapsed().as_micros() as u64).max(1));
                     }
                     if answer.status() != 202 {
@@ -168,13 +168,14 @@
     LoadResult { accepted, delivered, rejected, seconds, cpu, response_times }
 }
 
-fn partners(terms: Option<(u64, Duration)>) -> Vec<Partner> {
-    let terms = |n: u16| PartnerLimits {
-        waits: terms.filter(|_| n % 2 == 1),
-        limit: terms.filter(|_| n.is_multiple_of(4)).map(|_| LIMIT),
+/// Starts the partners. With `wait`, every other one sends a `Retry-After`, and every fourth one has a limit.
+fn partners(wait: Option<(u64, Duration)>) -> Vec<Partner> {
+    let limits = |n: u16| PartnerLimits {
+        waits: wait.filter(|_| n % 2 == 1),
+        limit: wait.filter(|_| n.is_multiple_of(4)).map(|_| LIMIT),
     };
     (0..PARTNERS)
-        .map(|n| Partner::with_limits(Behavior::Healthy(Duration::from_millis(2)), terms(n)))
+        .map(|n| Partner::with_limits(Behavior::Healthy(Duration::from_millis(2)), limits(n)))
         .collect()
 }
 
@@ -243,8 +244,8 @@
 
 fn run(options: &Options) -> Result<String, String> {
     let time = Duration::from_millis(if options.short { 1_500 } else { 4_000 });
-    let (clients, terms_rate, wait) =
-        if options.short { (SHORT_CLIENTS, SHORT_RATE, SHORT_WAIT) } else { (CLIENTS, TERMS_RATE, WAIT) };
+    let (clients, limited_rate, wait) =
+        if options.short { (SHORT_CLIENTS, SHORT_RATE, SHORT_WAIT) } else { (CLIENTS, LIMITED_RATE, WAIT) };
     let rows: &[usize] = if options.short { &[1, 2] } else { &[1, 2, 4, 8] };
     let machine_cores = std::thread::available_parallelism().map_or(0, usize::from);
     let mut rng = fastrand::Rng::with_seed(options.seed());
@@ -252,7 +253,7 @@
     let file = folder.path().join("operators.toml");
     println!(
         "{machine_cores} cores, shared with {clients} clients and {PARTNERS} partners; orders of {BODY_BYTES} bytes, {time:?} per run;\n\
-         response times at {LATENCY_LOAD} of the row's throughput; then {terms_rate} per second to partners of which every other one answers\n\
+         response times at {LATENCY_LOAD} of the row's throughput; then {limited_rate} per second to partners of which every other one answers\n\
          with a Retry-After of {:?} every {} calls, and every fourth has a limit of {LIMIT} calls in 2 s",
         wait.1, wait.0
     );
@@ -292,21 +293,30 @@
             let counts = PartnerCounts::collect(&stubs);
             let (platform, stubs) = (Platform::new(), partners(Some(wait)));
             let sender = start_sender(&file, &platform, &stubs, SENDERS);
-            let terms_load =
-                load((sender.address, sender.pid(), "t"), &stubs, &table, (clients, Some(terms_rate)), time);
+            let limited_load = load(
+                (sender.address, sender.pid(), "t"),
+                &stubs,
+                &table,
+                (clients, Some(limited_rate)),
+                time,
+            );
             drop(sender);
-            let terms = PartnerCounts::collect(&stubs);
-            if let Some(violation) = counts.violation().or_else(|| terms.violation()) {
+            let limited_counts = PartnerCounts::collect(&stubs);
+            if let Some(violation) = counts.violation().or_else(|| limited_counts.violation()) {
                 return Err(format!("{traffic:?}, {cores} cores: {violation}"));
             }
-            if closed.delivered == 0 || open.accepted == 0 || terms_load.delivered == 0 || terms.waits == 0 {
+            if closed.delivered == 0
+                || open.accepted == 0
+                || limited_load.delivered == 0
+                || limited_counts.waits == 0
+            {
                 return Err(format!(
                     "{traffic:?}, {cores} cores: no message is delivered, or no partner sends a Retry-After"
                 ));
             }
             let stubs = partners(None);
-            let (proxy_load, address) = proxy(&stubs, *cores)?;
-            let proxy_load = load((address, proxy_load.0.id(), "p"), &stubs, &table, (clients, None), time);
+            let (proxy, address) = proxy(&stubs, *cores)?;
+            let proxy_load = load((address, proxy.0.id(), "p"), &stubs, &table, (clients, None), time);
             if *cores == 1 {
                 (one_core_rate, one_core_proxy_rate, one_core_p99) =
                     (closed.rate(), proxy_load.rate(), open.quantile_ms(0.99));
@@ -322,8 +332,8 @@
                 open.quantile_ms(0.5),
                 open.quantile_ms(0.99),
                 open.quantile_ms(0.999),
-                terms.waits,
-                counts.overshoot.len() + terms.overshoot.len(),
+                limited_counts.waits,
+                counts.overshoot.len() + limited_counts.overshoot.len(),
                 if closed.rejected > 0 { format!("  ({} rejected)", closed.rejected) } else { String::new() },
             );
             best_speedup = best_speedup.max(speedup);
--- a/crates/loadtest/src/herd.rs
+++ b/crates/loadtest/src/herd.rs
@@ -55,7 +55,7 @@
     rejected_calls: u32,
     /// Calls that failed because the partner was down.
     outage_calls: u32,
-    /// Highest load at a cold partner, as a fraction of what it can bear.
+    /// Highest load at a partner in its slow start, as a fraction of the load at which it becomes overloaded.
     max_overload: f64,
     /// List requests that discovery answered, and those it rejected.
     list_calls: (u64, u64),
@@ -81,8 +81,8 @@
     PARTNER_LIMITS.iter().enumerate().map(partner).collect()
 }
 
-/// Returns the value of a message delivered after this time: that of its class within the latency objective, then half for each
-/// further objective that passes, but at least 0.3 of it. A message that was not delivered has no value.
+/// Returns the value of a message delivered after this time: that of its class within the latency objective, then halved for each
+/// further latency objective that passes, but at least 0.3 of it. A message that was not delivered has no value.
 fn value(message: &Submission, after: Option<Duration>) -> f64 {
     let full = if message.class == "note" { 2.0 } else { 1.0 };
     let late = |after: Duration| (after.as_secs_f64() / LATENCY_OBJECTIVE.as_secs_f64() - 1.0).max(0.0);
@@ -141,10 +141,10 @@
             let mut mix = mix.clone();
             mix.rotate_left(at * 37 % 200);
             // One sender in six gets ten times the load of the others.
-            let part = if at % 6 == 0 { 4.0 } else { 0.4 };
+            let relative_load = if at % 6 == 0 { 4.0 } else { 0.4 };
             let prefix = format!("{seed:x}-{with_snapshots}-{at}");
             let plan = Plan { prefix, rate: 1, clients: 2, mix, body: 200, within_ms: 12_000 };
-            let period = Duration::from_secs_f64(2.0 * senders as f64 / (rate * part));
+            let period = Duration::from_secs_f64(2.0 * senders as f64 / (rate * relative_load));
             Load::start_every(&plan, address_slot, period)
         })
         .collect();
--- a/crates/loadtest/src/idle.rs
+++ b/crates/loadtest/src/idle.rs
@@ -33,7 +33,7 @@
 const BODY_BYTES: usize = 330;
 /// Deadline of a message.
 const DEADLINE_MS: u32 = 20_000;
-/// Highest memory of the sender that is accepted.
+/// Limit of the sender's memory in the run with the wave, beyond which the scenario fails.
 const MAX_MEMORY_KB: u64 = 200_000;
 /// Target for the sender's memory.
 const MEMORY_TARGET_KB: u64 = 60_000;
@@ -64,7 +64,7 @@
     connections: usize,
 }
 
-/// Accepted messages, and the number of those that were rejected or got no response.
+/// Responses to clients: the ids of accepted messages, and how many messages were rejected or got no response.
 #[derive(Default)]
 struct Responses {
     accepted: HashSet<String>,
@@ -114,8 +114,8 @@
     }
 }
 
-/// Draws the destinations of the wave among those with next to no traffic. Some of them reject calls, don't answer, or close
-/// connections.
+/// Draws the destinations of the wave from the three quarters of all destinations with the least traffic. Some of them reject calls,
+/// don't answer, or close connections.
 fn wave(partners: &ManyPartners, rng: &mut fastrand::Rng, count: u16, size: usize) -> Vec<u16> {
     let mut wave: Vec<u16> = (count / 4..count).collect();
     rng.shuffle(&mut wave);
--- a/crates/loadtest/src/journal_bench.rs
+++ b/crates/loadtest/src/journal_bench.rs
@@ -179,7 +179,7 @@
     for (round, limit) in
         [3_000_000u64, 100_000_000, 500_000_000].into_iter().cycle().take(3 * rounds).enumerate()
     {
-        // As many live messages as the limit nearly allows, which is the most work for compaction.
+        // Nearly as many live messages as the limit allows, which gives compaction the most work.
         let live = (limit / 2 / 1300) as usize;
         let iterations = if options.short { iterations } else { iterations.max(live as u32 * 4) };
         let with = append(
--- a/crates/loadtest/src/limited.rs
+++ b/crates/loadtest/src/limited.rs
@@ -1,4 +1,4 @@
-//! HTTP servers that answer as the simulated partners of `fleet-sim`: with limits, outages and cold phases after them. One thread
+//! HTTP servers that answer as the simulated partners of `fleet-sim`: with limits, outages and slow starts after them. One thread
 //! serves all partners.
 
 use std::collections::HashMap;
--- a/crates/loadtest/src/scenario.rs
+++ b/crates/loadtest/src/scenario.rs
@@ -104,7 +104,7 @@
         let mut outcomes = Self::default();
         for (id, message) in submissions {
             let effect = effects.get(id).copied().unwrap_or_default();
-            // This holds for each response, also when the client received none.
+            // Duplicates are counted whatever response the client received, and also if it received none.
             if message.class == "order" && effect.ran > 1 {
                 outcomes.duplicated.push(id.clone());
             }
--- a/crates/loadtest/src/throughput.rs
+++ b/crates/loadtest/src/throughput.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns the CPU time of a process, in system ticks of 10 ms.
+/// Returns the CPU time of a process, which the system counts in ticks of 10 ms.
 pub fn cpu(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // The process name may contain spaces, so the fields are counted from its closing parenthesis.
--- a/crates/loadtest/tests/short.rs
+++ b/crates/loadtest/tests/short.rs
@@ -3,7 +3,8 @@
 use std::process::Command;
 use std::sync::{PoisonError, RwLock};
 
-/// Held exclusively by a test whose verdict depends on timing, so that the load of the other tests does not falsify it.
+/// Held exclusively by a test whose result depends on timing, so that the load of other tests does not falsify it; held shared by
+/// the others.
 static MACHINE_LOCK: RwLock<()> = RwLock::new(());
 
 /// Runs a scenario and returns the last line of its output.
@@ -12,7 +13,7 @@
     run(arguments)
 }
 
-/// Does the same while no other test of this file runs.
+/// Runs a scenario while no other test of this file runs, and returns the last line of its output.
 fn last_line_exclusive(arguments: &[&str]) -> String {
     let _exclusive = MACHINE_LOCK.write().unwrap_or_else(PoisonError::into_inner);
     run(arguments)
--- a/crates/sender/tests/node/cores.rs
+++ b/crates/sender/tests/node/cores.rs
@@ -3,14 +3,14 @@
 use super::program;
 use test_doubles::*;
 
-/// Starts a sender with that number of cores.
+/// Starts a sender with that number of cores and an admin interface.
 fn start(platform: &Platform, endpoints: &[serde_json::Value], cores: u32) -> (Node, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("operators.toml");
     std::fs::write(&file, format!("[cores]\ncount = {cores}\n")).unwrap();
     let program = program().arg("--operators").arg(&file);
-    let ops = |config: &mut serde_json::Value| config["ops"] = serde_json::json!("127.0.0.1:0");
-    (Node::start(&program, platform, endpoints, ops), folder)
+    let set_admin_address = |config: &mut serde_json::Value| config["ops"] = serde_json::json!("127.0.0.1:0");
+    (Node::start(&program, platform, endpoints, set_admin_address), folder)
 }
 
 /// A message is delivered whichever core its client's connection is on and whichever core owns its destination.
--- a/crates/sender/tests/node/deadlines_and_shutdown.rs
+++ b/crates/sender/tests/node/deadlines_and_shutdown.rs
@@ -1,5 +1,5 @@
-//! Races at the end of a message, a call, a connection or a process, each one forced: what the sender still has to do then
-//! (`docs/endings.md`). Also what a restart does with recovered messages.
+//! Races at the end of a message, a call, a connection or a process, each of which is forced to occur, and the sender's duties in
+//! them (`docs/endings.md`). Also the treatment of recovered messages after a restart.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 /// Client and sender count a message's deadline from slightly different times. An answer between the two came too late for the
 /// platform, which did not count it as an outcome, but in time for the sender, which sent no notification. So the timeout of a
 /// call, which its request states, has to end some time before the client's deadline. A delay in reading the call here adds to
-/// the measured end, so that one call that is read early is enough; without the margin there is none.
+/// the measured end, so one call that ends early enough suffices; without the margin none does.
 #[test]
 fn call_timeout_ends_before_the_message_deadline() {
     const DEADLINE: Duration = Duration::from_millis(400);
@@ -272,7 +272,7 @@
 /// outcome. The process is stopped, so that it finds the answer and the end of the time at once.
 #[test]
 fn answer_read_after_the_deadline_does_not_count() {
-    // First the message's deadline ends before the answer is read, then the call's share of it (its latency objective).
+    // First the message's deadline passes before the answer is read, then the call's timeout, which the latency objective sets.
     for (deadline_ms, objective_ms) in [(400, 4000), (20_000, 400)] {
         let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
         let endpoints = [listing("e1", 7, "plain", endpoint.address)];
--- a/crates/sender/tests/node/hand_over.rs
+++ b/crates/sender/tests/node/hand_over.rs
@@ -1,4 +1,4 @@
-//! Hand-over: a process that is started beside the running one takes over from it, and what can fail on the way.
+//! Hand-over: a process that is started while another one runs on the same folder takes over from it; and failures on the way.
 
 use std::fs::{self, File};
 use std::io::{Read, Write};
--- a/crates/sender/tests/node/health_snapshot.rs
+++ b/crates/sender/tests/node/health_snapshot.rs
@@ -1,4 +1,4 @@
-//! The health snapshot: what a sender has observed of its destinations and endpoints is known to its next process.
+//! The health snapshot: a process starts with the observations of destinations and endpoints that the previous process saved.
 
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// A destination's Retry-After (here 2.5 s) must bind the next process when the sender is killed while it runs.
+/// A destination's Retry-After (here 2.5 s) must bind the next process when the sender is killed during the wait.
 #[test]
 fn retry_after_outlasts_a_kill() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
@@ -48,8 +48,8 @@
     call.reply(status(200));
 }
 
-/// A destination that was down must not get all the calls with which a new process would find that out, but one trial call at
-/// a time.
+/// A destination that was down before a restart must get one trial call at a time, not all the calls that a process without a
+/// snapshot would make until it detects the outage.
 #[test]
 fn destination_that_was_down_gets_one_trial_call_after_restart() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
--- a/crates/sender/tests/node/journal.rs
+++ b/crates/sender/tests/node/journal.rs
@@ -194,7 +194,7 @@
     assert_eq!(node.ask(&request).status(), 202);
 }
 
-/// The `journal` subcommands report, beside the running sender, which messages are pending, since when, and which may have run.
+/// The `journal` subcommands report, while the sender runs, which messages are pending, since when, and which may have run.
 #[test]
 fn journal_commands_report_pending_messages() {
     let (platform, endpoint) = (Platform::new(), ScriptedServer::new());
--- a/crates/sender/tests/node/robustness.rs
+++ b/crates/sender/tests/node/robustness.rs
@@ -248,7 +248,7 @@
     assert_eq!(endpoint.next().http.headers["req-id"], "a");
 }
 
-/// Endpoints that come and go under ever new names must not make the memory grow.
+/// Endpoints that come and go, each time with new names, must not make the memory grow.
 #[test]
 fn removed_endpoints_release_their_memory() {
     let platform = Platform::new();
--- a/crates/sender/tests/node/slow_connects.rs
+++ b/crates/sender/tests/node/slow_connects.rs
@@ -1,6 +1,6 @@
-//! What binds a call is checked again right before its bytes are sent: a Retry-After wait, a draining endpoint, the message's
-//! deadline, the deduplication window of its key. The tests use connections that take long to open, and a process that is stopped
-//! between its decision and the call.
+//! Whether a call may still be made is checked again right before its bytes are sent: a Retry-After wait, a draining endpoint, the
+//! message's deadline or the end of the deduplication window of its key can forbid it. The tests use connections that take long to
+//! open, and a process that is stopped between its decision and the call.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,7 +13,7 @@
 
 /// The Retry-After of the destination.
 const WAIT: Duration = Duration::from_millis(3_500);
-/// Tolerance: calls that arrive this soon after the answer are accepted.
+/// Tolerance for times: a call this soon after the answer, or this long before the end of the wait, is accepted.
 const SLACK: Duration = Duration::from_millis(100);
 
 /// An endpoint to which no connection opens while its listen queue is full. The system repeats the attempt after a second.
@@ -61,8 +61,8 @@
     matches!(stream.read(&mut [0]), Ok(1)).then(Instant::now)
 }
 
-/// Starts a sender with two endpoints of one destination: a call is in flight at the first, and another is decided, whose
-/// connection to the second does not open yet. Returns the sender and the first call.
+/// Starts a sender with two endpoints of one destination: a call is in flight at the first, and the connection for another call, to
+/// the second, is being opened. Returns the sender and the first call.
 fn start_with_two_calls(
     platform: &Platform,
     first: &ScriptedServer,
@@ -138,8 +138,8 @@
     drop(node);
 }
 
-/// Two messages were decided to share one call, and one of them expired and was given up before the connection opened: it must not
-/// be sent. Found on the bench, where some connections open a second late.
+/// The decision module puts two messages into one call, and one of them expires and is abandoned before the connection opens: it
+/// must not be sent. Found in a benchmark, where some connections open a second late.
 #[test]
 fn expired_message_is_left_out_of_its_batch() {
     let (platform, endpoint) = (Platform::new(), SaturatedListener::new());
@@ -164,8 +164,8 @@
     drop(node);
 }
 
-/// A repeat was decided while the destination remembered its key, and was sent after the deduplication window had ended: it must
-/// not be sent. Found on the bench, where some connections open a second late.
+/// A repeat is decided while the destination still remembers the message's key, but the connection opens after the deduplication
+/// window has ended: the repeat must not be sent. Found in a benchmark, where some connections open a second late.
 #[test]
 fn repeat_is_not_sent_if_connection_opens_after_dedup_window() {
     let (platform, first, second) = (Platform::new(), ScriptedServer::new(), SaturatedListener::new());
--- a/crates/test-doubles/src/many_partners.rs
+++ b/crates/test-doubles/src/many_partners.rs
@@ -35,7 +35,7 @@
     retry_after: Option<(Instant, Instant)>,
     last_call_at: Option<Instant>,
     in_flight: u32,
-    /// It has answered no call 200 since it started or was last idle.
+    /// Whether it has answered no call with 200 since it started or was last idle.
     awaiting_first_answer: bool,
 }
 
@@ -46,9 +46,10 @@
     pub calls: u64,
     /// Calls that arrived before a `Retry-After` ended: the destination, and the time since it was first sent.
     pub early: Vec<(u16, Duration)>,
-    /// Destinations that got a call beside another one before they had answered any since they were last idle.
+    /// Destinations that got a call while another one was in flight, before they had answered any with 200 since they started
+    /// or were last idle.
     pub concurrent: Vec<u16>,
-    /// The message ids of calls answered 200; an id answered several times is listed each time.
+    /// The message ids of calls answered with 200; an id answered several times is listed each time.
     pub answered: Vec<String>,
     /// For the partners whose calls are timed: the destination, the arrival since the start, and the time since the message
     /// was submitted.
--- a/crates/test-doubles/src/node.rs
+++ b/crates/test-doubles/src/node.rs
@@ -258,7 +258,7 @@
         self.child.wait().unwrap().code()
     }
 
-    /// Returns the resident memory of the process.
+    /// Returns the resident memory of the process, in kB.
     pub fn memory_kb(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
--- a/crates/test-doubles/src/partner.rs
+++ b/crates/test-doubles/src/partner.rs
@@ -57,7 +57,7 @@
     at_once: usize,
 }
 
-/// Counts a call as in flight until it is answered or its connection ends.
+/// Counts a call as in flight until this is dropped: before its answer is written, or when its connection ends.
 struct InFlightCall<'a>(&'a Partner);
 
 impl Drop for InFlightCall<'_> {
--- a/crates/test-doubles/src/partner_limits/tests.rs
+++ b/crates/test-doubles/src/partner_limits/tests.rs
@@ -48,7 +48,7 @@
     assert_eq!(required[2].status, Some(503));
     history.answer_written(&required[0], written(30, 40));
     assert_eq!(history.violations(), [], "no caller could know the limit yet");
-    // Reported after a later call, it is still counted in the window of its own arrival.
+    // The call that arrived at 2,005 ms is recorded after a later one. It is counted by its own time of arrival.
     assert_eq!(history.call_arrived(at(2_015)).status, None);
     assert_eq!(history.call_arrived(at(2_005)).status, Some(503));
     let violation = Violation { arrived: at(2_005), answer: written(30, 40), wait: None };
