--- a/crates/decision/src/call_table.rs
+++ b/crates/decision/src/call_table.rs
@@ -19,7 +19,7 @@
     outcome_counted: bool,
 }
 
-/// What the outcome of an attempt means for its call.
+/// State of a call after the outcome of one of its attempts.
 #[derive(Debug)]
 pub(crate) struct CompletedAttempt {
     /// The call's number.
@@ -90,7 +90,7 @@
         migrated.into_values().collect()
     }
 
-    /// Adds a call that another module started.
+    /// Adds a call that another instance started.
     pub fn attach(&mut self, migrated: MigratedCall) {
         let MigratedCall { number, call, attempts, .. } = migrated;
         self.calls.insert(number, call);
--- a/crates/decision/src/destination_queues.rs
+++ b/crates/decision/src/destination_queues.rs
@@ -8,8 +8,8 @@
 
 use crate::interface::{DestinationId, MessageId, Micros};
 
-/// Position in the sending order: whether the message is late (late ones go last), its latency objective's
-/// time, its id.
+/// Position in the sending order: whether the message is late (late ones go last), the time at which its
+/// latency objective is missed, its id.
 pub(crate) type QueuePosition = (bool, Micros, MessageId);
 
 /// A queued message.
@@ -185,10 +185,10 @@
             .flat_map(|(destination, state)| state.queues.values().map(|queue| (*destination, queue)))
     }
 
-    /// Returns the position of the destination's next message after `after`. The messages of a class and
-    /// tenant whose objective's time is before `late_before` count as late. Messages recovered unattempted
-    /// after a restart never do: they were accepted before all newer messages and are ordered by age alone.
-    /// Newer messages wait longer because of it.
+    /// Returns the position of the destination's next message after `after`. A message counts as late if its
+    /// latency objective is missed before the time that `late_before` returns for its class and tenant. A
+    /// message recovered unattempted after a restart never counts as late: it was accepted before all newer
+    /// messages, so only its age matters. This makes newer messages wait longer.
     pub fn next(
         &self,
         destination: DestinationId,
--- a/crates/decision/src/dispatch_round.rs
+++ b/crates/decision/src/dispatch_round.rs
@@ -70,8 +70,8 @@
 }
 
 impl DispatchRound {
-    /// Returns the position of the destination's last skipped message, after which the next one is looked
-    /// for.
+    /// Returns the position of the destination's last skipped message; the search for the next one continues
+    /// after it.
     pub fn after(&self, destination: DestinationId) -> Option<QueuePosition> {
         self.last_skipped.get(&destination).copied()
     }
@@ -82,7 +82,8 @@
         self.wants_slot(destination, slot);
     }
 
-    /// Records whether a destination lacked nothing but a slot; once it did, this holds for the iteration.
+    /// Records whether a destination lacked nothing but a slot. Once recorded, this stays true for the
+    /// iteration.
     pub fn wants_slot(&mut self, destination: DestinationId, slot: bool) {
         *self.waiting_for_slot.entry(destination).or_default() |= slot;
     }
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -42,7 +42,7 @@
     /// The endpoint is no longer in the list.
     #[serde(rename = "gone")]
     unlisted: bool,
-    /// Number of the last complete list that named it, or after which a change named it.
+    /// Number of complete lists received when the endpoint was last listed, in a complete list or a change.
     #[serde(rename = "named")]
     last_listed: u64,
     listed: ListedLimit,
@@ -52,7 +52,7 @@
     /// Consecutive calls that failed.
     #[serde(rename = "bad_run")]
     pub consecutive_failures: u32,
-    /// Connection slots that the endpoint had for this sender.
+    /// Connection slots that the endpoint had for this sender when it last rejected a connection.
     #[serde(default)]
     #[serde(rename = "places")]
     pub connection_slots: ConnectionSlots,
@@ -74,8 +74,8 @@
 }
 
 impl Endpoint {
-    /// Records the outcome of an attempt: `first` if it is the first outcome of its call, `done` if it is the
-    /// last that the call was waiting for.
+    /// Records the outcome of an attempt. `first` means that this outcome counts for its call, `done` that no
+    /// other attempt of the call is in flight any more.
     pub fn attempt_completed(&mut self, outcome: Outcome, first: bool, done: bool) {
         self.in_flight -= usize::from(done);
         match outcome {
@@ -131,7 +131,7 @@
         self.all.iter().filter(|(_, e)| !e.unlisted).map(|(id, e)| (*id, e.ready))
     }
 
-    /// Begins a complete list. Endpoints that it has not named by the next [`Self::prune`] are gone.
+    /// Begins a complete list. Endpoints that it does not list by the next [`Self::prune`] are gone.
     pub fn begin_full_list(&mut self) {
         self.lists += 1;
         self.full_list_pending = true;
--- a/crates/decision/src/estimate.rs
+++ b/crates/decision/src/estimate.rs
@@ -40,9 +40,8 @@
     }
 }
 
-/// Returns a generator of pseudo-random numbers that are the same however often they are drawn for a message
-/// and an endpoint within a tick: which of them are examined in it, and how often, does not change what is
-/// drawn.
+/// Returns a random number generator seeded with the tick, the message and the endpoint. Its draws therefore
+/// do not depend on which other messages and endpoints are examined in the tick, nor on how often.
 pub(crate) fn message_rng(seed: u64, now: Micros, message: MessageId, endpoint: EndpointId) -> Rng {
     let endpoint = endpoint.0.iter().fold(0u64, |sum, byte| sum << 8 | u64::from(*byte));
     let mix = |sum: u64, next: u64| (sum ^ next).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
@@ -71,8 +70,8 @@
         self.0
     }
 
-    /// Returns the longest usual latency: the mean and five mean deviations, between a sixteenth of the
-    /// latency objective and all of it; half of it before the first answer.
+    /// Returns the longest usual latency: the mean plus five mean deviations, but at least a sixteenth of the
+    /// latency objective and at most all of it. Before the first answer it is half the latency objective.
     pub fn longest_usual(&self, latency_objective: Micros) -> Micros {
         let (least, most) = (latency_objective / 16, latency_objective);
         let usual = |(mean, deviation): (f64, f64)| ((mean + 5.0 * deviation) as Micros).clamp(least, most);
@@ -80,8 +79,8 @@
     }
 }
 
-/// Successful calls while the destination was warm, and the seconds in which they were made, both decaying;
-/// and when the last one was counted.
+/// Successful calls while the destination was warm and the seconds in which they were made, both decaying,
+/// and the time of the last success.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct SuccessRate {
     calls: f64,
@@ -94,7 +93,8 @@
         Self { at, ..Self::default() }
     }
 
-    /// Returns the state after `span` at a rate that [`Self::rate`] is to return for the same `doubt`.
+    /// Returns the state after successes over `span` for which [`Self::rate`] returns `rate`, given the same
+    /// `doubt`.
     pub fn at_rate(rate: f64, span: Micros, doubt: Micros, at: Micros) -> Self {
         let seconds = span as f64 / 1e6;
         Self { calls: rate * (seconds + doubt as f64 / 1e6), seconds, at }
@@ -111,7 +111,8 @@
         self.at = now;
     }
 
-    /// Returns the calls a second, estimated low as if none had succeeded for `doubt` more.
+    /// Returns the successful calls a second. The estimate is deliberately low: it assumes a further time of
+    /// `doubt` without any success.
     pub fn rate(&self, doubt: Micros) -> f64 {
         self.calls / (self.seconds + doubt as f64 / 1e6)
     }
@@ -206,12 +207,12 @@
     }
 }
 
-/// Age from which on clients abandon their messages, as far as the outcomes of calls show.
+/// Age at which clients abandon their messages, estimated from the outcomes of calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AbandonmentAge(pub Micros);
 
 impl AbandonmentAge {
-    /// Records the outcome of a call with a message that had that age when the call started.
+    /// Records the outcome of a call; `age` is the age of its message when the call started.
     pub fn note(&mut self, age: Micros, outcome: Outcome) {
         match outcome {
             Outcome::NotSent { .. } => self.0 = self.0.min(age),
--- a/crates/decision/src/health/assessment.rs
+++ b/crates/decision/src/health/assessment.rs
@@ -1,4 +1,4 @@
-//! What a route may be sent, derived from its observed health.
+//! Limits on the calls of a route, derived from its observed health.
 
 use super::slow_start::ColdCapacity;
 use super::{RouteHealth, Tick};
@@ -9,7 +9,8 @@
 pub(crate) const SMALL_FLEET_SENDERS: usize = 3;
 
 impl RouteHealth {
-    /// Returns whether a call has failed since the last success, or the breaker is not closed.
+    /// Returns whether a call has failed, or timed out after a later answer, since the last success, or the
+    /// breaker is not closed.
     pub(crate) fn is_failing(&self) -> bool {
         self.outage.consecutive_failures > 0 || self.outage.has_late_call || !self.breaker.is_closed()
     }
@@ -20,8 +21,9 @@
     }
 
     /// Returns whether the outcomes since the last success indicate an outage: enough consecutive failures, a
-    /// breaker that is not closed, or nothing but rejections for longer than a limit's span. The last is how
-    /// a destination that is shut appears; it is as cold as any other when it returns.
+    /// breaker that is not closed, or nothing but rejections, not explained by a limit, for an overload span
+    /// (`overload_for`). The last is how a destination that is shut appears; it is as cold as any other when
+    /// it returns.
     pub(crate) fn in_outage(&self, rules: &Rules, now: Micros) -> bool {
         self.outage.consecutive_failures >= self.outage_threshold(rules, now)
             || !self.breaker.is_closed()
@@ -34,8 +36,8 @@
     }
 
     /// Returns the share of its capacity to count on if the destination may be cold, so that a returning
-    /// destination is not overloaded at once. While this sender still counts failures, the destination may
-    /// already be back without this sender having seen it.
+    /// destination is not overloaded at once. This includes the time of an outage or suspected outage itself,
+    /// since the destination may be back before this sender notices.
     pub(crate) fn cold_share(&self, rules: &Rules, now: Micros) -> Option<f64> {
         if self.in_outage(rules, now) || self.outage.is_suspected(rules, now) {
             return Some(rules.cold_share);
@@ -60,8 +62,8 @@
     }
 
     /// Sets the send rate to this sender's share of a reported limit, if there is one. After a restart the
-    /// first call goes at a randomly drawn moment, so that many senders that restart together do not exceed
-    /// the limit together. Costs that delay where only a few restart.
+    /// first call is sent at a random moment, so that many senders that restart together do not exceed the
+    /// limit together. Costs that delay where only a few restart.
     pub(crate) fn apply_quota(&mut self, tick: &Tick, queued: f64) {
         let cold = self.cold_share(&tick.settings.rules, tick.now).is_some();
         let Some(rate) = self.quota.rate(tick, queued, cold) else { return };
--- a/crates/decision/src/health/mod.rs
+++ b/crates/decision/src/health/mod.rs
@@ -1,7 +1,7 @@
-//! Health of a route as this sender observes it, and the limits on its calls that follow. A route is a
-//! destination or, where the destination's endpoints are independent, one of its endpoints. Each control law
-//! is a type in a file of its own; [`RouteHealth`] combines them. This file holds the state and gives access
-//! to it; the decisions are in `assessment`, `outcomes` and `restore`.
+//! Health of a route as this sender observes it, and the limits on its calls that follow from it. A route is
+//! a destination or, where the destination's endpoints are independent, one of its endpoints. Each control
+//! law is a type in a file of its own; [`RouteHealth`] combines them. This file holds the state and gives
+//! access to it; the decisions are in `assessment`, `outcomes` and `restore`.
 
 use serde::Deserialize;
 
@@ -63,10 +63,10 @@
     pub jitter: f64,
 }
 
-/// What this sender needs of a limit that all senders share.
+/// Part of a limit shared by all senders that this sender needs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Demand {
-    /// As a multiple of an even share.
+    /// The needed part, as a multiple of an even share.
     pub shares: f64,
     /// A shortage of the limit was observed within the last
     /// [`RECENT_SHORTAGE_OBJECTIVES`] latency objectives.
@@ -210,14 +210,14 @@
     }
 }
 
-/// What may be sent now.
+/// Limits on what may be sent now.
 impl RouteHealth {
     /// Sets the part of an even share that this sender has after quota was transferred between senders.
     pub(crate) fn set_escrow(&mut self, share: f64) {
         self.quota.set_escrow(share);
     }
 
-    /// Returns what this sender needs of the reported limit to send `queued` messages.
+    /// Returns the part of the limit that this sender needs to send `queued` messages.
     pub(crate) fn demand(&self, tick: &Tick, queued: f64) -> Demand {
         self.quota.demand(tick, queued)
     }
--- a/crates/decision/src/health/outage_detector.rs
+++ b/crates/decision/src/health/outage_detector.rs
@@ -31,7 +31,7 @@
     pub(super) connection_rejections: u32,
     /// When the last rejection was recorded.
     pub(super) rejected_at: Micros,
-    /// When the first sign of what may be an outage was seen.
+    /// When the first sign of a possible outage was seen.
     pub(super) unhealthy_since: Micros,
     /// When the destination was last seen to work: a success, or a rejection at its usual limit.
     pub(super) working_at: Micros,
@@ -53,23 +53,24 @@
 }
 
 impl OutageDetector {
-    /// Returns the number of consecutive failures that indicates an outage. One is enough where the
-    /// destination is still cold: at a destination where half of the calls fail, successes come in between,
-    /// and the warm-up counts from the end of the outage.
+    /// Returns the number of consecutive failures that indicates an outage. One is enough while the
+    /// destination is warming up: where half of the calls fail, successes interrupt the count, and the
+    /// warm-up must count from the end of the outage, not from a success during it.
     pub(super) fn outage_threshold(&self, is_warming: bool) -> u32 {
         if is_warming { 1 } else { OUTAGE_FAILURES }
     }
 
-    /// Returns whether calls were rejected without any success for longer than a limit's span: a destination
-    /// that is shut appears as one whose limit is used up.
+    /// Returns whether calls have been rejected for an overload span (`overload_for`) without any success and
+    /// without a limit that explains it. A destination that is shut only rejects calls, like one whose limit
+    /// is used up.
     pub(super) fn is_shut(&self, rules: &Rules, now: Micros) -> bool {
         self.unattributed_rejections >= MAX_FAILURES && now >= self.unhealthy_since + rules.overload_for
     }
 
-    /// Returns whether the destination is suspected: one failure, one rejection that nothing explains, one
-    /// lost connection or the evidence of other senders, while the destination was not seen to work for an
-    /// overload span, holds the sender back until the next success. A sender with little traffic sees no
-    /// consecutive failures that it could count.
+    /// Returns whether the destination is suspected, which limits calls until the next success: it has not
+    /// been seen to work for an overload span, and there was one failure, one unexplained rejection, one lost
+    /// connection or evidence from other senders. A single sign is enough because a sender with little
+    /// traffic sees no consecutive failures that it could count.
     pub(super) fn is_suspected(&self, rules: &Rules, now: Micros) -> bool {
         let failed = self.consecutive_failures + self.unattributed_rejections > 0;
         (self.connection_lost() || failed || self.reported_unhealthy)
@@ -84,8 +85,8 @@
         sent >= self.answered_at && sent + self.latency.longest_usual(latency_objective) <= now
     }
 
-    /// Records a connection rejected for want of a connection slot. One full connection table is not an
-    /// outage; several such rejections with nothing else in between may be one.
+    /// Records a connection that was rejected because no connection slot was free. One full connection table
+    /// is not an outage; [`MAX_FAILURES`] such rejections without a success in between may be one.
     pub(super) fn record_connection_rejection(&mut self) {
         self.connection_rejections += 1;
         if self.connection_rejections >= MAX_FAILURES {
--- a/crates/decision/src/health/outage_detector/state.rs
+++ b/crates/decision/src/health/outage_detector/state.rs
@@ -5,7 +5,7 @@
 use crate::interface::Micros;
 
 impl OutageDetector {
-    /// Creates a detector that has seen nothing but counts the destination as working until now.
+    /// Creates a detector without observations. The destination counts as working until now.
     pub(in crate::health) fn new(now: Micros) -> Self {
         Self { working_at: now, delivered_at: now, answered_at: now, ..Self::default() }
     }
--- a/crates/decision/src/health/outcomes.rs
+++ b/crates/decision/src/health/outcomes.rs
@@ -9,9 +9,9 @@
 
 impl RouteHealth {
     /// Records a load report with the limit and the share of it that remains; returns whether the limit is
-    /// plausible. A limit that was lowered, or raised again, by half or more scales the send rate with it: a
-    /// destination whose limit is lowered for a while is not sent the rate from before, and its queue is not
-    /// held to the lowered rate afterwards. Does harm where such reports are wrong.
+    /// plausible. If the limit changes by more than a factor of two, the send rate is scaled with it: after a
+    /// limit is lowered, calls do not go on at the old rate, and after it is raised again, the queue is not
+    /// held to the lowered rate. Gives a wrong send rate where such reports are wrong.
     pub(crate) fn record_report(
         &mut self,
         limit: f64,
@@ -35,12 +35,13 @@
         self.quota.set_limit(limit)
     }
 
-    /// Records what the evidence of other senders amounts to. This is the only place where gossip counts; it
-    /// adds to this sender's own limits and never loosens them. An outage that others saw makes the route
-    /// suspected until a call of this sender succeeds or theirs do, and cold after that. A limit counts if it
-    /// was stated later than the last report received here. A wait counts as if it had been received here.
-    /// Without gossip each sender would find out alone, at the partners' expense. Costs the time of a trial
-    /// call where a partner is unhealthy for other senders only.
+    /// Applies the combined evidence of other senders. This is the only place where gossip affects a route;
+    /// it adds to this sender's own limits and never loosens them. An outage that others saw makes the route
+    /// suspected until a call of this sender succeeds or theirs do, and cold after that. A limit is applied
+    /// if it was stated later than the last report received here. A wait is applied as if it had been
+    /// received here. Without gossip each sender would need failed calls of its own to detect all this, which
+    /// the partners would have to bear. Costs the time of a trial call where a partner is unhealthy for other
+    /// senders only.
     pub(crate) fn record_gossip(&mut self, belief: &gossip::Belief, now: Micros) {
         let unhealthy = belief.unhealthy.is_some();
         let recovered = self.outage.reported_unhealthy && !unhealthy;
@@ -136,7 +137,7 @@
     /// Decides whether a rejection counts as evidence of an outage. A destination that rejects at its limit
     /// reports the limit as used up; one that is shut goes on to report that all of it remains. Without the
     /// distinction, senders with little traffic would take a limit for an outage and pause for seconds.
-    /// Decides wrongly where reports are older than a limit's span.
+    /// Decides wrongly where reports are older than the interval over which the limit is counted.
     fn attribute_rejection(&mut self, rules: &Rules, now: Micros) {
         if !self.quota.was_used_up_at(now) {
             self.outage.unattributed_rejections += 1;
--- a/crates/decision/src/health/quota_share.rs
+++ b/crates/decision/src/health/quota_share.rs
@@ -7,11 +7,12 @@
 
 mod state;
 
-/// Smoothed remaining share of a limit from which on the destination has headroom. Within a limit's span the
-/// remaining share falls evenly, so that it is half on average at a destination that is used up to its limit.
+/// Smoothed remaining share of a limit at or above which the destination has headroom. The remaining share
+/// falls evenly over the interval in which the limit is counted, so that it averages half where the limit is
+/// just used up.
 const HEADROOM_REMAINING: f64 = 0.6;
 /// Part of an even share that this sender uses while the last report shows that nothing remains; less than
-/// the even share, to make up for what went beyond the limit.
+/// [`NORMAL_SHARE`], to make up for the calls beyond the limit.
 const SCARCE_SHARE: f64 = 0.75;
 /// Part of an even share that this sender uses otherwise, and where only the limit itself is known.
 const NORMAL_SHARE: f64 = 0.9;
@@ -30,7 +31,7 @@
 const EXHAUSTED_BELOW: f64 = 0.1;
 /// A new limit below this part of the previous one counts as lowered, which is a shortage.
 const LOWERED_BELOW_FACTOR: f64 = 0.75;
-/// Remaining share from which on a rejection is not attributed to the limit.
+/// Remaining share at or above which a rejection is not attributed to the limit.
 const UNUSED_LIMIT_ABOVE: f64 = 0.75;
 /// Factor between the new and the previous limit beyond which the send rate is scaled with the limit.
 const RATE_SCALING_FACTOR: f64 = 2.0;
@@ -74,8 +75,8 @@
 }
 
 impl QuotaShare {
-    /// Continues from the snapshot of an earlier process. Limits may be lowered while a process is down, so
-    /// the limit is bounded by the listed one, which holds in any case.
+    /// Continues from the snapshot of an earlier process. The limit may have been lowered while no process
+    /// ran, so it is bounded by the listed one, which is current.
     pub(super) fn restore(&mut self, short_at: Option<Micros>) {
         (self.restored, self.short_at) = (true, short_at);
         self.limit = if self.listed_limit > 0.0 { self.limit.min(self.listed_limit) } else { self.limit };
--- a/crates/decision/src/health/quota_share/state.rs
+++ b/crates/decision/src/health/quota_share/state.rs
@@ -80,8 +80,8 @@
         self.limit / settings.senders as f64
     }
 
-    /// Returns what this sender needs of the limit: twice the rate that sends the queued messages within the
-    /// latency objective.
+    /// Returns the part of the limit that this sender needs: twice the rate that sends the queued messages
+    /// within the latency objective.
     pub(in crate::health) fn demand(&self, tick: &Tick, queued: f64) -> Demand {
         let even_share = self.even_share(tick.settings);
         if even_share <= 0.0 {
--- a/crates/decision/src/health/rate_limiter.rs
+++ b/crates/decision/src/health/rate_limiter.rs
@@ -11,7 +11,7 @@
 const RATE_CUT: f64 = 0.85;
 /// Growth of the rate per latency objective, one latency objective after the last cut.
 const RATE_GROWTH: f64 = 0.3;
-/// Latency objectives without a rejection beyond which growth becomes no faster.
+/// Latency objectives since the last cut after which growth becomes no faster.
 const MAX_GROWTH_OBJECTIVES: f64 = 4.0;
 /// The same while the rate is above an even share of a reported limit that other senders use up.
 const MAX_GROWTH_OBJECTIVES_ABOVE_SHARE: f64 = 0.5;
@@ -28,7 +28,7 @@
     bucket: TokenBucket,
     /// Recent rate of successful calls.
     granted: DecayingRate,
-    /// When the rate was last cut: it is cut once for the rejections of calls sent before the last cut.
+    /// When the rate was last cut; it is not cut again within an eighth of a latency objective.
     cut_at: Micros,
     /// When the rate was last raised.
     grown_at: Micros,
@@ -42,9 +42,9 @@
         self.granted.per_second *= factor;
     }
 
-    /// Raises the rate after a success. Above an even share of a reported limit there is little to gain,
-    /// unless reports say that the other senders stay below the limit: traffic differs widely between
-    /// senders.
+    /// Raises the rate after a success. Growth is slower above an even share of a reported limit, where there
+    /// is little to gain, unless reports say that the other senders stay below the limit: traffic differs
+    /// widely between senders.
     pub(super) fn record_success(&mut self, latency_objective: Micros, hint: LimitHint, now: Micros) {
         let objective = latency_objective.max(1) as f64;
         self.granted = self.granted.after(1.0, now, latency_objective);
--- a/crates/decision/src/health/rate_limiter/state.rs
+++ b/crates/decision/src/health/rate_limiter/state.rs
@@ -5,7 +5,7 @@
 use crate::health::record::RouteHealthRecord;
 use crate::interface::Micros;
 
-/// What is known of a destination's limit when its send rate is adjusted.
+/// Knowledge about a destination's limit that adjusts how its send rate changes.
 #[derive(Clone, Copy)]
 pub(in crate::health) struct LimitHint {
     /// An even share of the reported limit, in calls a second; 0 if none is reported.
--- a/crates/decision/src/health/restore.rs
+++ b/crates/decision/src/health/restore.rs
@@ -10,8 +10,8 @@
 use crate::interface::{Micros, RouteSnapshot, Rules};
 
 impl RouteHealth {
-    /// Creates a route from what was retained of it and from its entry in the endpoint list. A destination
-    /// that was unhealthy, or of which nothing is known any more, gets one call first (its trial) and then
+    /// Creates a route from its retained health and its entry in the endpoint list. A destination that was
+    /// unhealthy, or whose retained health is lost or discarded, gets one call first (its trial) and then
     /// slow start; one that rejected calls gets one call at a time until it accepts one. This keeps a
     /// destination that changed while it was idle from being overloaded. Costs delay for destinations that
     /// are healthy again.
@@ -39,8 +39,8 @@
     }
 
     /// Creates a route from the snapshot of an earlier process: breaker, slow start and shortage continue
-    /// where they were. Otherwise a restarted fleet would find out everything again at the partners' expense.
-    /// Costs delay where all is healthy again.
+    /// where they were. Otherwise a restarted fleet would have to learn all this again with calls that burden
+    /// the partners. Costs delay for destinations that are healthy again.
     pub(crate) fn restored(
         snapshot: &RouteSnapshot,
         listed: ListedLimit,
--- a/crates/decision/src/health/slow_start.rs
+++ b/crates/decision/src/health/slow_start.rs
@@ -9,7 +9,7 @@
 
 pub(super) use state::ColdCapacity;
 
-/// Part of the load that a cold destination can take which this sender allows itself.
+/// Part of the load that a cold destination can take that this sender uses.
 const SAFETY_MARGIN: f64 = 0.9;
 /// Allowance in calls per overload span below which single calls are spaced at random instead; 1 with a
 /// margin for rounding.
--- a/crates/decision/src/health/slow_start/state.rs
+++ b/crates/decision/src/health/slow_start/state.rs
@@ -46,7 +46,8 @@
         self.successes = SuccessRate::at_rate(rate, rules.warm_within, rules.overload_for, now);
     }
 
-    /// Records a successful call; the time since the previous one counts only if the destination was warm.
+    /// Records a successful call; it and the time since the previous one count only if the destination was
+    /// warm.
     pub(in crate::health) fn record_success(&mut self, rules: &Rules, warm: bool, now: Micros) {
         self.successes.record(now, rules.warm_within, warm);
     }
--- a/crates/decision/src/health/snapshot.rs
+++ b/crates/decision/src/health/snapshot.rs
@@ -8,7 +8,7 @@
 use crate::interface::{Micros, RouteSnapshot, Rules};
 
 impl RouteHealth {
-    /// Returns what is retained while the destination is idle.
+    /// Returns the health that is retained while the destination is idle.
     pub(crate) fn retained(&self, rules: &Rules, now: Micros) -> RetainedHealth {
         let unhealthy = self.is_unhealthy(rules, now);
         let rejected = if self.is_rejecting() { Condition::Rejecting } else { Condition::Healthy };
--- a/crates/decision/src/interface/action.rs
+++ b/crates/decision/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! What the caller has to do.
+//! Actions that the caller has to carry out.
 
 use super::{EndpointId, MessageId, Micros};
 
@@ -13,7 +13,8 @@
         endpoint: EndpointId,
         /// Time-out of the attempt.
         timeout: Micros,
-        /// The last byte of the request has to be sent within this time, or the request not at all.
+        /// Time within which the last byte of the request must be sent; after that it must not be sent any
+        /// more.
         send_within: Micros,
         /// Delay of the last byte of the request after the others, so that a lost connection is noticed
         /// before it is sent.
--- a/crates/decision/src/interface/event.rs
+++ b/crates/decision/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What happened since the last batch of events.
+//! Events: what happened since the last batch.
 
 use super::{
     EndpointEntry, EndpointId, Idempotency, Message, MessageId, Micros, Outcome, RouteId, RouteSnapshot,
@@ -27,7 +27,8 @@
     RetryAfter {
         /// The endpoint.
         endpoint: EndpointId,
-        /// For so long nothing may be sent to its destination.
+        /// Time for which no call may start on the endpoint's route: to its destination or, if the routes are
+        /// separate, to this endpoint.
         wait: Micros,
     },
     /// A reused connection carried a further call, or broke under it.
@@ -91,8 +92,8 @@
         /// The health snapshot.
         snapshot: RouteSnapshot,
     },
-    /// Health snapshots of an earlier process are lost or not trusted: each destination without a snapshot
-    /// begins with one call.
+    /// Health snapshots of an earlier process are lost or not trusted: each destination without a snapshot is
+    /// sent a single call first.
     SnapshotLost,
     /// A gossip message from another sender arrived.
     GossipReceived {
--- a/crates/decision/src/interface/message.rs
+++ b/crates/decision/src/interface/message.rs
@@ -13,9 +13,9 @@
     pub class: usize,
     /// Its tenant, an index into [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
-    /// Key of the messages that it is delivered in order with, if any.
+    /// Ordering key, if any; it applies if the class is delivered in order.
     pub key: Option<u64>,
-    /// Time that remains to deliver it.
+    /// Time left to deliver it.
     #[serde(rename = "time_left")]
     pub remaining_time: Micros,
     /// Estimated duration of the call, if any.
--- a/crates/decision/src/interface/settings.rs
+++ b/crates/decision/src/interface/settings.rs
@@ -27,7 +27,7 @@
         /// Which endpoints drop repeats.
         #[serde(rename = "group")]
         scope: IdempotencyScope,
-        /// For how long they drop repeats.
+        /// Time for which they drop repeats.
         window: Micros,
     },
     /// Must never take effect twice.
@@ -36,7 +36,7 @@
 }
 
 impl Idempotency {
-    /// Returns for how long the destination drops repeats, if it does.
+    /// Returns the time for which the destination drops repeats, if it does.
     pub fn window(self) -> Option<Micros> {
         match self {
             Self::Keyed { window, .. } => Some(window),
@@ -99,7 +99,7 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Messages a second within its quota, over all senders.
+    /// Quota in messages a second, over all senders.
     pub quota: f64,
 }
 
@@ -139,7 +139,7 @@
 /// How destinations without traffic become idle, what is retained of them, and how they are activated again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IdlePolicy {
-    /// A destination becomes idle when nothing was sent to it for so long.
+    /// A destination becomes idle when nothing has been sent to it for this time.
     #[serde(rename = "after")]
     pub idle_after: Micros,
     /// The health retained for an idle destination, except its wait, is discarded after this time.
@@ -216,7 +216,7 @@
     /// Price of a health check, in the unit of the priority weight.
     #[serde(rename = "probe_price")]
     pub health_check_price: f64,
-    /// Price of a call rejected above a limit, in the same unit.
+    /// Price of a call that is rejected because a limit is exceeded, in the same unit.
     #[serde(rename = "refused_price")]
     pub rejection_price: f64,
     /// Time within which a connection has to be established; otherwise it has failed.
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,6 +1,7 @@
 //! Delivery decisions of a sender, which accepts messages and delivers them to destinations that other
-//! organisations operate. A three-state circuit breaker per destination decides the normal path. The crate
-//! does no I/O, reads no clock (the time comes with the events) and shares nothing between instances.
+//! organisations operate. In normal operation a three-state circuit breaker per destination decides whether a
+//! message is sent. The crate does no I/O, reads no clock (the time comes with the events) and shares nothing
+//! between instances.
 //!
 //! The caller passes what happened to [`policy::Policy::handle`] and carries out the actions that it returns:
 //!
@@ -36,7 +37,7 @@
 //!     }
 //! }
 //!
-//! // The answer arrives later. It is terminal: the sender has given the client its final answer.
+//! // The answer arrives later. It is terminal: the message has its final answer.
 //! now += 200_000;
 //! let answer = Event::AttemptCompleted {
 //!     message: MessageId(1), attempt: 0, endpoint, outcome: Outcome::Delivered,
--- a/crates/decision/src/message_table.rs
+++ b/crates/decision/src/message_table.rs
@@ -22,7 +22,7 @@
     #[serde(default = "strictest")]
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Recovered after a restart without an attempt that may have run.
+    /// Recovered after a restart with no attempt recorded.
     #[serde(default)]
     #[serde(rename = "untried")]
     unattempted: bool,
@@ -33,12 +33,12 @@
     /// For a keyed message, how long after the first of these attempts a repeat may still be sent: until then
     /// it arrives while its key is remembered, and is dropped as a duplicate.
     pub repeatable_for: Option<Micros>,
-    /// When that time ends.
+    /// When `repeatable_for` ends.
     #[serde(rename = "lapses")]
     repeatable_until: Option<Micros>,
 }
 
-/// The default for a message from a predecessor whose state lacks the field.
+/// Returns the default for a message from a predecessor whose state lacks the field.
 fn strictest() -> Idempotency {
     Idempotency::NonIdempotent
 }
@@ -172,7 +172,7 @@
         ids.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Adds a message from another module, with or without an attempt in flight.
+    /// Adds a message from another instance, with or without an attempt in flight.
     pub fn attach(&mut self, mut pending: PendingMessage) {
         let id = pending.message.id;
         pending.repeatable_until = None;
@@ -184,7 +184,7 @@
         self.update_attempts(id);
     }
 
-    /// Sets what an earlier process recorded of a message's attempts.
+    /// Sets the attempts of a message that an earlier process recorded.
     pub fn recovered(&mut self, id: MessageId, attempts: u32, may_have_run: Vec<(u16, Micros, EndpointId)>) {
         if let Some(pending) = self.messages.get_mut(&id) {
             self.queues.remove(&pending.queue_entry());
@@ -243,7 +243,7 @@
         self.attempted.contains(&id)
     }
 
-    /// Returns the endpoints that such attempts were sent to.
+    /// Returns the endpoints of all attempts that are in flight or may have run.
     pub fn endpoints(&self) -> BTreeSet<EndpointId> {
         let attempted = self.attempted.iter().filter_map(|id| self.messages.get(id));
         attempted.flat_map(|pending| &pending.may_have_run).map(|attempt| attempt.2).collect()
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,6 +1,6 @@
-//! Every decision of a sender. Its types, events and actions are defined in `src/interface.rs`.
-//! In normal operation a three-state circuit breaker per destination decides whether a message is sent.
-//! All sends pass through `Policy::dispatch` and `Policy::admit`, all final answers through `Policy::answer`.
+//! Every decision of a sender. Its settings, events and actions are defined in `src/interface.rs`. In normal
+//! operation a three-state circuit breaker per destination decides whether a message is sent. All sends pass
+//! through `Policy::dispatch` and `Policy::admit`, all final answers through `Policy::answer`.
 
 use std::collections::BTreeMap;
 
@@ -40,8 +40,8 @@
 /// Connection slots per second that are assumed to become free at an endpoint whose connection table was
 /// full.
 const SLOTS_FREED_PER_SECOND: f64 = 2.0;
-/// Backoff from an endpoint that rejected a connection while none of ours was in use there; doubled with each
-/// further rejection.
+/// Backoff from an endpoint that rejected a connection while this sender had no other call there; doubled
+/// with each further rejection.
 const CONNECTION_BACKOFF: Micros = 80_000;
 
 /// Time from the end of a process until the next one repeats the calls that were in flight, including the
@@ -86,10 +86,11 @@
         }
     }
 
-    /// Records that an endpoint rejected a connection because its connection table is full. From then on no
-    /// more calls than had slots are sent there at once. If none of our calls was in flight there, the
-    /// endpoint is left alone for a random time that doubles with each rejection, up to four times; another
-    /// endpoint may take the message meanwhile. Costs time where slots are free again at once.
+    /// Records that an endpoint rejected a connection because its connection table is full. From then on this
+    /// sender keeps no more calls in flight there than had connection slots, plus [`SLOTS_FREED_PER_SECOND`].
+    /// If none of its calls was in flight there, the endpoint gets no call for a random time that doubles
+    /// with each rejection, up to four times; another endpoint may take the message meanwhile. Costs time
+    /// where slots are free again at once.
     pub(super) fn connection_rejected(&mut self, id: EndpointId, jitter: f64) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.connection_slots.record_rejection(endpoint.in_flight, self.now);
@@ -101,8 +102,9 @@
     }
 
     /// Returns whether a further attempt at this endpoint is safe: the message cannot take effect twice. A
-    /// keyed message may be repeated where its key is known, and only while the repeat arrives within the
-    /// key's window. Each entry of `may_have_run` is an attempt's number, when it was sent, and its endpoint.
+    /// keyed message may be repeated only at endpoints that know its key, and only if the repeat arrives
+    /// within the key's window. Each entry of `may_have_run` is an attempt's number, when it was sent, and
+    /// its endpoint.
     fn repeat_allowed(&self, pending: &PendingMessage, endpoint: EndpointId) -> bool {
         let Some(first) = pending.may_have_run.iter().min_by_key(|attempt| attempt.1) else { return true };
         match pending.idempotency {
--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -94,8 +94,8 @@
         if candidate.key.is_none_or(in_order) { Ok(()) } else { Err(Refusal::OutOfOrder) }
     }
 
-    /// Returns when the attempt must have ended, so that nothing is in flight at the end of the process that
-    /// the next one must not repeat; `Micros::MAX` if there is no such limit.
+    /// Returns when the attempt must have ended; `Micros::MAX` if there is no such limit. At the end of the
+    /// process, no call may be in flight that the next process is not allowed to repeat.
     fn must_end_by(&self, candidate: &Candidate) -> Micros {
         let applies = |end: &Micros| match candidate.idempotency {
             Idempotency::Idempotent => false,
@@ -181,9 +181,9 @@
 }
 
 /// Checks that a destination that is being activated may make its first call: each starts with a single one,
-/// the highest priority first, and only so many start per second. This protects file descriptors, slots and
-/// busy destinations when many are activated together. A destination that is activated with many messages is
-/// delayed by one call.
+/// the highest priority first, and the number started per second is limited. This protects file descriptors,
+/// slots and busy destinations when many are activated together. A destination that is activated with many
+/// messages is delayed by one call.
 fn check_activation(
     route: &RouteHealth,
     candidate: &Candidate,
--- a/crates/decision/src/policy/candidate.rs
+++ b/crates/decision/src/policy/candidate.rs
@@ -83,7 +83,8 @@
 }
 
 impl Refusal {
-    /// Returns what the refusal means for other messages for the same endpoint.
+    /// Returns the verdict on the send, which states whether other messages may still be sent to the
+    /// endpoint.
     pub(super) fn verdict(self) -> Verdict {
         match self {
             Self::MessageDone | Self::UnsafeRepeat | Self::OutOfOrder | Self::ShuttingDown => {
--- a/crates/decision/src/policy/dispatch.rs
+++ b/crates/decision/src/policy/dispatch.rs
@@ -13,8 +13,8 @@
 
 impl Policy {
     /// Sends all messages that may be sent now; every send goes through here. Examines only destinations with
-    /// a change since the last iteration and those that lack nothing but a slot; at each, its messages in
-    /// order until nothing more can be sent there.
+    /// a change since the last iteration and those that lack nothing but a slot, and at each of them the
+    /// messages in order until nothing more can be sent there.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let late = self.late_before();
         self.resort_if_fewer_late();
@@ -68,11 +68,11 @@
         round.started.first_joining(&self.endpoints, &self.messages.queues)
     }
 
-    /// Returns, for a class and tenant, the latency objective's time before which messages count as late, so
-    /// that messages in time are sent before late and abandoned ones. With oldest-first order alone, a
-    /// destination that is behind would get each message when its client no longer waits for it. Costs those
-    /// that have waited longest, which wait even longer. All messages of a tenant over its quota count as
-    /// late.
+    /// Returns a function from class and tenant to a time: a message whose latency objective is missed before
+    /// that time counts as late. Messages in time are sent before late and abandoned ones. With oldest-first
+    /// order alone, a destination that is behind would get each message when its client no longer waits for
+    /// it. Costs the messages that have waited longest an even longer wait. All messages of a tenant over its
+    /// quota count as late.
     pub(super) fn late_before(&self) -> impl Fn(usize, usize) -> Micros + use<> {
         let (now, abandonment_age) = (self.now, self.abandonment_age.0);
         let objectives: Vec<_> = self.settings.classes.iter().map(|class| class.latency_objective).collect();
--- a/crates/decision/src/policy/events.rs
+++ b/crates/decision/src/policy/events.rs
@@ -12,8 +12,8 @@
 };
 use crate::message_table::PendingMessage;
 
-/// A message is answered at most its class's deadline divided by this early, or two periods where that is
-/// longer.
+/// Divisor of a class's deadline that gives the longest time by which its messages are answered before their
+/// deadline, unless two periods are longer.
 const ANSWER_SLACK_DIVISOR: Micros = 64;
 
 impl Policy {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Has the message's destination examined in this iteration, since it may be the message's turn in its
-    /// lane.
+    /// Marks the message's destination as changed, so that it is examined in this iteration: it may be the
+    /// message's turn in its lane.
     pub(super) fn reconsider(&mut self, message: Option<MessageId>) {
         if let Some(pending) = message.and_then(|id| self.messages.get(&id)) {
             let destination = pending.message.destination;
@@ -133,9 +133,9 @@
             self.lanes.push(key, message.id);
         }
         let objective_at = (deadline + class.latency_objective).saturating_sub(class.deadline);
-        // A message must be answered at least two periods before its deadline, and earlier by the slack
-        // within which final answers are accepted: the sender knows when it read the message, not when the
-        // client sent it. An answer to a call that arrives after this end does not count as the final answer.
+        // A message must be answered before its deadline by two periods or by the slack for final answers,
+        // whichever is longer: the sender knows when it read the message, not when the client sent it. An
+        // answer to a call that arrives after this end does not count as the final answer.
         let slack = self.settings.rules.answer_slack.min(class.deadline / ANSWER_SLACK_DIVISOR);
         let end = deadline.saturating_sub(slack.max(2 * self.settings.period));
         let idempotency =
@@ -230,7 +230,8 @@
         }
     }
 
-    /// Returns when a message was accepted.
+    /// Returns when the delivery time of a message began: its deadline minus that of its class. This is
+    /// before its acceptance if it was accepted with less than the full time.
     pub(super) fn accepted_at(&self, pending: &PendingMessage) -> Micros {
         pending.objective_at.saturating_sub(self.settings.classes[pending.message.class].latency_objective)
     }
--- a/crates/decision/src/policy/gossip.rs
+++ b/crates/decision/src/policy/gossip.rs
@@ -1,4 +1,4 @@
-//! Translates between this module and the gossip among senders: publishes this sender's observations and
+//! Translates between the policy and the gossip among senders: publishes this sender's observations and
 //! applies those of others. No decisions are made here: the effect of gossip on a route is defined in
 //! `health`.
 
@@ -19,8 +19,8 @@
         Some((self.gossip.as_mut()?, destination.0))
     }
 
-    /// Publishes how a call ended, given the consecutive failures and unexplained rejections before and after
-    /// it.
+    /// Publishes the outcome of a call, given the consecutive failures and unexplained rejections before and
+    /// after it.
     pub(super) fn share_outcome(
         &mut self,
         route: RouteId,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes in a gossip message. Rejected ones are counted, with at most one warning per
+    /// Receives a gossip message. Rejected ones are counted, with at most one warning per
     /// [`GOSSIP_WARNING_INTERVAL`].
     pub(super) fn receive_gossip(&mut self, from: u16, content: &[u8], actions: &mut Vec<Action>) {
         let Some(gossip) = &mut self.gossip else { return };
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Applies to a destination that a message was accepted for what other senders reported while it was
-    /// idle.
+    /// Applies what other senders reported about a destination while it was idle. Called when a message for
+    /// it is accepted or recovered.
     pub(super) fn recall_gossip(&mut self, destination: DestinationId) {
         let (Some(gossip), Some(route)) = (&self.gossip, self.routes.get_mut(&(destination, None))) else {
             return;
--- a/crates/decision/src/policy/migration.rs
+++ b/crates/decision/src/policy/migration.rs
@@ -1,5 +1,6 @@
-//! Migration of a destination to another module of the same process: its health, its pending messages and its
-//! calls in flight as one value. No decisions are made here; the other module decides as this one would have.
+//! Migration of a destination to another instance of the policy in the same process: its health, its pending
+//! messages and its calls in flight as one value. No decisions are made here; the other instance decides as
+//! this one would have.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +14,7 @@
 use crate::message_table::PendingMessage;
 
 /// The whole state of a destination during its migration. It exists in one place at a time: detached from one
-/// module, then attached to another.
+/// instance, then attached to another.
 #[must_use = "dropping it loses the destination's pending messages"]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MigratedState {
@@ -31,7 +32,7 @@
 /// Why a destination cannot be migrated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MigrationRefused {
-    /// The module has ordering lanes in use, and one key may have messages for several destinations.
+    /// The instance has ordering lanes in use, and one key may have messages for several destinations.
     Ordered,
     /// The process is shutting down.
     ShuttingDown,
@@ -64,8 +65,8 @@
         })
     }
 
-    /// Returns the number of calls in flight, each of which needs a slot in the module that it is attached
-    /// to.
+    /// Returns the number of calls in flight, each of which needs a slot in the instance that the state is
+    /// attached to.
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
@@ -80,7 +81,7 @@
         tried.chain(routes).chain(idle).chain(calls).chain(known).collect()
     }
 
-    /// Replaces endpoint ids by those that the other module uses. `ids` must hold each endpoint that
+    /// Replaces endpoint ids by those that the other instance uses. `ids` must hold each endpoint that
     /// [`MigratedState::endpoints`] returns and that has another id there.
     pub fn rename(mut self, ids: &BTreeMap<EndpointId, EndpointId>) -> Self {
         let rename_endpoint = |id: &mut EndpointId| *id = ids.get(id).copied().unwrap_or(*id);
@@ -100,15 +101,15 @@
 }
 
 impl Policy {
-    /// Sets the number that call numbering starts from, so that calls in flight in several modules of a
+    /// Sets the number that call numbering starts from, so that calls in flight in several instances of a
     /// process have distinct numbers when they are migrated between them. Must be called before the first
     /// event.
     pub fn count_calls_from(&mut self, first: u64) {
         self.calls.count_from(first);
     }
 
-    /// Detaches a destination. From then on this module sends nothing there, and the outcomes of its calls
-    /// belong to the other module.
+    /// Detaches a destination. From then on this instance sends nothing there, and the outcomes of its calls
+    /// have to be passed to the other instance.
     ///
     /// # Errors
     /// Fails if the destination cannot be migrated; nothing has changed then.
@@ -135,8 +136,8 @@
         })
     }
 
-    /// Attaches a destination that another module detached. Its endpoints keep the listing that this module
-    /// was given.
+    /// Attaches a destination that another instance detached. Its endpoints keep the listing that this
+    /// instance was given.
     pub fn attach(&mut self, state: MigratedState) {
         let MigratedState { destination, at, messages, routes, idle, endpoints, calls } = state;
         // The state may be newer than the last event here; time must not run backwards.
--- a/crates/decision/src/policy/state.rs
+++ b/crates/decision/src/policy/state.rs
@@ -43,7 +43,7 @@
     /// Idle connections to an endpoint are closed after use if its calls are further apart than this.
     #[serde(rename = "keep")]
     pub(super) idle_connection_limit: Micros,
-    /// The age from which clients are taken to have abandoned their messages.
+    /// The age from which messages are assumed to be abandoned by their clients.
     #[serde(rename = "given_up_from")]
     pub(super) abandonment_age: AbandonmentAge,
     /// The abandonment age, and which tenants exceeded their quota, when destinations waiting for a slot were
@@ -56,8 +56,8 @@
     /// When this process ends, once its shutdown is announced.
     #[serde(rename = "stop_at")]
     pub(super) shutdown_at: Option<Micros>,
-    /// For each idempotency window, the time from which a message first sent may be repeated by the next
-    /// process.
+    /// For each idempotency window, the earliest time at which a message's first attempt can be sent so that
+    /// the next process may still repeat it. Such an attempt need not end before this process does.
     #[serde(rename = "unbound")]
     pub(super) repeat_boundaries: BTreeSet<Micros>,
     /// Recent messages per second from each tenant at this sender.
--- a/crates/decision/src/policy/timers.rs
+++ b/crates/decision/src/policy/timers.rs
@@ -1,5 +1,5 @@
-//! When waiting destinations are examined again, and when the module requests a timer. No decisions are made
-//! here: an early check finds nothing to do, a late one costs time.
+//! Times at which waiting destinations are examined again, and the timer that is requested for them. No
+//! decisions are made here: an early check finds nothing to do, a late one costs time.
 
 use super::{Policy, SLOTS_FREED_PER_SECOND};
 use crate::dispatch_round::DispatchRound;
@@ -10,8 +10,8 @@
 const SLOW_START_CHECK_PERIODS: Micros = 1;
 
 impl Policy {
-    /// Takes a destination that can receive nothing more in this iteration out of the ready ones, and
-    /// schedules a check for when that can change without an event.
+    /// Removes a destination that can receive nothing more in this iteration from the ready ones. Unless it
+    /// only lacks a slot, schedules a check for when that can change without an event.
     pub(super) fn schedule_check(&mut self, destination: DestinationId, round: &DispatchRound) {
         self.messages.queues.set_ready(destination, None);
         if !round.lacks_slot(destination) {
@@ -19,9 +19,9 @@
         }
     }
 
-    /// Returns when a destination that can receive nothing now may become available without an event. Slow
-    /// start grows continuously: it is checked every [`SLOW_START_CHECK_PERIODS`] periods, and one period
-    /// later for each 64 waiting destinations.
+    /// Returns when a destination that can receive nothing now may become available without an event. What
+    /// slow start allows grows continuously, so it is checked every [`SLOW_START_CHECK_PERIODS`] periods,
+    /// plus one period for each 64 waiting destinations.
     fn next_check(&self, destination: DestinationId) -> Option<Micros> {
         let (now, rules, latency_objective) =
             (self.now, &self.settings.rules, self.settings.shortest_latency_objective());
--- a/crates/decision/src/policy/weights.rs
+++ b/crates/decision/src/policy/weights.rs
@@ -6,8 +6,8 @@
 use crate::message_table::PendingMessage;
 
 impl Policy {
-    /// Returns the factor by which a tenant's messages are weighted down when the tenant exceeds its quota.
-    /// The tenant's rate over all senders is estimated from the rate at this sender alone.
+    /// Returns the factor that lowers the weight of a tenant's messages when the tenant exceeds its quota; 1
+    /// within it. The tenant's rate over all senders is estimated from the rate at this sender alone.
     pub(super) fn quota_weight(&self, tenant: usize) -> f64 {
         let (Some(rate), Some(config)) = (self.tenants.get(tenant), self.settings.tenants.get(tenant)) else {
             return 1.0;
--- a/crates/decision/src/route_table.rs
+++ b/crates/decision/src/route_table.rs
@@ -30,7 +30,7 @@
     active: ActiveSet<DestinationId>,
     #[serde(rename = "memory")]
     idle: IdleTable<RouteId>,
-    /// Health snapshots of an earlier process, for routes that no message has come for since; bounded by the
+    /// Health snapshots of an earlier process, for routes that have had no message since; bounded by the
     /// number of routes it had.
     #[serde(default)]
     #[serde(rename = "learnt")]
@@ -169,7 +169,7 @@
         self.activate(destination, endpoints, now);
     }
 
-    /// Returns the destinations of which any health is known.
+    /// Returns the destinations for which any health is known.
     pub fn observed_destinations(&self) -> BTreeSet<DestinationId> {
         let active = self.routes.keys().map(|id| id.0);
         active
@@ -203,8 +203,8 @@
         (self.active.len(), self.idle.len())
     }
 
-    /// Returns the time after which there may be capacity to activate a destination, if it is idle and there
-    /// is none now.
+    /// Returns how long to wait until there may be capacity to activate a destination; `None` if it is active
+    /// or there is capacity now.
     pub fn capacity_wait(&self, destination: DestinationId, now: Micros) -> Option<Micros> {
         let full = self.idle_policy.is_some_and(|d| self.active.len() >= d.max_active);
         let next = || self.active.next_due().map_or(0, |at| at.saturating_sub(now));
