--- a/crates/decision/src/destination_queues/tests.rs
+++ b/crates/decision/src/destination_queues/tests.rs
@@ -27,7 +27,7 @@
         let late_borders = [rng.u64(..9), rng.u64(..9), rng.u64(..9)];
         let mut sorted: Vec<QueuePosition> = entries
             .iter()
-            .map(|t| (!t.owed_attempt && t.objective_at < late_borders[t.class], t.objective_at, t.id))
+            .map(|e| (!e.owed_attempt && e.objective_at < late_borders[e.class], e.objective_at, e.id))
             .collect();
         sorted.sort_unstable();
         let (mut found, mut after) = (vec![], None);
--- a/crates/decision/src/health/tests.rs
+++ b/crates/decision/src/health/tests.rs
@@ -14,7 +14,10 @@
     for call in 0..u64::from(rejections) + 1 {
         now += settings::SECOND / 2;
         if reported || call == u64::from(rejections) {
-            assert!(route.record_report(10.0, 0.0, latency_objective, now), "the report counts");
+            assert!(
+                route.record_report(10.0, 0.0, latency_objective, now),
+                "the reported limit is plausible"
+            );
         }
         route.record(&tick(now), call, now - 1_000, Outcome::Rejected(None));
     }
--- a/crates/decision/src/policy/tests/reference_model.rs
+++ b/crates/decision/src/policy/tests/reference_model.rs
@@ -1,11 +1,12 @@
 //! Compares the policy with a reference model that examines, sorts and tries all pending messages in every
-//! iteration. Both must take the same actions on the same random events.
+//! iteration. Given the same random events, both must take the same actions.
 //!
 //! Two known differences are kept out of the comparison. With many senders of little traffic each, slow start
-//! counts down to the next turn at the rate of its last check, and the policy checks less often while all
-//! slots are in use or with more than 64 destinations waiting; here there are at most three senders, for
-//! which slow start counts calls. And more than 256 destinations waiting for a slot keep their positions when
-//! fewer messages count as late than before, until something changes there.
+//! counts down to the next single call at the rate of its last check, and the policy checks less often while
+//! all slots are in use or with more than 64 destinations waiting; here there are at most three senders, for
+//! which slow start counts calls. And if more than 256 destinations wait for a slot, they keep their
+//! positions when fewer messages count as late than before, until something changes there; there are only six
+//! here.
 
 use std::collections::BTreeMap;
 
@@ -44,8 +45,8 @@
                 unsendable.push((id, 0));
             } else if pending.in_flight == 0 {
                 let trial_at = self.first_trial_at(pending.message.destination);
-                let limit = pending.attempts >= self.settings.max_attempts;
-                if self.cannot_be_attempted(pending) || limit || trial_at > pending.end {
+                let no_attempts_left = pending.attempts >= self.settings.max_attempts;
+                if self.cannot_be_attempted(pending) || no_attempts_left || trial_at > pending.end {
                     unsendable.push((id, trial_at.saturating_sub(now)));
                 }
             }
@@ -201,11 +202,14 @@
             };
             pending.push(message.id);
             next += 1;
-            let ran = vec![(rng.u64(..2_000_000), endpoint(rng.u8(..18)))];
+            let earlier_attempts = vec![(rng.u64(..2_000_000), endpoint(rng.u8(..18)))];
             events.push(match rng.u8(..20) {
-                0 => {
-                    Event::Recovered { message, attempts: rng.u32(..4), may_have_run: ran, idempotency: None }
-                }
+                0 => Event::Recovered {
+                    message,
+                    attempts: rng.u32(..4),
+                    may_have_run: earlier_attempts,
+                    idempotency: None,
+                },
                 1 | 2 => Event::Recovered { message, attempts: 0, may_have_run: vec![], idempotency: None },
                 _ => Event::Accepted(message),
             });
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -38,7 +38,7 @@
     pub attempt: u16,
     pub endpoint: EndpointId,
     pub sent: Micros,
-    /// When the attempt times out.
+    /// When the attempt times attempt.
     pub until: Micros,
 }
 
@@ -90,9 +90,9 @@
                     let attempt = *attempts;
                     *attempts += 1;
                     let until = self.now + timeout;
-                    let out = Attempt { message, attempt, endpoint, sent: self.now, until };
-                    self.in_flight.push(out);
-                    self.sent.push(out);
+                    let started = Attempt { message, attempt, endpoint, sent: self.now, until };
+                    self.in_flight.push(started);
+                    self.sent.push(started);
                 }
                 Action::Reject { message, retry_after } => self.rejected.push((message, retry_after)),
                 Action::Fail(message) => self.failed.push(message),
@@ -130,23 +130,23 @@
         id
     }
 
-    /// Returns the event that an attempt ended with that outcome.
-    pub fn ended(&self, out: Attempt, outcome: Outcome) -> Event {
+    /// Returns the event for the end of an attempt with the given outcome.
+    pub fn ended(&self, attempt: Attempt, outcome: Outcome) -> Event {
         Event::AttemptCompleted {
-            message: out.message,
-            attempt: out.attempt,
-            endpoint: out.endpoint,
+            message: attempt.message,
+            attempt: attempt.attempt,
+            endpoint: attempt.endpoint,
             outcome,
             terminal: outcome == Outcome::Delivered,
-            took: self.now - out.sent,
+            took: self.now - attempt.sent,
             report: vec![],
         }
     }
 
-    /// Ends the oldest attempt in flight with that outcome.
+    /// Ends the oldest attempt in flight with the given outcome.
     pub fn end(&mut self, outcome: Outcome) {
-        let out = self.in_flight.remove(0);
-        let event = self.ended(out, outcome);
+        let attempt = self.in_flight.remove(0);
+        let event = self.ended(attempt, outcome);
         self.handle(vec![event]);
     }
 
@@ -154,21 +154,22 @@
     pub fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         loop {
-            let timer = self.timers.iter().map(|r| r.0).min();
-            let timeout = self.in_flight.iter().map(|o| o.until).min();
+            let timer = self.timers.iter().map(|timer| timer.0).min();
+            let timeout = self.in_flight.iter().map(|attempt| attempt.until).min();
             let Some(at) = timer.into_iter().chain(timeout).min().filter(|at| *at <= until) else { break };
             self.now = at.max(self.now);
             let now = self.now;
             let mut events = vec![];
-            self.timers.retain(|r| {
-                if r.0 <= now {
-                    events.push(Event::TimerFired(r.1));
+            self.timers.retain(|timer| {
+                if timer.0 <= now {
+                    events.push(Event::TimerFired(timer.1));
                 }
-                r.0 > now
+                timer.0 > now
             });
-            let (over, out): (Vec<_>, Vec<_>) = self.in_flight.iter().partition(|o| o.until <= now);
-            self.in_flight = out;
-            events.extend(over.into_iter().map(|o| self.ended(o, Outcome::TimedOut)));
+            let (timed_out, in_flight): (Vec<_>, Vec<_>) =
+                self.in_flight.iter().partition(|attempt| attempt.until <= now);
+            self.in_flight = in_flight;
+            events.extend(timed_out.into_iter().map(|attempt| self.ended(attempt, Outcome::TimedOut)));
             self.handle(events);
         }
         self.now = until;
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Ends that many calls with that outcome, each as soon as it is in flight.
+    /// Ends `calls` calls with the given outcome, each as soon as it is in flight.
     pub fn end_calls(&mut self, calls: usize, outcome: Outcome) {
         for _ in 0..calls {
             self.accept(IDEMPOTENT);
--- a/crates/decision/tests/hand_over.rs
+++ b/crates/decision/tests/hand_over.rs
@@ -16,7 +16,7 @@
             0..4 => drop(s.accept_keyed(rng.usize(..4), Some(rng.u64(1..4)))),
             4..8 if !s.in_flight.is_empty() => {
                 let at = rng.usize(..s.in_flight.len());
-                let out = s.in_flight.remove(at);
+                let attempt = s.in_flight.remove(at);
                 let outcomes = [
                     Outcome::Delivered,
                     Outcome::Delivered,
@@ -26,7 +26,7 @@
                     Outcome::Reset,
                     Outcome::ConnectFailed,
                 ];
-                let event = s.ended(out, outcomes[rng.usize(..outcomes.len())]);
+                let event = s.ended(attempt, outcomes[rng.usize(..outcomes.len())]);
                 s.handle(vec![event]);
             }
             8 => {
--- a/crates/decision/tests/health_restore.rs
+++ b/crates/decision/tests/health_restore.rs
@@ -234,8 +234,8 @@
     })
 }
 
-/// Returns the times of the calls in a run that is the same with and without a snapshot, at a partner that
-/// ends every call with `outcome`.
+/// Returns the times at which calls were sent in a run where the partner ends every call with `outcome`. Runs
+/// with and without a snapshot are otherwise the same.
 fn call_times(
     settings: &Settings,
     snapshot: Option<RouteSnapshot>,
@@ -266,9 +266,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Whatever the snapshot says, no call starts before the end of its wait, and the first one not sooner
-    /// than without a snapshot; where all calls succeed, each of them starts no sooner, and there are no more
-    /// of them, than without.
+    /// For any snapshot, no call starts before the end of its wait, and the first call starts no sooner than
+    /// without a snapshot. Where all calls succeed, this holds for each call, and there are no more calls
+    /// than without a snapshot.
     #[test]
     fn snapshot_never_sends_calls_sooner(
         snapshot in any_snapshot(),
--- a/crates/decision/tests/idle_destinations.rs
+++ b/crates/decision/tests/idle_destinations.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Advances the time until every destination without work is idle.
+/// Advances the time until every destination without pending messages or calls in flight is idle.
 fn let_all_become_idle(s: &mut Sender) {
     s.advance(2 * IDLE_POLICY.idle_after + SECOND);
 }
@@ -62,10 +62,10 @@
     // A destination with a call in flight stays active all the time.
     let message = s.message(NON_IDEMPOTENT, None, 500 * SECOND);
     s.handle(vec![Event::Accepted(message)]);
-    let out = s.in_flight.pop().unwrap();
+    let attempt = s.in_flight.pop().unwrap();
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (1, 0));
-    let end = s.ended(out, Outcome::Delivered);
+    let end = s.ended(attempt, Outcome::Delivered);
     s.handle(vec![end]);
     let_all_become_idle(&mut s);
     assert_eq!(s.policy.active_and_idle(), (0, 1));
@@ -127,7 +127,7 @@
 }
 
 /// A destination, idle or active, leaves the list during a wait and comes back under another endpoint. `kind`
-/// gives it one route for all endpoints or separate routes.
+/// 0 has one route for all endpoints, `kind` 1 separate routes.
 #[test]
 fn wait_applies_after_return_under_another_endpoint() {
     for kind in [0, 1] {
@@ -226,8 +226,8 @@
     // The destination rejects calls; after that it accepts four a second at most.
     for _ in 0..4 {
         accept_all(&mut s, [DEST.0; 4].into_iter());
-        while let Some(out) = s.in_flight.pop() {
-            let end = s.ended(out, Outcome::Rejected(None));
+        while let Some(attempt) = s.in_flight.pop() {
+            let end = s.ended(attempt, Outcome::Rejected(None));
             s.handle(vec![end]);
         }
         s.advance(SECOND);
@@ -270,11 +270,11 @@
     let mut delayed = 0;
     while s.sent.len() < 1_000 && s.now < started + 19 * SECOND {
         accept_all(&mut s, std::iter::once(0));
-        delayed += u32::from(s.in_flight.iter().all(|out| out.endpoint != entry_of(0, 0).endpoint));
+        delayed += u32::from(s.in_flight.iter().all(|attempt| attempt.endpoint != entry_of(0, 0).endpoint));
         assert!(s.in_flight.len() <= 33, "{}", s.in_flight.len());
         s.advance(SECOND / 20);
         deliver_all(&mut s);
-        // The configured rate of 100 a second, and the tokens saved before.
+        // The configured rate of 100 a second, plus the tokens that had accrued before.
         let activated = s.sent.iter().filter(|sent| sent.endpoint != entry_of(0, 0).endpoint).count();
         assert!(activated as u64 <= 26 + (s.now - started) / 10_000, "{activated} after {}", s.now - started);
     }
@@ -354,8 +354,8 @@
     assert_eq!(s.sent.len(), 2);
 }
 
-/// Ten thousand waits end at the same moment: no more calls are in flight than there are slots, none starts
-/// before, no message is lost.
+/// When ten thousand waits end at the same moment, no more calls are in flight than there are slots, no call
+/// starts before that moment, and no message is lost.
 #[test]
 fn ten_thousand_waits_end_together() {
     let entries: Vec<_> = (0..10_000).map(|n| entry_of(n, n)).collect();
@@ -375,7 +375,7 @@
         assert!(s.in_flight.len() <= 500);
         delivered += s.in_flight.len();
         let ends = std::mem::take(&mut s.in_flight);
-        let ends = ends.into_iter().map(|out| s.ended(out, Outcome::Delivered)).collect();
+        let ends = ends.into_iter().map(|attempt| s.ended(attempt, Outcome::Delivered)).collect();
         s.handle(ends);
     }
     assert!(s.sent.iter().all(|sent| sent.sent >= until));
--- a/crates/decision/tests/migration.rs
+++ b/crates/decision/tests/migration.rs
@@ -32,7 +32,7 @@
             0..4 => drop(s.accept(rng.usize(..3))),
             4..8 if !s.in_flight.is_empty() => {
                 let at = rng.usize(..s.in_flight.len());
-                let out = s.in_flight.remove(at);
+                let attempt = s.in_flight.remove(at);
                 let outcomes = [
                     Outcome::Delivered,
                     Outcome::Delivered,
@@ -41,7 +41,7 @@
                     Outcome::Error,
                     Outcome::Reset,
                 ];
-                let event = s.ended(out, outcomes[rng.usize(..outcomes.len())]);
+                let event = s.ended(attempt, outcomes[rng.usize(..outcomes.len())]);
                 s.handle(vec![event]);
             }
             8 => {
@@ -55,8 +55,8 @@
                 s.handle(vec![event]);
             }
             9 => {
-                // A further tick changes the floating-point results by one more step of decay; the changes
-                // are sent in both runs, so that both have the same ticks.
+                // Each tick adds a step of decay, which changes floating-point results. The changes are
+                // therefore sent in both runs, so that both have the same ticks.
                 let repeated =
                     Event::EndpointChanges(last_changes.values().cloned().chain([entry(4, 0)]).collect());
                 spare.handle(s.now, std::slice::from_ref(&repeated), &mut vec![]);
@@ -80,13 +80,13 @@
     let mut sent = 0;
     let first = first_seed();
     for seed in first..first + 100 {
-        let (plain, moved) = (random_run(seed, false), random_run(seed, true));
-        assert_eq!(plain.sent, moved.sent, "seed {seed}");
-        assert_eq!(plain.rejected, moved.rejected, "seed {seed}");
-        assert_eq!(plain.failed, moved.failed, "seed {seed}");
+        let (plain, migrated) = (random_run(seed, false), random_run(seed, true));
+        assert_eq!(plain.sent, migrated.sent, "seed {seed}");
+        assert_eq!(plain.rejected, migrated.rejected, "seed {seed}");
+        assert_eq!(plain.failed, migrated.failed, "seed {seed}");
         sent += plain.sent.len();
     }
-    assert!(sent > 1_000, "the runs have calls: {sent}");
+    assert!(sent > 1_000, "too few calls in all runs: {sent}");
 }
 
 const INSTANCES: usize = 3;
@@ -176,16 +176,22 @@
                     );
                     assert!(!self.draining.contains(&endpoint), "no attempt at a draining endpoint");
                     let may_have_run = self.may_have_run.entry(message).or_default();
-                    assert!(class != NON_IDEMPOTENT || *may_have_run == 0, "no effect twice");
+                    assert!(
+                        class != NON_IDEMPOTENT || *may_have_run == 0,
+                        "a non-idempotent message is not repeated"
+                    );
                     *may_have_run += 1;
                     let attempt = self.attempts.entry(message).or_default();
                     let until = self.now + timeout;
-                    let out = Attempt { message, attempt: *attempt, endpoint, sent: self.now, until };
+                    let started = Attempt { message, attempt: *attempt, endpoint, sent: self.now, until };
                     *attempt += 1;
-                    self.in_flight.push((out, destination));
+                    self.in_flight.push((started, destination));
                     self.calls += 1;
-                    let there = self.in_flight.iter().filter(|o| o.1 == destination).count();
-                    assert!(there <= SLOTS * 3 / 4, "destinations keep to their share of the slots");
+                    let in_flight_there = self.in_flight.iter().filter(|o| o.1 == destination).count();
+                    assert!(
+                        in_flight_there <= SLOTS * 3 / 4,
+                        "destinations keep to their share of the slots"
+                    );
                     assert!(self.in_flight.len() <= SLOTS, "all instances keep to the slots");
                 }
                 Action::Reject { message, .. } | Action::Fail(message) => {
@@ -207,20 +213,20 @@
     }
 
     fn end(&mut self, at: usize, outcome: Outcome) {
-        let (out, destination) = self.in_flight.remove(at);
+        let (ended, destination) = self.in_flight.remove(at);
         if outcome.never_ran() {
-            *self.may_have_run.entry(out.message).or_default() -= 1;
+            *self.may_have_run.entry(ended.message).or_default() -= 1;
         }
         if let Outcome::Rejected(Some(wait)) = outcome {
             let until = self.waits.entry(destination).or_default();
             *until = (*until).max(self.now + wait);
         }
         let terminal = outcome == Outcome::Delivered;
-        if terminal && !self.finished.contains(&out.message) {
-            self.finished.insert(out.message);
+        if terminal && !self.finished.contains(&ended.message) {
+            self.finished.insert(ended.message);
         }
-        let (message, attempt, endpoint) = (out.message, out.attempt, out.endpoint);
-        let took = self.now - out.sent;
+        let (message, attempt, endpoint) = (ended.message, ended.attempt, ended.endpoint);
+        let took = self.now - ended.sent;
         let event =
             Event::AttemptCompleted { message, attempt, endpoint, outcome, terminal, took, report: vec![] };
         self.handle(self.owner[&destination.0], &[event]);
@@ -268,8 +274,12 @@
                     return;
                 }
                 let migrated = self.instances[from].detach(DestinationId(destination)).unwrap();
-                let out = self.in_flight.iter().filter(|o| o.1.0 == destination).count();
-                assert_eq!(migrated.attempts_in_flight().count(), out, "all attempts in flight migrate");
+                let in_flight = self.in_flight.iter().filter(|o| o.1.0 == destination).count();
+                assert_eq!(
+                    migrated.attempts_in_flight().count(),
+                    in_flight,
+                    "all attempts in flight migrate"
+                );
                 self.instances[to].attach(migrated);
                 self.owner.insert(destination, to);
                 self.handle_all(&[]);
@@ -299,7 +309,7 @@
         (calls, messages) = (calls + group.calls, messages + group.messages.len());
     }
     println!("{messages} messages, {calls} calls");
-    assert!(calls > 3_000, "the runs have calls: {calls}");
+    assert!(calls > 3_000, "too few calls in all runs: {calls}");
 }
 
 /// An open breaker and the pending messages migrate with a destination; nothing of it stays with the instance
@@ -334,7 +344,7 @@
     assert!(!actions.iter().any(|action| matches!(action, Action::Attempt { .. })), "{actions:?}");
 }
 
-/// The wait of a destination that is idle, or that no message has come for since the start, migrates with it.
+/// The wait of a destination that has had no message since the start, and so is not active, migrates with it.
 #[test]
 fn wait_of_inactive_destination_migrates() {
     let wait_until = START + 5 * SECOND;
@@ -348,7 +358,7 @@
     s.accept(IDEMPOTENT);
     assert!(s.in_flight.is_empty(), "the wait has not ended");
     s.advance(6 * SECOND);
-    assert!(s.sent.iter().all(|out| out.sent >= wait_until) && !s.sent.is_empty());
+    assert!(s.sent.iter().all(|attempt| attempt.sent >= wait_until) && !s.sent.is_empty());
 }
 
 /// The other instance may know the same endpoint by another id.
@@ -356,22 +366,22 @@
 fn endpoints_are_renamed_to_ids_of_new_owner() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
     let id = s.accept(NON_IDEMPOTENT);
-    let out = s.in_flight.remove(0);
-    let theirs = EndpointId([9; 6]);
+    let attempt = s.in_flight.remove(0);
+    let renamed = EndpointId([9; 6]);
     let mut other = Policy::new(settings(), 43, s.now);
     other.handle(
         s.now,
-        &[Event::EndpointList(vec![EndpointEntry { endpoint: theirs, ..entry(1, 0) }])],
+        &[Event::EndpointList(vec![EndpointEntry { endpoint: renamed, ..entry(1, 0) }])],
         &mut vec![],
     );
     let migrated = s.policy.detach(DEST).unwrap();
     assert_eq!(migrated.endpoints(), BTreeSet::from([endpoint(1)]));
-    other.attach(migrated.rename(&BTreeMap::from([(endpoint(1), theirs)])));
+    other.attach(migrated.rename(&BTreeMap::from([(endpoint(1), renamed)])));
     let mut actions = vec![];
     let ended = Event::AttemptCompleted {
         message: id,
-        attempt: out.attempt,
-        endpoint: theirs,
+        attempt: attempt.attempt,
+        endpoint: renamed,
         outcome: Outcome::Rejected(Some(SECOND)),
         terminal: false,
         took: 0,
@@ -380,7 +390,7 @@
     other.handle(s.now, &[ended], &mut actions);
     other.handle(s.now + 2 * SECOND, &[Event::TimerFired(0)], &mut actions);
     let sent =
-        actions.iter().filter(|a| matches!(a, Action::Attempt { endpoint, .. } if *endpoint == theirs));
+        actions.iter().filter(|a| matches!(a, Action::Attempt { endpoint, .. } if *endpoint == renamed));
     assert_eq!(sent.count(), 1, "{actions:?}");
 }
 
--- a/crates/decision/tests/policy.rs
+++ b/crates/decision/tests/policy.rs
@@ -1,5 +1,5 @@
-//! Tests of the decision module on its own: the circuit breaker, each delivery rule, and regressions found on
-//! the bench.
+//! Tests of the policy on its own: the circuit breaker, each delivery rule, and regressions found on the test
+//! bench.
 
 mod common;
 
@@ -58,15 +58,15 @@
     for _ in 0..8 {
         s.accept(IDEMPOTENT);
     }
-    while s.in_flight.iter().any(|o| o.sent == s.now) {
+    while s.in_flight.iter().any(|attempt| attempt.sent == s.now) {
         s.end(Outcome::Rejected(None));
     }
     assert!(s.sent.len() - before <= 8);
-    let refused = s.sent.len();
+    let after_rejections = s.sent.len();
     s.advance(SECOND / 10);
-    assert_eq!(s.sent.len(), refused, "backs off after a rejection");
+    assert_eq!(s.sent.len(), after_rejections, "backs off after a rejection");
     s.advance(SECOND);
-    assert!(s.sent.len() > refused, "and continues with a closed breaker");
+    assert!(s.sent.len() > after_rejections, "and continues with a closed breaker");
 }
 
 #[test]
@@ -145,8 +145,8 @@
 fn withdrawn_message_is_not_sent_again() {
     let mut s = one();
     s.accept(IDEMPOTENT);
-    let left = s.in_flight[0].message;
-    s.handle(vec![Event::Withdrawn(left)]);
+    let withdrawn = s.in_flight[0].message;
+    s.handle(vec![Event::Withdrawn(withdrawn)]);
     s.end(Outcome::Error);
     s.advance(30 * SECOND);
     assert_eq!((s.sent.len(), s.rejected.len(), s.failed.len()), (1, 0, 0));
@@ -193,7 +193,7 @@
     s.advance(SECOND);
     s.end(Outcome::Error);
     s.advance(25 * SECOND);
-    assert!(s.sent.iter().all(|o| o.sent < START + 6 * SECOND));
+    assert!(s.sent.iter().all(|attempt| attempt.sent < START + 6 * SECOND));
     assert_eq!((s.failed.len(), s.rejected.len()), (1, 0));
 }
 
@@ -221,7 +221,10 @@
             s.end(Outcome::Error);
             s.advance(SECOND / 2);
             assert!(
-                s.sent.iter().filter(|o| o.message == first.message).all(|o| o.endpoint == first.endpoint)
+                s.sent
+                    .iter()
+                    .filter(|attempt| attempt.message == first.message)
+                    .all(|attempt| attempt.endpoint == first.endpoint)
             );
         }
         s.advance(10 * SECOND);
@@ -244,9 +247,9 @@
 #[test]
 fn draining_and_unlisted_endpoints_get_no_new_calls() {
     let mut s = one();
-    let mut drained = entry(1, 0);
-    drained.listing = Listing::Draining;
-    s.handle(vec![Event::EndpointChanges(vec![drained])]);
+    let mut draining = entry(1, 0);
+    draining.listing = Listing::Draining;
+    s.handle(vec![Event::EndpointChanges(vec![draining])]);
     s.accept(IDEMPOTENT);
     s.advance(SECOND);
     assert!(s.sent.is_empty());
@@ -282,8 +285,8 @@
     assert!(s.sent.len() > 1);
 }
 
-/// Found on the bench: the messages of one call were rejected with different waits, and only the first was
-/// applied.
+/// Found on the test bench: the messages of one call were rejected with different waits, and only the first
+/// was applied.
 #[test]
 fn applies_the_longest_retry_after_of_a_batch() {
     let mut s = Sender::new(settings(), &[entry(1, 2)]);
@@ -318,8 +321,8 @@
     s.accept_keyed(ORDERED, Some(10));
     assert_eq!(s.in_flight.len(), 2, "a message with another key is sent");
     s.end(Outcome::Delivered);
-    assert!(s.in_flight.iter().any(|o| o.message == second));
-    assert!(s.sent.iter().filter(|o| o.message == first).count() == 1);
+    assert!(s.in_flight.iter().any(|attempt| attempt.message == second));
+    assert!(s.sent.iter().filter(|attempt| attempt.message == first).count() == 1);
 }
 
 #[test]
@@ -334,17 +337,18 @@
     s.advance(SECOND - 1);
     assert_eq!(s.sent.len(), 1);
     s.advance(SECOND);
-    assert_eq!(s.sent.last().map(|o| o.message), Some(second));
+    assert_eq!(s.sent.last().map(|attempt| attempt.message), Some(second));
 }
 
 /// Returns the maximum number of calls sent within any three seconds from `from` on.
 fn max_calls_in_a_window(s: &Sender, from: Micros) -> usize {
-    let sent: Vec<_> = s.sent.iter().map(|o| o.sent).filter(|at| *at >= from).collect();
-    let span = |at: &Micros| sent.iter().filter(|o| (*at..*at + 3 * SECOND).contains(*o)).count();
-    sent.iter().map(span).max().unwrap_or(0)
+    let sent: Vec<_> = s.sent.iter().map(|attempt| attempt.sent).filter(|at| *at >= from).collect();
+    let calls_from =
+        |at: &Micros| sent.iter().filter(|other| (*at..*at + 3 * SECOND).contains(*other)).count();
+    sent.iter().map(calls_from).max().unwrap_or(0)
 }
 
-/// Delivers everything for that many seconds, with a new message every quarter of a second.
+/// Delivers all messages for `seconds`, with a new one every quarter of a second.
 fn recover(s: &mut Sender, seconds: u64) {
     for _ in 0..seconds * 4 {
         s.accept(IDEMPOTENT);
@@ -367,11 +371,11 @@
     assert!(max_calls_in_a_window(&s, recovered_at) <= 8, "{}", max_calls_in_a_window(&s, recovered_at));
     let warm_at = s.now + 14 * SECOND;
     recover(&mut s, 20);
-    assert!(s.sent.iter().filter(|o| o.sent > warm_at).count() > 20, "slow start ends");
+    assert!(s.sent.iter().filter(|attempt| attempt.sent > warm_at).count() > 20, "slow start ends");
 }
 
-/// Found on the bench: a destination that is shut only rejects calls as if full, and is as cold as any other
-/// when it returns.
+/// Found on the test bench: a destination that is shut only rejects calls, like one at its limit, and is as
+/// cold as any other when it returns.
 #[test]
 fn destination_that_only_rejected_is_ramped_up_slowly() {
     let mut s = one();
@@ -388,8 +392,8 @@
     assert!(max_calls_in_a_window(&s, recovered_at) <= 8, "{}", max_calls_in_a_window(&s, recovered_at));
 }
 
-/// Found on the bench: at a destination that failed half of its calls, slow start was counted from a success
-/// during the outage.
+/// Found on the test bench: at a destination that failed half of its calls, slow start was counted from a
+/// success during the outage.
 #[test]
 fn a_failure_during_slow_start_restarts_it() {
     let mut s = one();
@@ -402,8 +406,8 @@
     assert!(max_calls_in_a_window(&s, recovered_at) <= 12, "{}", max_calls_in_a_window(&s, recovered_at));
 }
 
-/// Found on the bench: messages for a destination that was down filled the buffer, which left no room for all
-/// others.
+/// Found on the test bench: messages for a destination that was down filled the buffer, which left no room
+/// for all others.
 #[test]
 fn full_buffer_sheds_messages_of_a_failed_destination() {
     let mut other = entry(2, 0);
@@ -420,7 +424,7 @@
     let id = message.id;
     s.handle(vec![Event::Accepted(message)]);
     assert!(s.rejected.iter().all(|r| r.0 != id));
-    assert!(s.sent.iter().any(|o| o.message == id));
+    assert!(s.sent.iter().any(|attempt| attempt.message == id));
 }
 
 #[test]
@@ -435,7 +439,7 @@
     assert_eq!(run(), run());
 }
 
-/// Found on the bench: one hanging call among answered ones put its destination into slow start.
+/// Found on the test bench: one hanging call among answered ones put its destination into slow start.
 #[test]
 fn time_out_of_a_call_older_than_the_last_answer_is_no_failure() {
     let mut s = one();
@@ -494,10 +498,10 @@
     assert!(!s.other.contains(&close), "reused within the idle timeout");
 }
 
-fn recover_message(s: &mut Sender, class: usize, attempts: u32, ran: &[Micros]) -> MessageId {
+fn recover_message(s: &mut Sender, class: usize, attempts: u32, ages: &[Micros]) -> MessageId {
     let message = s.message(class, None, 20 * SECOND);
     let id = message.id;
-    let may_have_run = ran.iter().map(|age| (*age, endpoint(1))).collect();
+    let may_have_run = ages.iter().map(|age| (*age, endpoint(1))).collect();
     s.handle(vec![Event::Recovered { message, attempts, may_have_run, idempotency: None }]);
     id
 }
@@ -508,23 +512,23 @@
     let mut s = one();
     let non_idempotent = recover_message(&mut s, NON_IDEMPOTENT, 1, &[SECOND]);
     assert_eq!(s.failed, [non_idempotent]);
-    let late = recover_message(&mut s, KEYED, 1, &[5 * SECOND]);
-    assert_eq!(s.failed, [non_idempotent, late], "the rest of its window is too short for a repeat");
+    let window_ending = recover_message(&mut s, KEYED, 1, &[5 * SECOND]);
+    assert_eq!(s.failed, [non_idempotent, window_ending], "the rest of its window is too short for a repeat");
     assert!(s.sent.is_empty());
     recover_message(&mut s, KEYED, 1, &[2 * SECOND]);
     recover_message(&mut s, NON_IDEMPOTENT, 1, &[]);
     assert_eq!(s.sent.len(), 2, "both are safe to send");
-    let used_up = recover_message(&mut s, NON_IDEMPOTENT, 4, &[]);
-    assert_eq!(s.rejected.iter().map(|r| r.0).collect::<Vec<_>>(), [used_up]);
+    let without_attempts_left = recover_message(&mut s, NON_IDEMPOTENT, 4, &[]);
+    assert_eq!(s.rejected.iter().map(|r| r.0).collect::<Vec<_>>(), [without_attempts_left]);
 }
 
-/// Messages accepted before a restart get an attempt, even if all newer ones have a higher weight.
+/// Messages accepted before a restart get an attempt, even where all newer ones have a higher weight.
 #[test]
 fn unattempted_recovered_messages_go_first_and_are_not_shed() {
     let mut draining = entry(1, 0);
     draining.listing = Listing::Draining;
     let mut s = Sender::new(settings(), std::slice::from_ref(&draining));
-    let before: BTreeSet<_> = (0..40)
+    let recovered: BTreeSet<_> = (0..40)
         .map(|_| {
             // Already past its latency objective.
             let message = s.message(IDEMPOTENT, None, 10 * SECOND);
@@ -540,11 +544,11 @@
     for _ in 0..64 {
         s.accept(IDEMPOTENT);
     }
-    assert!(!s.rejected.is_empty() && s.rejected.iter().all(|refused| !before.contains(&refused.0)));
+    assert!(!s.rejected.is_empty() && s.rejected.iter().all(|rejection| !recovered.contains(&rejection.0)));
     s.handle(vec![Event::EndpointChanges(vec![entry(1, 0)])]);
     s.deliver(40);
-    let called: BTreeSet<_> = s.sent[..40].iter().map(|out| out.message).collect();
-    assert_eq!(called, before);
+    let first_sent: BTreeSet<_> = s.sent[..40].iter().map(|attempt| attempt.message).collect();
+    assert_eq!(first_sent, recovered);
     // A recovered message that had an attempt is treated like any other.
     s.handle(vec![Event::EndpointChanges(vec![draining])]);
     let message = s.message(IDEMPOTENT, None, 10 * SECOND);
@@ -553,10 +557,10 @@
     for _ in 0..64 {
         s.accept(IDEMPOTENT);
     }
-    assert!(s.rejected.iter().any(|refused| refused.0 == id));
+    assert!(s.rejected.iter().any(|rejection| rejection.0 == id));
 }
 
-/// A call cut off by the end of the process could not be repeated if its message is non-idempotent.
+/// If the process ended during a call, a non-idempotent message could not be repeated.
 #[test]
 fn no_unsafe_call_is_in_flight_when_the_process_ends() {
     let mut s = one();
@@ -597,8 +601,8 @@
     s.handle(vec![Event::EndpointList(vec![entry(1, 2)])]);
     for _ in 0..5 {
         let call: Vec<_> = s.in_flight.drain(..s.in_flight.len().min(5)).collect();
-        let ends = call.iter().enumerate().map(|(n, out)| {
-            s.ended(*out, if n == 0 { Outcome::NotSent { no_slot: false } } else { Outcome::Error })
+        let ends = call.iter().enumerate().map(|(n, attempt)| {
+            s.ended(*attempt, if n == 0 { Outcome::NotSent { no_slot: false } } else { Outcome::Error })
         });
         let ends = ends.collect();
         s.handle(ends);
@@ -609,9 +613,9 @@
     assert_eq!(s.sent.len(), before, "five failed calls opened the breaker");
 }
 
-/// Returns the number of calls within ten seconds after a rejection, each answered in 0.1 s with this load
-/// report.
-fn calls_after_a_rejection(left: f32, limit: f32) -> usize {
+/// Returns the number of calls within ten seconds after a rejection. Each is answered after 0.1 s with a load
+/// report of the given values.
+fn calls_after_a_rejection(remaining: f32, limit: f32) -> usize {
     let mut s = Sender::new(Settings { senders: 2, weights: Weights::Nominal, ..settings() }, &[]);
     s.handle(vec![Event::EndpointList(vec![EndpointEntry { weight: 20.0, ..entry(1, 0) }])]);
     s.deliver(20);
@@ -620,12 +624,13 @@
     for _ in 0..200 {
         s.accept(IDEMPOTENT);
         s.advance(SECOND / 20);
-        let over: Vec<_> = s.in_flight.iter().filter(|o| o.sent + SECOND / 10 <= s.now).copied().collect();
-        s.in_flight.retain(|o| !over.contains(o));
-        for out in over {
-            let mut event = s.ended(out, Outcome::Delivered);
+        let completed: Vec<_> =
+            s.in_flight.iter().filter(|attempt| attempt.sent + SECOND / 10 <= s.now).copied().collect();
+        s.in_flight.retain(|attempt| !completed.contains(attempt));
+        for attempt in completed {
+            let mut event = s.ended(attempt, Outcome::Delivered);
             if let Event::AttemptCompleted { report, .. } = &mut event {
-                *report = vec![left, limit];
+                *report = vec![remaining, limit];
             }
             s.handle(vec![event]);
         }
@@ -637,11 +642,15 @@
 /// unused.
 #[test]
 fn send_rate_grows_if_reports_show_headroom() {
-    let (full, headroom) = (calls_after_a_rejection(0.1, 20.0), calls_after_a_rejection(0.9, 20.0));
-    assert!(headroom * 2 > full * 3, "{headroom} calls with headroom, {full} without");
+    let (without_headroom, with_headroom) =
+        (calls_after_a_rejection(0.1, 20.0), calls_after_a_rejection(0.9, 20.0));
+    assert!(
+        with_headroom * 2 > without_headroom * 3,
+        "{with_headroom} calls with headroom, {without_headroom} without"
+    );
 }
 
-/// Limits far from the listed weight are corrupt reports: the list is imprecise, but not by that much.
+/// Reported limits far from the listed weight are corrupt: the list is imprecise, but not by that much.
 #[test]
 fn implausible_reported_limit_is_ignored() {
     let plain = calls_after_a_rejection(0.9, 0.0);
@@ -656,13 +665,13 @@
     let mut s = one();
     s.deliver(20);
     for _ in 0..8 {
-        let once = s.accept(NON_IDEMPOTENT);
+        let id = s.accept(NON_IDEMPOTENT);
         assert_eq!(
-            s.in_flight.last().map(|out| out.message),
-            Some(once),
+            s.in_flight.last().map(|attempt| attempt.message),
+            Some(id),
             "sent at once: no backoff or open breaker"
         );
         s.end(Outcome::InvalidResponse);
-        assert_eq!(s.failed.last(), Some(&once), "failed, since it may have run");
+        assert_eq!(s.failed.last(), Some(&id), "failed, since it may have run");
     }
 }
--- a/crates/decision/tests/properties.rs
+++ b/crates/decision/tests/properties.rs
@@ -31,7 +31,7 @@
     ]
 }
 
-/// Tracks, from the outside, what is needed to check the delivery rules.
+/// Tracks accepted messages, attempts and outcomes independently of the policy, to check the delivery rules.
 #[derive(Default)]
 struct RuleChecker {
     seen: usize,
@@ -46,29 +46,32 @@
 
 impl RuleChecker {
     fn check(&mut self, s: &Sender) {
-        // A message that gets its final answer lets the next one of its key be sent in the same iteration.
+        // When a message gets its final answer, the next one of its key may be sent in the same iteration.
         let answered: BTreeSet<_> = s.rejected.iter().map(|r| r.0).chain(s.failed.iter().copied()).collect();
-        for out in &s.sent[self.seen..] {
-            let (class, key, deadline) = self.accepted[&out.message];
-            assert!(!self.finished.contains(&out.message), "no attempt after the final answer");
-            assert!(out.sent < deadline && out.until <= deadline && out.attempt < 4);
-            assert!(!self.not_ready.contains(&out.endpoint), "no call to a draining endpoint");
-            assert!(out.sent >= self.wait, "Retry-After is heeded");
-            let earlier_attempts = self.may_have_run.entry(out.message).or_default();
+        for attempt in &s.sent[self.seen..] {
+            let (class, key, deadline) = self.accepted[&attempt.message];
+            assert!(!self.finished.contains(&attempt.message), "no attempt after the final answer");
+            assert!(attempt.sent < deadline && attempt.until <= deadline && attempt.attempt < 4);
+            assert!(!self.not_ready.contains(&attempt.endpoint), "no call to a draining endpoint");
+            assert!(attempt.sent >= self.wait, "Retry-After is heeded");
+            let earlier_attempts = self.may_have_run.entry(attempt.message).or_default();
             match class {
                 NON_IDEMPOTENT => {
                     assert!(earlier_attempts.is_empty(), "a non-idempotent message is not repeated")
                 }
                 KEYED => assert!(
-                    earlier_attempts.iter().all(|r| out.sent <= r.1 + 6 * SECOND),
+                    earlier_attempts.iter().all(|r| attempt.sent <= r.1 + 6 * SECOND),
                     "a keyed message is repeated within its window"
                 ),
                 _ => {}
             }
-            let others = s.in_flight.iter().filter(|o| o.message == out.message && o.attempt != out.attempt);
+            let others = s
+                .in_flight
+                .iter()
+                .filter(|other| other.message == attempt.message && other.attempt != attempt.attempt);
             assert_eq!(others.count(), 0, "never two attempts in flight at once");
             if class == ORDERED {
-                let earlier = self.order.iter().take_while(|m| **m != out.message);
+                let earlier = self.order.iter().take_while(|m| **m != attempt.message);
                 for m in earlier.filter(|m| self.accepted[m].0 == ORDERED && self.accepted[m].1 == key) {
                     assert!(
                         self.finished.contains(m) || answered.contains(m),
@@ -76,10 +79,10 @@
                     );
                     assert!(s.in_flight.iter().all(|o| o.message != *m));
                 }
-                let pause = self.pauses.get(&key).filter(|r| r.1 != out.message).map_or(0, |r| r.0);
-                assert!(out.sent >= pause, "the key is paused");
+                let pause = self.pauses.get(&key).filter(|r| r.1 != attempt.message).map_or(0, |r| r.0);
+                assert!(attempt.sent >= pause, "the pause of the key is kept");
             }
-            earlier_attempts.push((out.attempt, out.sent));
+            earlier_attempts.push((attempt.attempt, attempt.sent));
         }
         self.seen = s.sent.len();
         let answers: Vec<_> = s.rejected.iter().map(|r| r.0).chain(s.failed.iter().copied()).collect();
@@ -98,19 +101,19 @@
         }
     }
 
-    fn ended(&mut self, out: Attempt, outcome: Outcome, now: Micros) {
+    fn ended(&mut self, attempt: Attempt, outcome: Outcome, now: Micros) {
         if outcome.never_ran() {
-            self.may_have_run.entry(out.message).or_default().retain(|r| r.0 != out.attempt);
+            self.may_have_run.entry(attempt.message).or_default().retain(|r| r.0 != attempt.attempt);
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            let (class, key, _) = self.accepted[&out.message];
+            let (class, key, _) = self.accepted[&attempt.message];
             if class == ORDERED {
-                self.pauses.insert(key, (now + SECOND, out.message));
+                self.pauses.insert(key, (now + SECOND, attempt.message));
             }
         }
         match outcome {
             Outcome::Delivered => {
-                self.finished.insert(out.message);
+                self.finished.insert(attempt.message);
             }
             Outcome::Rejected(Some(wait)) => self.wait = self.wait.max(now + wait),
             _ => {}
@@ -140,7 +143,7 @@
                     s.handle(vec![Event::Accepted(message)]);
                 }
                 Step::End { which, outcome, wait } if !s.in_flight.is_empty() => {
-                    let out = s.in_flight.remove(which % s.in_flight.len());
+                    let attempt = s.in_flight.remove(which % s.in_flight.len());
                     let outcome = [
                         Outcome::Delivered,
                         Outcome::Error,
@@ -152,8 +155,8 @@
                         Outcome::Cancelled,
                         Outcome::NotSent { no_slot: true },
                     ][outcome];
-                    checker.ended(out, outcome, s.now);
-                    let event = s.ended(out, outcome);
+                    checker.ended(attempt, outcome, s.now);
+                    let event = s.ended(attempt, outcome);
                     s.handle(vec![event]);
                 }
                 Step::Withdraw(which) if !checker.order.is_empty() => {
@@ -175,10 +178,10 @@
                     let until = s.now + span;
                     while s.now < until {
                         let due: Vec<_> = s.in_flight.iter().copied().filter(|o| o.until <= s.now + 5_000).collect();
-                        for out in due {
-                            s.in_flight.retain(|o| *o != out);
-                            checker.ended(out, Outcome::TimedOut, s.now);
-                            let event = s.ended(out, Outcome::TimedOut);
+                        for attempt in due {
+                            s.in_flight.retain(|other| *other != attempt);
+                            checker.ended(attempt, Outcome::TimedOut, s.now);
+                            let event = s.ended(attempt, Outcome::TimedOut);
                             s.handle(vec![event]);
                             checker.check(&s);
                         }
--- a/crates/decision/tests/rejections.rs
+++ b/crates/decision/tests/rejections.rs
@@ -17,18 +17,18 @@
     Sender::new(settings, &listed)
 }
 
-/// Ends the oldest call with a load report that states the limit and the share of it that is left.
-fn end_with(s: &mut Sender, outcome: Outcome, left: f32, limit: f32) {
-    let out = s.in_flight.remove(0);
-    let mut event = s.ended(out, outcome);
+/// Ends the oldest call with a load report that states the limit and the share of it that remains.
+fn end_with(s: &mut Sender, outcome: Outcome, remaining: f32, limit: f32) {
+    let attempt = s.in_flight.remove(0);
+    let mut event = s.ended(attempt, outcome);
     if let Event::AttemptCompleted { report, .. } = &mut event {
-        *report = vec![left, limit];
+        *report = vec![remaining, limit];
     }
     s.handle(vec![event]);
 }
 
-/// Returns how long a message waits for its second call after this rejection, with nothing delivered for five
-/// seconds.
+/// Returns how long a message waits for its second call after `reject` has rejected the first, at a
+/// destination to which nothing was delivered for the five seconds before.
 fn wait_after_rejection(reject: impl FnOnce(&mut Sender)) -> Micros {
     let mut s = one_of_many_senders(&[entry(1, 0)]);
     s.advance(5 * SECOND);
@@ -39,8 +39,8 @@
     s.sent[1].sent - rejected_at
 }
 
-/// Found on the bench: with 48 senders of little traffic each, one rejection at a limit made each of them
-/// hold its messages back for ten seconds, as after an outage.
+/// Found on the test bench: with 48 senders of little traffic each, one rejection at a limit made each of
+/// them hold its messages back for ten seconds, as after an outage.
 #[test]
 fn rejection_at_an_exhausted_limit_is_no_outage() {
     let at_limit = wait_after_rejection(|s| end_with(s, Outcome::Rejected(None), 0.2, 20.0));
@@ -49,7 +49,7 @@
     assert!(unexplained > at_limit, "{unexplained}: an unexplained rejection may be an outage");
 }
 
-/// A destination that is shut still reports all of its limit as left, and is cold when it returns.
+/// A destination that is shut still reports that its limit is unused, and is cold when it returns.
 #[test]
 fn rejection_with_limit_remaining_may_be_an_outage() {
     let shut = wait_after_rejection(|s| end_with(s, Outcome::Rejected(None), 0.9, 20.0));
@@ -57,8 +57,8 @@
     assert_eq!(shut, unexplained);
 }
 
-/// Found on the bench: a partner lowered its limit to a fifth for seven seconds. It was sent three times the
-/// lowered limit, and for ten seconds afterwards only a fifth of the restored one.
+/// Found on the test bench: a partner lowered its limit to a fifth for seven seconds. It was sent three times
+/// the lowered limit, and for ten seconds afterwards only a fifth of the restored one.
 #[test]
 fn send_rate_follows_a_limit_that_is_lowered_and_raised() {
     let mut s = Sender::new(Settings { weights: Weights::Nominal, max_messages: 10_000, ..settings() }, &[]);
@@ -77,8 +77,8 @@
             calls[phase] += 1;
             received += 1;
             let outcome = if received <= 2 * limit { Outcome::Delivered } else { Outcome::Rejected(None) };
-            let left = (2 * limit - received).max(0) as f32 / (2 * limit) as f32;
-            end_with(&mut s, outcome, left, limit as f32);
+            let remaining = (2 * limit - received).max(0) as f32 / (2 * limit) as f32;
+            end_with(&mut s, outcome, remaining, limit as f32);
         }
         s.advance(SECOND / 20);
     }
@@ -86,8 +86,8 @@
     assert!(calls[2] >= 60, "{calls:?}: the restored limit allows 80");
 }
 
-/// Found on the bench: in a run with 48 senders, two thirds of the rejections were of connections, not of
-/// calls.
+/// Found on the test bench: in a run with 48 senders, two thirds of the rejections were of connections, not
+/// of calls.
 #[test]
 fn rejected_connection_does_not_lower_the_send_rate() {
     let mut s = one_of_many_senders(&[entry(1, 0), entry(2, 0)]);
@@ -147,12 +147,12 @@
             s.end(Outcome::Delivered);
         }
     }
-    assert!(before - 80 <= 15, "{} in ten seconds", before - 80);
-    assert!(s.sent.len() - before <= 10, "{} calls after it", s.sent.len() - before);
+    assert!(before - 80 <= 15, "{} calls in ten seconds of rejected connections", before - 80);
+    assert!(s.sent.len() - before <= 10, "{} calls in the three seconds after it", s.sent.len() - before);
 }
 
-/// Found on the bench: two senders with a large backlog for an endpoint that had become slow tried its full
-/// connection table four hundred times a second, until their messages had no attempts left.
+/// Found on the test bench: two senders with a large backlog for an endpoint that had become slow tried its
+/// full connection table four hundred times a second, until their messages had no attempts left.
 #[test]
 fn calls_in_flight_are_limited_to_available_connection_slots() {
     let mut s = Sender::new(settings(), &[entry(1, 0)]);
@@ -166,23 +166,23 @@
     }
     assert_eq!(s.in_flight.len(), 2, "as many as had connection slots");
     let started_at = s.now;
-    let (mut most, mut rejections) = (0, 0);
+    let (mut max_in_flight, mut rejections) = (0, 0);
     while s.now < started_at + 4 * SECOND {
         // The endpoint has slots for two connections.
         while s.in_flight.len() > 2 {
-            let out = s.in_flight.pop().unwrap();
-            let event = s.ended(out, Outcome::ConnectionRejected);
+            let attempt = s.in_flight.pop().unwrap();
+            let event = s.ended(attempt, Outcome::ConnectionRejected);
             s.handle(vec![event]);
             rejections += 1;
         }
-        most = most.max(s.in_flight.len());
+        max_in_flight = max_in_flight.max(s.in_flight.len());
         s.accept(IDEMPOTENT);
         if !s.in_flight.is_empty() {
             s.end(Outcome::Delivered);
         }
         s.advance(SECOND / 20);
     }
-    assert_eq!(most, 2);
+    assert_eq!(max_in_flight, 2);
     assert!(
         (1..=10).contains(&rejections),
         "{rejections} in four seconds: more slots are tried from time to time"
@@ -221,10 +221,11 @@
     assert_eq!(closes(48, SECOND / 10), 1);
 }
 
-/// A reported limit close to zero made the time until the next call overflow if the list stated no limit.
+/// Regression: a reported limit close to zero made the time until the next call overflow if the list stated
+/// no limit.
 #[test]
 fn invalid_reports_are_harmless() {
-    for (left, limit) in [
+    for (remaining, limit) in [
         (f32::NAN, 20.0),
         (0.0, f32::NAN),
         (0.5, f32::INFINITY),
@@ -239,7 +240,7 @@
             for outcome in [Outcome::Delivered, Outcome::Rejected(None), Outcome::Delivered] {
                 s.accept(IDEMPOTENT);
                 if !s.in_flight.is_empty() {
-                    end_with(&mut s, outcome, left, limit);
+                    end_with(&mut s, outcome, remaining, limit);
                 }
                 s.advance(SECOND);
             }
@@ -247,7 +248,7 @@
             let delivered = s.sent.len() > 1;
             assert!(
                 delivered || s.rejected.len() + s.failed.len() >= 2,
-                "{left} {limit}: every message is delivered or answered"
+                "{remaining} {limit}: every message is delivered or answered"
             );
         }
     }
