--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -38,7 +38,7 @@
     pub attempt: u16,
     pub endpoint: EndpointId,
     pub sent: Micros,
-    /// When the attempt times attempt.
+    /// When the attempt times out.
     pub until: Micros,
 }
 
